--- a/src/main/java/io/saltflow/scheduler/CandidateOrder.java
+++ b/src/main/java/io/saltflow/scheduler/CandidateOrder.java
@@ -14,41 +14,51 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The order in which a round asks jobs for tasks to place, and for which reason each is asked. */
+/** Computes the order in which a round considers jobs, and the reason for each position. */
 final class CandidateOrder {
   /**
-   * Of so many neighbours of one class in the queue, those whose image a machine has go first on
-   * it: a fetch takes a good part of a short run, and they hardly differ in rank.
+   * Maximum number of consecutive candidates of one class that may be reordered so that jobs whose
+   * image a machine has cached come first.
    */
   private static final int MAX_IMAGE_LOOKAHEAD = 16;
 
-  /** After this part of the time within which a job is to start, its first task goes ahead. */
+  /** Fraction of the first-start target after which a job's first task is considered early. */
   private static final double FIRST_TASK_WAIT_FRACTION = 0.4;
 
   /**
-   * Bounds the first tasks that go ahead: one task of each of hundreds would be the whole fleet.
+   * Maximum number of jobs whose first task is considered early in one round, so that first tasks
+   * cannot take the whole fleet.
    */
   private static final int MAX_FIRST_TASK_JOBS = 32;
 
-  /** Why a job is asked at its place in the order. */
+  /** Reason for a job's position in the order. */
   enum Reason {
-    /** The order of the queue. */
+    /** The job is at its position in the queue order. */
     QUEUE_ORDER,
-    /** Urgent, in a class and team within their fair share: before minimum shares of others. */
+    /**
+     * The job is urgent, and its class and team are within their fair share. Comes before the
+     * minimum shares of other groups.
+     */
     URGENT,
-    /** Its class or team has waited for long and holds less than its minimum share. */
+    /**
+     * The job's class or team has waited longer than the threshold and holds less than its minimum
+     * share.
+     */
     MINIMUM_SHARE,
-    /** It has waited for long and no task of it has started: one task, before minimum shares. */
+    /**
+     * The job has waited for long and none of its tasks has started. Admits one task, before the
+     * minimum shares.
+     */
     FIRST_TASK
   }
 
-  /** A job at a place in the order. One job may have several, for different reasons. */
+  /** A job at a position in the order. A job may have several positions, for different reasons. */
   static final class Candidate {
     final Job job;
     final Reason reason;
     private final ShareGroup group;
 
-    /** How many of its tasks may still start for this reason. */
+    /** Number of the job's tasks that may still start for this reason. */
     private int maxTasks;
 
     private Candidate(Job job, Reason reason, ShareGroup group, int maxTasks) {
@@ -62,12 +72,15 @@
       return maxTasks;
     }
 
-    /** Whether it may use room that is reserved for minimum shares. */
+    /** Returns whether the candidate may use resources that are reserved for minimum shares. */
     boolean usesShareReservations() {
       return reason == Reason.MINIMUM_SHARE || reason == Reason.FIRST_TASK;
     }
 
-    /** The class or team whose minimum share it draws on; null: none. */
+    /**
+     * Returns the class or team whose minimum share the candidate uses, or {@code null} if there is
+     * none.
+     */
     ShareGroup group() {
       return group;
     }
@@ -76,7 +89,7 @@
       maxTasks--;
     }
 
-    /** Whether one more task may start for this reason. */
+    /** Returns whether one more task may start for this reason. */
     boolean mayStartAnother(FairShareScheduler fairShare) {
       return switch (reason) {
         case QUEUE_ORDER -> true;
@@ -90,8 +103,9 @@
   private CandidateOrder() {}
 
   /**
-   * The candidates: guarantees, then urgent work within its fair share, then one task of each job
-   * that has waited too long for its first, then minimum shares, then the queue.
+   * Returns the candidates in order: jobs within guaranteed quota, then urgent jobs within their
+   * fair share, then one task of each job that is overdue for its first, then minimum shares, then
+   * the queue.
    */
   static List<Candidate> of(
       List<Job> order,
@@ -128,9 +142,9 @@
   }
 
   /**
-   * The jobs that have waited for a good part of the time in which each has to start, the longest
-   * first. A wide job stands behind all that is shorter, one that needs much of a machine or of its
-   * team's limit behind whatever narrow work keeps coming: one task of it costs the others little.
+   * Returns the jobs that have waited for a large part of the first-start target, longest wait
+   * first. Without this, a wide job or one that needs most of a machine or of its team's limit
+   * could wait behind a stream of smaller jobs, while one task of it delays the others little.
    *
    * @param firstStartTarget the time within which each job's first task is to start
    */
@@ -155,8 +169,8 @@
   }
 
   /**
-   * The end, exclusive, of the neighbours from the given one on that may change places: the next
-   * few of one class in the queue.
+   * Returns the end index, exclusive, of the candidates from the given index on that may be
+   * reordered: consecutive candidates of one class in queue order.
    */
   static int endOfInterchangeable(List<Candidate> candidates, int from) {
     Candidate first = candidates.get(from);
--- a/src/main/java/io/saltflow/scheduler/DailyDeadlines.java
+++ b/src/main/java/io/saltflow/scheduler/DailyDeadlines.java
@@ -24,29 +24,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tracks the daily deadlines of the queues that operators have set up: which jobs count for them,
- * what is forecast, and which jobs are boosted so that fewer are late. Jobs are boosted only as it
- * is recorded, so that a later leader keeps their order. Confined to the leader's thread.
+ * Tracks the daily deadlines that operators have configured for queues: which jobs count towards
+ * them, the forecast, and which jobs are boosted so that fewer are late. A boost takes effect only
+ * once it is recorded, so that a later leader keeps the order. Confined to the leader's thread.
  */
 public final class DailyDeadlines {
   private static final Logger LOG = LoggerFactory.getLogger(DailyDeadlines.class);
-  private static final TimeSpan UPDATE_INTERVAL = TimeSpan.seconds(1);
+  private static final TimeSpan MIN_UPDATE_INTERVAL = TimeSpan.seconds(1);
 
-  /** Between two writes, over all queues: at most a fifth of a change a second. */
-  private static final TimeSpan WRITE_INTERVAL = TimeSpan.seconds(5);
+  /** Minimum time between two writes, over all queues. */
+  private static final TimeSpan MIN_WRITE_INTERVAL = TimeSpan.seconds(5);
 
   private static final int MAX_KEPT_RECORDS = 30;
 
   private final List<DeadlineRule> rules;
   private final DeadlineWorkload workload;
 
-  /** By queue, as last updated. */
+  /** Open deadlines by queue, as last updated. */
   private final Map<String, DailyDeadline> openDeadlines = new LinkedHashMap<>();
 
-  /** By queue, as the key-value store holds them: only these boost jobs. */
+  /** Open deadlines by queue, as the key-value store holds them. Only these boost jobs. */
   private final Map<String, DailyDeadline> recordedDeadlines = new HashMap<>();
 
-  /** The names of all records of each queue, the oldest first. */
+  /** Names of all records of each queue, oldest first. */
   private final Map<String, Set<String>> recordNames = new HashMap<>();
 
   private final List<DailyDeadline> endedToRecord = new ArrayList<>();
@@ -58,7 +58,7 @@
   private MonotonicTime lastWriteAt = MonotonicTime.LONG_AGO;
   private boolean writeInFlight;
 
-  /** Creates the tracker for the operators' rules, with nothing recorded yet. */
+  /** Creates a tracker for the operators' rules, with no recorded deadlines. */
   public DailyDeadlines(
       List<DeadlineRule> rules,
       RunTimeEstimates estimates,
@@ -69,13 +69,13 @@
   }
 
   /**
-   * How many jobs ended after the last write of an earlier leader, by what it counted as pending.
+   * Returns how many of the jobs that an earlier leader last recorded as pending have ended since.
    */
   private int completedSince(DailyDeadline deadline, Collection<Job> jobs) {
-    int still = 0;
+    int stillPending = 0;
     for (DeadlineRule rule : rules) {
       for (Job job : rule.queue().equals(deadline.queue()) ? jobs : List.<Job>of()) {
-        still +=
+        stillPending +=
             DeadlineWorkload.belongsTo(rule, job, deadline)
                     && job.queueState().admissionPosition().revision()
                         <= deadline.lastSeenRevision()
@@ -83,13 +83,13 @@
                 : 0;
       }
     }
-    return Math.max(0, deadline.pendingJobs() - still);
+    return Math.max(0, deadline.pendingJobs() - stillPending);
   }
 
   /**
-   * Takes over what leaders of earlier terms recorded.
+   * Restores the deadlines that leaders of earlier terms recorded.
    *
-   * @param jobs that are live
+   * @param jobs the live jobs
    */
   public void restore(Collection<DailyDeadline> deadlines, Collection<Job> jobs) {
     for (DailyDeadline deadline : deadlines) {
@@ -105,7 +105,7 @@
     updateBoostRanks();
   }
 
-  /** Numbers the jobs that recorded deadlines boost, in order. */
+  /** Recomputes the ranks of the jobs that recorded deadlines boost. */
   private void updateBoostRanks() {
     boostRanks.clear();
     for (DailyDeadline deadline : new TreeMap<>(recordedDeadlines).values()) {
@@ -115,14 +115,20 @@
     }
   }
 
-  /** The job's number among those that are boosted; {@link Integer#MAX_VALUE}: it is not. */
+  /**
+   * Returns the job's rank among the boosted jobs, or {@link Integer#MAX_VALUE} if it is not
+   * boosted.
+   */
   public int boostRank(Job job) {
     return boostRanks.isEmpty()
         ? Integer.MAX_VALUE
         : boostRanks.getOrDefault(job.id(), Integer.MAX_VALUE);
   }
 
-  /** When a boosted job is due, by the time of day; 0: it is not boosted. */
+  /**
+   * Returns when the deadline that boosts the job is due, in wall-clock milliseconds, or 0 if the
+   * job is not boosted.
+   */
   public long boostDeadlineMs(Job job) {
     if (!boostRanks.containsKey(job.id())) {
       return 0;
@@ -135,7 +141,7 @@
     return 0;
   }
 
-  /** A job has ended with all its tasks done. */
+  /** Counts a job that has ended with all its tasks done. */
   public void onJobDone(Job job) {
     for (DeadlineRule rule : rules) {
       if (openDeadlines.containsKey(rule.queue())
@@ -146,11 +152,11 @@
   }
 
   /**
-   * Opens, forecasts and closes the deadlines, once a second at the most.
+   * Opens, forecasts and closes the deadlines, at most once a second.
    *
-   * @param waitingJobs the jobs that wait, in queue order
+   * @param waitingJobs the waiting jobs in queue order
    * @param fleet the resources of all machines that are usable or booting
-   * @param wallMs the time of day, corrected by what the peers say
+   * @param wallMs the wall-clock time in milliseconds, corrected by the clocks of the peers
    */
   public void update(
       Collection<Job> jobs,
@@ -159,7 +165,7 @@
       boolean reconciled,
       long wallMs,
       MonotonicTime now) {
-    if (rules.isEmpty() || !reconciled || UPDATE_INTERVAL.longerThan(now.since(lastUpdateAt))) {
+    if (rules.isEmpty() || !reconciled || MIN_UPDATE_INTERVAL.longerThan(now.since(lastUpdateAt))) {
       return;
     }
     lastUpdateAt = now;
@@ -179,14 +185,14 @@
     }
   }
 
-  /** The deadline that opens now; null: none does. */
+  /** Returns the deadline that opens now, or {@code null} if none does. */
   private DailyDeadline open(DeadlineRule rule, long wallMs) {
     DailyDeadline deadline = rule.openAt(wallMs);
     if (deadline == null) {
       return null;
     }
     if (recordNames.getOrDefault(rule.queue(), Set.of()).contains(deadline.recordName())) {
-      // It ended for good already; a clock that steps back opens nothing again.
+      // This deadline has already ended and must not reopen when the clock steps back.
       return null;
     }
     readyCounts.put(rule.queue(), 0);
@@ -243,9 +249,12 @@
     updateBoostRanks();
   }
 
-  /** The one record to write now; null: none. {@link #onWritten} says what became of it. */
+  /**
+   * Returns the next record to write, or {@code null} if there is none. {@link #onWritten} reports
+   * the result of the write.
+   */
   public DailyDeadline toRecord(MonotonicTime now) {
-    if (writeInFlight || WRITE_INTERVAL.longerThan(now.since(lastWriteAt))) {
+    if (writeInFlight || MIN_WRITE_INTERVAL.longerThan(now.since(lastWriteAt))) {
       return null;
     }
     DailyDeadline next = null;
@@ -253,8 +262,8 @@
       next = endedToRecord.get(0);
     } else {
       for (DailyDeadline deadline : openDeadlines.values()) {
-        DailyDeadline known = recordedDeadlines.get(deadline.queue());
-        if (known == null || differs(known, deadline)) {
+        DailyDeadline recorded = recordedDeadlines.get(deadline.queue());
+        if (recorded == null || differs(recorded, deadline)) {
           next = deadline;
           break;
         }
@@ -274,7 +283,7 @@
         || !recorded.boosted().equals(current.boosted());
   }
 
-  /** The record was written, or the write was refused: then it is offered again. */
+  /** Handles the result of a write. A record whose write failed is offered again. */
   public void onWritten(DailyDeadline deadline, boolean succeeded) {
     writeInFlight = false;
     if (!succeeded) {
@@ -289,10 +298,10 @@
     }
   }
 
-  /** Names of records that are old enough to be deleted. */
+  /** Returns the names of the records that are to be deleted, and clears the list. */
   public List<String> takeToDelete() {
-    List<String> out = List.copyOf(toDelete);
+    List<String> names = List.copyOf(toDelete);
     toDelete.clear();
-    return out;
+    return names;
   }
 }
--- a/src/main/java/io/saltflow/scheduler/DeadlineWorkload.java
+++ b/src/main/java/io/saltflow/scheduler/DeadlineWorkload.java
@@ -21,19 +21,21 @@
 import java.util.TreeSet;
 
 /**
- * Measures the work that a daily deadline waits for and the cores that work on it, by corrected
- * estimates.
+ * Measures the work that a daily deadline waits for and the cores that are available for it, using
+ * corrected run time estimates.
  */
 final class DeadlineWorkload {
-  /** Stands for no limit; small enough that the sum over all teams stays finite. */
+  /**
+   * Core limit of a team without a limit, small enough that the sum over all teams stays finite.
+   */
   private static final double NO_CORE_LIMIT = Double.MAX_VALUE / 64;
 
   /**
-   * The cluster as of one update.
+   * The state of the cluster at one update.
    *
-   * @param waitingJobs the jobs that wait, in queue order
+   * @param waitingJobs the waiting jobs in queue order
    * @param fleet the resources of all machines
-   * @param totalCoreS what is left of all jobs, in core-seconds
+   * @param totalCoreS the remaining work of all jobs, in core-seconds
    */
   record Snapshot(
       Collection<Job> jobs,
@@ -43,9 +45,9 @@
       MonotonicTime now) {}
 
   /**
-   * What one deadline waits for.
+   * The jobs that one deadline waits for and the cores available for them.
    *
-   * @param pending the jobs that are not done, in the order in which they are worked on
+   * @param pending the unfinished jobs in processing order
    * @param lastSeenRevision the latest revision at which one of them was admitted
    */
   record QueueWorkload(List<PendingJob> pending, CoreSupply supply, long lastSeenRevision) {}
@@ -61,7 +63,7 @@
     this.teams = teams;
   }
 
-  /** Takes a snapshot, with the sum of what is left of all jobs. */
+  /** Takes a snapshot, including the remaining work of all jobs. */
   Snapshot snapshot(
       Collection<Job> jobs, List<WaitingJob> waitingJobs, Resources fleet, MonotonicTime now) {
     double totalCoreS = 0;
@@ -71,7 +73,7 @@
     return new Snapshot(jobs, waitingJobs, fleet, totalCoreS, now);
   }
 
-  /** Whether the deadline waits for the job. */
+  /** Returns whether the deadline waits for the job. */
   static boolean belongsTo(DeadlineRule rule, Job job, DailyDeadline deadline) {
     return !job.spec.daemon()
         && !job.isCancelled()
@@ -80,7 +82,7 @@
         && rule.matches(job.spec.jobClass(), job.spec.team());
   }
 
-  /** Measures what the deadline waits for. */
+  /** Measures the workload that the deadline waits for. */
   QueueWorkload measure(DeadlineRule rule, DailyDeadline deadline, Snapshot snapshot) {
     Map<JobId, PendingJob> pending = pendingJobs(rule, deadline, snapshot);
     double queueCoreS = 0;
@@ -110,7 +112,7 @@
     Map<JobId, PendingJob> pending = new LinkedHashMap<>();
     Set<JobId> waitingIds = new HashSet<>();
     snapshot.waitingJobs.forEach(waitingJob -> waitingIds.add(waitingJob.job().id()));
-    // Jobs of which no task waits are being worked on already: they are first.
+    // Jobs without waiting tasks are already being processed, so they come first.
     for (Job job : snapshot.jobs) {
       if (belongsTo(rule, job, deadline) && !waitingIds.contains(job.id())) {
         pending.put(job.id(), pendingJob(job, snapshot.now));
--- a/src/main/java/io/saltflow/scheduler/DependencyTracker.java
+++ b/src/main/java/io/saltflow/scheduler/DependencyTracker.java
@@ -22,32 +22,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Holds back jobs until the jobs that they depend on are done. Until that is recorded nothing else
- * knows of such a job: it has no place in the queue, takes nothing of its team's limit and no room
- * is reserved or scaled out for it. So one that is cancelled because of another never had a task on
- * a machine.
+ * Holds jobs back until the completion of all their dependencies is recorded. Until then a held job
+ * is unknown to the scheduler: it has no position in the queue, uses nothing of its team's limit,
+ * and no capacity is reserved or scaled out for it. A job that is cancelled by cascade has
+ * therefore never had a task on a machine.
  */
 public final class DependencyTracker {
   private static final Logger LOG = LoggerFactory.getLogger(DependencyTracker.class);
 
   private final DependencyGraph graph = new DependencyGraph();
 
-  /** Jobs that wait for others, by id; none of them is among the scheduler's. */
+  /** Jobs that wait for their dependencies, by id. The scheduler knows none of them. */
   private final Map<JobId, Job> heldJobs = new LinkedHashMap<>();
 
   /**
-   * Jobs that an earlier leader may have started though no record that we can read says so. One is
-   * of a version that knows no dependencies: it stops what runs of such a job where it can, and
-   * drops what was recorded of it.
+   * Held jobs that an earlier leader may have started although no readable record says so. A leader
+   * of a version without support for dependencies stops the tasks of such a job where it can, and
+   * discards the job's records.
    */
   private final Set<JobId> mayBeRunning = new HashSet<>();
 
-  /** Those of them whose dependencies are all done. */
+  /** Jobs of {@link #mayBeRunning} whose dependencies are all done. */
   private final Map<JobId, Job> awaitingReconciliation = new LinkedHashMap<>();
 
   private final RunTimeEstimates estimates;
 
-  /** What a job takes beside its run: a launch waits for its machine's next heartbeat. */
+  /**
+   * Time that a job takes in addition to its run: a launch waits for the machine's next heartbeat.
+   */
   private final TimeSpan stepOverhead;
 
   private final long wallClockOffsetMs;
@@ -55,10 +57,10 @@
   private List<Job> rankedJobs = List.of();
 
   /**
-   * Creates a tracker that knows no job.
+   * Creates a tracker without jobs.
    *
-   * @param wallClockOffsetMs the time of day less the monotonic time, in milliseconds
-   * @param findScheduled finds a job among the scheduler's; null: it is not there
+   * @param wallClockOffsetMs the wall-clock time minus the monotonic time, in milliseconds
+   * @param findScheduled finds a job that the scheduler knows, or returns {@code null}
    */
   public DependencyTracker(
       Policy policy,
@@ -72,9 +74,10 @@
   }
 
   /**
-   * Adds a live job; returns whether it waits for others and must not be scheduled.
+   * Adds a live job.
    *
-   * @param leaderSinceMs the time of day at which this leader's term began
+   * @param leaderSinceMs the wall-clock time at which this leader's term began, in milliseconds
+   * @return whether the job waits for dependencies and must not be scheduled
    */
   public boolean onJobAdded(Job job, long leaderSinceMs) {
     List<JobId> dependencies = job.spec.dependencies();
@@ -83,7 +86,8 @@
       return false;
     }
     if (job.dependenciesMet()) {
-      // Until the ends of its needs are read nobody knows from when its times count.
+      // The time at which the job became eligible is unknown until the completions of its
+      // dependencies have been read.
       job.queueState().setEligibleWallMs(leaderSinceMs);
       return false;
     }
@@ -92,8 +96,8 @@
   }
 
   /**
-   * All jobs that were live at the failover have been added: one that depends on none of them may
-   * be running.
+   * Marks the held jobs that depend on no live job as possibly running. Called once all jobs that
+   * were live at the failover have been added.
    */
   public void onFailover() {
     for (JobId id : heldJobs.keySet()) {
@@ -103,34 +107,34 @@
     }
   }
 
-  /** The job if it waits for others; null: it does not. */
+  /** Returns the job if it waits for dependencies, otherwise {@code null}. */
   public Job findHeldJob(JobId id) {
     return heldJobs.get(id);
   }
 
-  /** All jobs that wait for others. */
+  /** Returns all jobs that wait for dependencies. */
   public Collection<Job> heldJobs() {
     return heldJobs.values();
   }
 
-  /** The job's completion is recorded. */
+  /** Handles the recorded completion of a job. */
   public void onJobDone(JobId id, long endedMs) {
     forget(id);
     graph.onDone(id, endedMs);
   }
 
-  /** The job's cancellation is recorded. */
+  /** Handles the recorded cancellation of a job. */
   public void onJobCancelled(JobId id) {
     int pendingBefore = graph.pendingCancellations().size();
     forget(id);
     graph.onCancelled(id);
     int dependents = graph.pendingCancellations().size() - pendingBefore;
     if (dependents > 0) {
-      LOG.info("cancelling {} dependent jobs of {}", dependents, id);
+      LOG.info("cancelling {} dependents of cancelled job {}", dependents, id);
     }
   }
 
-  /** A job's live record is gone. */
+  /** Handles the removal of a job's live record. */
   public void onJobRemoved(JobId id) {
     forget(id);
     graph.onRecordRemoved(id);
@@ -143,23 +147,25 @@
   }
 
   /**
-   * The jobs that may be scheduled from now on, and scheduled ones whose times have become known.
+   * Returns the jobs that may be scheduled from now on, and the scheduled jobs whose eligible time
+   * has become known.
    *
-   * @param noEarlierTermTasks no task of an earlier term can be on a machine unknown to this leader
+   * @param noEarlierTermTasks whether no machine can run a task of an earlier term that is unknown
+   *     to this leader
    */
   public List<Job> takeReleased(boolean noEarlierTermTasks) {
     List<Job> released = new ArrayList<>();
     for (DependencyGraph.ReleasedJob release : graph.takeReleased()) {
       Job job = heldJobs.get(release.job());
-      Job known = job == null ? findScheduled.apply(release.job()) : job;
-      if (known == null) {
+      Job target = job == null ? findScheduled.apply(release.job()) : job;
+      if (target == null) {
         continue;
       }
-      known.queueState().setEligibleWallMs(Math.max(known.arrivedWallMs, release.lastEndMs()));
+      target.queueState().setEligibleWallMs(Math.max(target.arrivedWallMs, release.lastEndMs()));
       if (job != null && (job.mayHaveStartedInEarlierTerm || mayBeRunning.contains(job.id()))) {
         awaitingReconciliation.put(job.id(), job);
       } else {
-        released.add(known);
+        released.add(target);
       }
     }
     if (noEarlierTermTasks) {
@@ -170,26 +176,29 @@
       mayBeRunning.remove(job.id());
       if (heldJobs.remove(job.id()) != null) {
         double waitedS = (job.queueState().eligibleWallMs() - job.arrivedWallMs) / 1000.0;
-        LOG.info("dependencies complete: {} released after {} s", job.id(), waitedS);
+        LOG.info("dependencies complete: job {} released after {} s", job.id(), waitedS);
       }
     }
     return released;
   }
 
-  /** The jobs whose completions must be read before those that depend on them may start. */
+  /** Returns the jobs whose completions must be read before their dependents may start. */
   public List<JobId> completionsToRead() {
     return graph.completionsToRead();
   }
 
   /**
-   * The jobs whose completions are read when there is time, for the times of jobs that have
-   * started.
+   * Returns the jobs whose completions are read at low urgency, to learn the eligible times of jobs
+   * that have already started.
    */
   public List<JobId> completionsToReadForTimes() {
     return graph.completionsToReadForTimes();
   }
 
-  /** The jobs that have to be recorded as cancelled, each until that is confirmed. */
+  /**
+   * Returns the jobs whose cancellation has to be recorded. Each is returned until its cancellation
+   * is confirmed.
+   */
   public List<JobId> jobsToCancel() {
     List<JobId> ids = new ArrayList<>();
     for (DependencyGraph.PendingCancellation cancellation : graph.pendingCancellations()) {
@@ -198,13 +207,13 @@
     return ids;
   }
 
-  /** Propagates priorities and latest completions back along the dependencies. */
+  /** Propagates priorities and latest completion times backwards along the dependencies. */
   public void propagateRanks() {
     if (!graph.takeChanged()) {
       return;
     }
     rankedJobs.forEach(job -> job.queueState().setInheritedUrgency(null));
-    List<Job> nowRanked = new ArrayList<>();
+    List<Job> newlyRankedJobs = new ArrayList<>();
     DependencyRanks.of(graph, new RankedJobs())
         .forEach(
             (id, rank) -> {
@@ -215,17 +224,17 @@
                       : new MonotonicTime(rank.latestEndMs() - wallClockOffsetMs);
               job.queueState()
                   .setInheritedUrgency(new QueueState.InheritedUrgency(rank.priority(), latestEnd));
-              nowRanked.add(job);
+              newlyRankedJobs.add(job);
             });
-    rankedJobs = nowRanked;
+    rankedJobs = newlyRankedJobs;
   }
 
   private Job job(JobId id) {
-    Job waiting = heldJobs.get(id);
-    return waiting == null ? findScheduled.apply(id) : waiting;
+    Job held = heldJobs.get(id);
+    return held == null ? findScheduled.apply(id) : held;
   }
 
-  /** The attributes that ranks are computed from. */
+  /** Provides the attributes that ranks are computed from. */
   private final class RankedJobs implements DependencyRanks.JobAttributes {
     @Override
     public Priority priority(JobId id) {
--- a/src/main/java/io/saltflow/scheduler/FairShareScheduler.java
+++ b/src/main/java/io/saltflow/scheduler/FairShareScheduler.java
@@ -23,15 +23,15 @@
 import java.util.TreeSet;
 
 /**
- * Computes the fair and minimum shares of classes and teams over jobs and machines: which jobs are
- * granted tasks before the queue's order is asked, and which tasks may not be preempted. The head
- * of the queue alone is one job of tens of tasks among a thousand machines; without minimum shares
- * a stream of narrow tasks behind it fills all that becomes free elsewhere, and wide work of low
- * priority is never served.
+ * Computes the fair and minimum shares of classes and teams: which jobs are granted tasks ahead of
+ * the queue order, and which tasks may not be preempted. Reserving capacity only for the head of
+ * the queue is not enough: a stream of narrow tasks behind the head would fill all capacity that
+ * becomes free elsewhere, and wide jobs of low priority would starve.
  */
 public final class FairShareScheduler {
   /**
-   * The part of a job's whole work that preemptions may cost it; beyond that it is not preempted.
+   * Fraction of a job's total work that it may lose to preemptions before it is no longer
+   * preempted.
    */
   private static final double MAX_LOST_WORK_FRACTION = 0.5;
 
@@ -41,8 +41,8 @@
   private FairSharePlan plan = FairSharePlan.NONE;
   private Resources fleet = Resources.ZERO;
 
-  /** By group, what is being stopped: still held, and soon no longer. */
-  private final Map<ShareGroup, Resources> stopping = new HashMap<>();
+  /** Resources of tasks that are stopping, by group. They are still held, but soon released. */
+  private final Map<ShareGroup, Resources> stoppingByGroup = new HashMap<>();
 
   FairShareScheduler(Policy policy, RunTimeEstimates estimates, QuotaUsage quotaUsage) {
     this.rules = policy.fairShare();
@@ -53,13 +53,13 @@
   private record MachineKind(String type, String zone, boolean spot, Resources size) {}
 
   /**
-   * Computes the shares anew.
+   * Recomputes the shares.
    *
-   * @param startable the jobs of which tasks may be started now
+   * @param startable the jobs whose tasks may be started now
    */
   void update(Collection<Job> jobs, Set<Job> startable, List<Machine> usable, MonotonicTime now) {
     fleet = Resources.ZERO;
-    stopping.clear();
+    stoppingByGroup.clear();
     Map<MachineKind, Integer> machineCounts = new HashMap<>();
     for (Machine machine : usable) {
       fleet = fleet.plus(machine.type().size());
@@ -90,7 +90,7 @@
       boolean startable,
       Map<MachineKind, Integer> machineCounts,
       MonotonicTime now) {
-    // Replicas are placed by their own rules, and what fails everywhere serves nobody.
+    // Services are placed by their own rules, and jobs that fail everywhere get no share.
     if (job.isService() || job.isCancelled() || job.isFinishing() || job.failsEverywhere()) {
       return;
     }
@@ -121,19 +121,22 @@
             now.since(job.queueState().eligibleAt())));
   }
 
-  /** The fraction of the fleet that a job's tasks may run on. */
+  /** Returns the fraction of the fleet that the job's tasks may run on. */
   private double eligibleFleetFraction(Job job, Map<MachineKind, Integer> machineCounts) {
-    Resources sum = Resources.ZERO;
+    Resources eligible = Resources.ZERO;
     for (Map.Entry<MachineKind, Integer> entry : machineCounts.entrySet()) {
       MachineKind kind = entry.getKey();
       if (job.spec.allows(kind.type, kind.zone, kind.spot) && job.spec.size().fitsIn(kind.size)) {
-        sum = sum.plus(kind.size.times(entry.getValue()));
+        eligible = eligible.plus(kind.size.times(entry.getValue()));
       }
     }
-    return fleetFraction(sum);
+    return fleetFraction(eligible);
   }
 
-  /** The fraction of the fleet that the resources are, by the one of which they take most. */
+  /**
+   * Returns the dominant share of the resources: the largest of their fractions of the fleet's
+   * cores, GPUs and memory.
+   */
   double fleetFraction(Resources size) {
     return Math.max(
         ratio(size.cores(), fleet.cores()),
@@ -145,37 +148,41 @@
   }
 
   /**
-   * The classes that hold less than they are due: of these, jobs that can end soonest come first.
+   * Returns the classes that have waited for long and demand more than their fair share. Within
+   * these classes, the jobs that can end soonest come first.
    */
   Set<String> underservedClasses() {
-    Set<String> out = new TreeSet<>();
+    Set<String> classes = new TreeSet<>();
     plan.statuses().keySet().stream()
         .filter(group -> group.kind() == ShareGroup.Kind.CLASS && plan.isUnderserved(group))
-        .forEach(group -> out.add(group.name()));
-    return out;
+        .forEach(group -> classes.add(group.name()));
+    return classes;
   }
 
-  /** The tasks that may start before the queue's order is asked. */
+  /** Returns the tasks that may start ahead of the queue order. */
   List<ShareGrant> grants() {
     return plan.grants();
   }
 
-  /** The shares of each class and team as of the last round. */
+  /** Returns the shares of each class and team at the last round. */
   public Map<ShareGroup, ShareStatus> shareStatuses() {
     return plan.statuses();
   }
 
-  /** The fraction of the fleet that the group holds now. */
+  /** Returns the fraction of the fleet that the group holds now. */
   public double heldFraction(ShareGroup group) {
     return fleetFraction(quotaUsage.knownUsage(group));
   }
 
-  /** Whether the group has waited for long and still holds less than its minimum share. */
+  /** Returns whether the group has waited for long and still holds less than its minimum share. */
   boolean belowMinimumShare(ShareGroup group) {
     return plan.isOwedMinimumShare(group, heldFraction(group));
   }
 
-  /** How many tasks of the job the group lacks to its minimum share, beside earlier requests. */
+  /**
+   * Returns how many tasks of the job would bring the group up to its minimum share, in addition to
+   * the earlier requests.
+   */
   int tasksBelowMinimumShare(
       ShareGroup group, Collection<HeadReservation.ReservationRequest> earlierRequests, Job job) {
     double missingFraction = plan.statuses().get(group).minimumShare() - heldFraction(group);
@@ -187,27 +194,28 @@
     return (int) Math.max(0, Math.ceil(missingFraction / fleetFraction(job.spec.size())));
   }
 
-  /** Whether the job's class and team stay within their fair share with one more task. */
+  /** Returns whether the job's class and team stay within their fair share with one more task. */
   boolean withinFairShare(Job job) {
     double taskFraction = fleetFraction(job.spec.size());
     return plan.fitsFairShare(job.jobClass, heldFraction(job.jobClass), taskFraction)
         && plan.fitsFairShare(job.team, heldFraction(job.team), taskFraction);
   }
 
-  /** A task was requested to stop. */
+  /** Adds a task that was requested to stop to the resources that are being released. */
   void onStopRequested(TaskPlacement placement) {
-    stopping.merge(placement.job.jobClass, placement.job.spec.size(), Resources::plus);
-    stopping.merge(placement.job.team, placement.job.spec.size(), Resources::plus);
+    stoppingByGroup.merge(placement.job.jobClass, placement.job.spec.size(), Resources::plus);
+    stoppingByGroup.merge(placement.job.team, placement.job.spec.size(), Resources::plus);
   }
 
   /**
-   * Whether the task may be preempted beside the victims chosen before it: its class and its team
-   * keep their minimum share, and its job has not lost too much to preemptions.
+   * Returns whether the task may be preempted in addition to the victims chosen before it: its
+   * class and its team keep their minimum share, and its job has not lost too much work to
+   * preemptions.
    */
   boolean mayPreempt(TaskPlacement placement, List<TaskPlacement> victims) {
-    double wholeS =
+    double totalWorkS =
         placement.job.spec.tasks() * estimates.predict(placement.job, placement.index).toSeconds();
-    return placement.job.lostToPreemptionS() <= MAX_LOST_WORK_FRACTION * wholeS
+    return placement.job.lostToPreemptionS() <= MAX_LOST_WORK_FRACTION * totalWorkS
         && keepsMinimumShare(placement.job.jobClass, placement, victims)
         && keepsMinimumShare(placement.job.team, placement, victims);
   }
@@ -219,7 +227,7 @@
       return true;
     }
     Resources remaining =
-        quotaUsage.knownUsage(group).minus(stopping.getOrDefault(group, Resources.ZERO));
+        quotaUsage.knownUsage(group).minus(stoppingByGroup.getOrDefault(group, Resources.ZERO));
     remaining = remaining.minus(placement.job.spec.size());
     for (TaskPlacement victim : victims) {
       if (victim.job.jobClass.equals(group) || victim.job.team.equals(group)) {
--- a/src/main/java/io/saltflow/scheduler/HeadReservation.java
+++ b/src/main/java/io/saltflow/scheduler/HeadReservation.java
@@ -18,23 +18,25 @@
 import java.util.PriorityQueue;
 
 /**
- * Reserves room for the job at the head of the queue and for minimum shares, and preempts
+ * Reserves capacity for the job at the head of the queue and for minimum shares, and preempts
  * backfilled tasks when the head's reservation is due.
  */
 final class HeadReservation {
-  /** Bounds the tasks that room is reserved for, and so a round's work. */
+  /** Maximum number of tasks that capacity is reserved for, which bounds the work of a round. */
   static final int MAX_RESERVED_TASKS = 256;
 
-  /** Bounds the jobs that room is reserved for by their minimum share. */
+  /** Maximum number of jobs that capacity is reserved for by their minimum share. */
   private static final int MAX_RESERVED_JOBS = 16;
 
-  /** The part of the time that an overdue boot has taken, after which it is expected. */
-  private static final double OVERDUE_BOOT_FACTOR = 0.3;
+  /**
+   * Remaining boot time of an overdue machine, as a fraction of the time since it was requested.
+   */
+  private static final double OVERDUE_BOOT_FRACTION = 0.3;
 
-  /** When the head should start; kept over rounds so that it does not slip. */
-  private record PromisedStart(JobId job, MonotonicTime at) {}
+  /** The time by which the head should start. Kept across rounds so that it is not postponed. */
+  private record TargetStart(JobId job, MonotonicTime at) {}
 
-  /** When resources of a machine are predicted to become free. */
+  /** The time at which resources of a machine are predicted to become free. */
   private record CapacityRelease(MonotonicTime at, int order, Machine machine, Resources size) {}
 
   private static final Comparator<CapacityRelease> BY_RELEASE_TIME =
@@ -43,7 +45,7 @@
   private final RunTimeEstimates estimates;
   private final FairShareScheduler fairShare;
   private final EventSummary eventSummary;
-  private PromisedStart promisedStart;
+  private TargetStart targetStart;
 
   HeadReservation(
       RunTimeEstimates estimates, FairShareScheduler fairShare, EventSummary eventSummary) {
@@ -52,7 +54,9 @@
     this.estimates = estimates;
   }
 
-  /** A job that room is reserved for, and how many of its tasks are still without. */
+  /**
+   * A job that capacity is reserved for, with the number of its tasks that have no reservation yet.
+   */
   static final class ReservationRequest {
     final Job job;
     int tasks;
@@ -64,8 +68,8 @@
   }
 
   /**
-   * Reserves room for the head: adds the resources of running tasks in the order of their predicted
-   * ends until the head's tasks fit.
+   * Reserves capacity for the head: adds up the resources of running tasks and booting machines in
+   * the order of their predicted release until the head's tasks fit.
    */
   void reserveForHead(
       Job head, int tasks, List<Machine> usable, List<Machine> booting, MonotonicTime now) {
@@ -73,17 +77,18 @@
         List.of(new ReservationRequest(head, Math.min(tasks, MAX_RESERVED_TASKS)));
     MonotonicTime firstStart = claimCapacity(requests, false, usable, booting, now);
     if (firstStart == null) {
-      promisedStart = null;
-    } else if (promisedStart == null
-        || !promisedStart.job.equals(head.id())
-        || firstStart.before(promisedStart.at)) {
-      promisedStart = new PromisedStart(head.id(), firstStart);
+      targetStart = null;
+    } else if (targetStart == null
+        || !targetStart.job.equals(head.id())
+        || firstStart.before(targetStart.at)) {
+      targetStart = new TargetStart(head.id(), firstStart);
     }
   }
 
   /**
-   * Reserves room for jobs whose class or team holds less than its minimum share, in their order.
-   * Room that is made by a preemption is left to the work that it is made for.
+   * Reserves capacity for jobs whose class or team holds less than its minimum share, in the given
+   * order. Capacity that is released by a preemption is left to the job that the preemption was
+   * made for.
    */
   void reserveForMinimumShares(
       Collection<ReservationRequest> requests,
@@ -156,8 +161,8 @@
   }
 
   /**
-   * Goes through the releases by time, as far as the requests need; returns the first reservation's
-   * time, or null: there is none.
+   * Processes the releases by time until the requests are satisfied. Returns the time of the first
+   * reservation, or {@code null} if there is none.
    */
   private static MonotonicTime claimCapacity(
       List<ReservationRequest> requests,
@@ -166,7 +171,7 @@
       Map<Machine, Resources> futureRoom) {
     int remaining = totalTasks(requests);
     Resources smallest = smallestTask(requests);
-    // A heap, for the head mostly fits after few of the thousands of ends.
+    // A heap avoids sorting all releases, as the head usually fits after the first few.
     PriorityQueue<CapacityRelease> byTime =
         new PriorityQueue<>(Math.max(1, releases.size()), BY_RELEASE_TIME);
     byTime.addAll(releases);
@@ -174,7 +179,7 @@
     while (remaining > 0 && !byTime.isEmpty()) {
       CapacityRelease release = byTime.poll();
       if (release.at.equals(MonotonicTime.NEVER)) {
-        // Replicas stay: room behind them is promised to nobody, and small work may use it.
+        // Replicas do not end, so capacity behind them is not reserved and small tasks may use it.
         break;
       }
       Machine machine = release.machine;
@@ -211,7 +216,7 @@
     return total;
   }
 
-  /** The least of each resource that any of the requests' tasks asks for. */
+  /** Returns the minimum of each resource over the tasks of all requests. */
   private static Resources smallestTask(List<ReservationRequest> requests) {
     Resources smallest = null;
     for (ReservationRequest request : requests) {
@@ -222,38 +227,39 @@
   }
 
   /**
-   * When a requested machine should be ready. One that is overdue is expected after a part of the
-   * time that it has taken already.
+   * Returns when a requested machine is expected to be ready. An overdue machine is expected after
+   * a fraction of the time that has passed since it was requested.
    */
   static MonotonicTime readyAt(Machine machine, MonotonicTime now) {
     MonotonicTime due = machine.provisionedAt.plus(machine.type().boot());
     return due.after(now)
         ? due
-        : now.plus(now.since(machine.provisionedAt).times(OVERDUE_BOOT_FACTOR));
+        : now.plus(now.since(machine.provisionedAt).times(OVERDUE_BOOT_FRACTION));
   }
 
   /**
-   * When the head's reservation is due, preempts backfilled tasks that checkpoint, largest first.
+   * Preempts backfilled tasks that write checkpoints, largest first, once the head's reservation is
+   * due.
    */
   void preemptBackfilledWhenDue(Job head, List<Machine> usable, MonotonicTime now) {
     if (head == null) {
-      promisedStart = null;
+      targetStart = null;
       return;
     }
-    if (promisedStart == null
-        || !promisedStart.job.equals(head.id())
-        || now.before(promisedStart.at)) {
+    if (targetStart == null || !targetStart.job.equals(head.id()) || now.before(targetStart.at)) {
       return;
     }
     for (Machine machine : usable) {
-      if (PlacementRules.allowed(head, machine) && makeRoom(head, machine, now)) {
+      if (PlacementRules.allowed(head, machine) && preemptBackfilledOn(head, machine, now)) {
         return;
       }
     }
   }
 
-  /** Preempts backfilled tasks on the machine; returns whether a task of the head fits then. */
-  private boolean makeRoom(Job head, Machine machine, MonotonicTime now) {
+  /**
+   * Preempts backfilled tasks on the machine. Returns whether a task of the head fits afterwards.
+   */
+  private boolean preemptBackfilledOn(Job head, Machine machine, MonotonicTime now) {
     Resources headSize = head.spec.size();
     Resources available = machine.available();
     List<TaskPlacement> backfilled = new ArrayList<>();
@@ -283,7 +289,7 @@
     }
     for (TaskPlacement placement : victims) {
       eventSummary.countEvent(
-          "backfilled tasks are stopped: the time reserved for the head job has come",
+          "backfilled tasks preempted: head reservation is due",
           placement.taskId() + " for " + head.id());
       fairShare.onStopRequested(placement);
       placement.requestStop(now, Preemption.gracePeriod(placement));
@@ -291,7 +297,10 @@
     return true;
   }
 
-  /** Work never preempts work of equal or higher priority, even when a reservation is due. */
+  /**
+   * Returns whether the job has lower priority than the head. A job never preempts one of equal or
+   * higher priority, even when a reservation is due.
+   */
   private static boolean hasLowerPriority(Job job, Job head) {
     return head.queueState().priority().higherThan(job.queueState().priority());
   }
--- a/src/main/java/io/saltflow/scheduler/JobQueue.java
+++ b/src/main/java/io/saltflow/scheduler/JobQueue.java
@@ -20,7 +20,7 @@
 import java.util.Set;
 
 /**
- * Computes the order in which a round considers jobs: guarantee, lane, admission, and the
+ * Computes the order in which a round considers jobs: guaranteed quota, lane, admission, and the
  * exceptions of {@link QueueOrder}.
  */
 final class JobQueue {
@@ -33,9 +33,9 @@
   }
 
   /**
-   * The waiting jobs in order.
+   * Returns the waiting jobs in queue order.
    *
-   * @param orderInputs what the order depends on beside the jobs' records
+   * @param orderInputs the inputs of the order that are not part of the jobs' records
    */
   List<Job> inOrder(
       Collection<Job> waiting,
@@ -58,9 +58,9 @@
   }
 
   /**
-   * Whether a job has little slack before its deadline, or before the time its class should be
-   * started or finished in. Without a promotion then, work of low priority starves while work of
-   * normal priority keeps coming.
+   * Returns whether a job has little slack before its deadline, or before the start or completion
+   * target of its class. Low-priority jobs that are not promoted at this point would starve behind
+   * a stream of normal-priority jobs.
    */
   private boolean hasLowSlack(Job job, QueueOrderInputs orderInputs, MonotonicTime now) {
     TimeSpan slack = policy.deadlineSlack();
@@ -80,7 +80,8 @@
   }
 
   /**
-   * The jobs that fit in their team's guarantee together with the team's earlier unfinished jobs.
+   * Returns the jobs that fit in their team's guaranteed quota together with all unfinished jobs of
+   * the team that became eligible earlier.
    */
   Set<JobId> guaranteedJobs(Collection<Job> jobs) {
     Set<JobId> guaranteed = new HashSet<>();
--- a/src/main/java/io/saltflow/scheduler/LeastSlackOrder.java
+++ b/src/main/java/io/saltflow/scheduler/LeastSlackOrder.java
@@ -16,22 +16,24 @@
 import java.util.function.Function;
 
 /**
- * Reorders jobs with dependents that are due by least slack: the one that has to start first goes
- * first, those that can't be in time any more last, as each of them would make others late too.
- * They exchange places among themselves; no other job's place changes, and none changes its lane.
+ * Orders the jobs of pipelines with a deadline by least slack: the job that has to start first
+ * comes first. Jobs that can no longer be in time come last, as each of them would make others late
+ * too. These jobs exchange positions only among themselves. The position of every other job is
+ * unchanged, and no job changes its lane.
  */
 final class LeastSlackOrder {
   /**
-   * Jobs that are alike in all that goes before the time; only among these places are exchanged.
+   * Attributes that take precedence over slack. Jobs exchange positions only if they are equal in
+   * them.
    */
   private record PeerGroup(Lane lane, boolean guaranteed, boolean failing) {}
 
   private LeastSlackOrder() {}
 
   /**
-   * The jobs, with those that others depend on ordered by the time at which they have to start.
+   * Returns the jobs with those that have a pipeline deadline ordered by their latest start time.
    *
-   * @param expectedRun what a job is expected to take
+   * @param expectedRun the expected run time of a job
    */
   static List<Job> leastSlackFirst(
       List<Job> order,
@@ -41,7 +43,9 @@
     Map<PeerGroup, List<Job>> dependentJobs = new HashMap<>();
     for (Job job : order) {
       if (job.queueState().pipelineDeadline() != null) {
-        dependentJobs.computeIfAbsent(peerGroup(job, guaranteed), l -> new ArrayList<>()).add(job);
+        dependentJobs
+            .computeIfAbsent(peerGroup(job, guaranteed), group -> new ArrayList<>())
+            .add(job);
       }
     }
     if (dependentJobs.isEmpty()) {
--- a/src/main/java/io/saltflow/scheduler/MachineFiller.java
+++ b/src/main/java/io/saltflow/scheduler/MachineFiller.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * Fills one machine between two scheduling rounds, with the candidates and reservations of the last
- * one and without a look at any other machine.
+ * Fills one machine between two scheduling rounds, using the candidates and reservations of the
+ * last round and looking at no other machine.
  */
 final class MachineFiller {
   private final RoundState state;
@@ -27,13 +27,14 @@
     this.quotaUsage = quotaUsage;
   }
 
-  /** Assigns to the machine what comes first among the candidates and may be placed there. */
+  /** Assigns to the machine the first candidates that may be placed there. */
   void fill(
       Machine machine,
       List<CandidateOrder.Candidate> candidates,
       boolean reconciled,
       MonotonicTime now) {
-    // It may have come up since the last round: what that left of its room says nothing then.
+    // The machine may have come up since the last round, so its available resources are
+    // recomputed.
     machine.setAvailable(machine.free());
     for (Machine.Assignment assigned : machine.assignments) {
       machine.setAvailable(machine.available().minus(assigned.job().spec.size()));
@@ -76,7 +77,10 @@
     }
   }
 
-  /** Where the head of the queue is among the candidates; those after it may only backfill. */
+  /**
+   * Returns the index of the head of the queue among the candidates. Candidates after it may only
+   * be backfilled.
+   */
   private int headIndex(List<CandidateOrder.Candidate> candidates) {
     Job head = state.head();
     for (int i = 0; i < candidates.size(); i++) {
@@ -91,7 +95,10 @@
     return machine.cachedImages.contains(candidate.job.spec.image());
   }
 
-  /** Assigns what the machine can take of the candidate; false: no waiting task fits any more. */
+  /**
+   * Assigns as many of the candidate's tasks as the machine can take. Returns {@code false} if no
+   * waiting task fits on the machine any more.
+   */
   private boolean place(
       Machine machine,
       CandidateOrder.Candidate candidate,
@@ -99,7 +106,7 @@
       boolean reconciled,
       MonotonicTime now) {
     Job job = candidate.job;
-    // A service's tasks are spread over machines, which only a whole round looks at.
+    // A service's tasks are spread over machines, which only a full round considers.
     if (job.isCancelled()
         || job.isFinishing()
         || job.isService()
--- a/src/main/java/io/saltflow/scheduler/MachineRanking.java
+++ b/src/main/java/io/saltflow/scheduler/MachineRanking.java
@@ -6,9 +6,12 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** The machines that may take a candidate's next task, best score first. Lives for one job. */
+/**
+ * Ranks the machines that may take a candidate's next task, best score first. Used for a single
+ * candidate.
+ */
 final class MachineRanking {
-  /** A machine that could take the task; the order breaks ties between equal scores. */
+  /** A machine that could take the task. The order breaks ties between equal scores. */
   record ScoredMachine(Machine machine, int order, double score) {}
 
   private static final Comparator<ScoredMachine> BY_SCORE =
@@ -42,7 +45,9 @@
     }
   }
 
-  /** Removes the best machine for the task; null: there is none. */
+  /**
+   * Removes and returns the best machine for the task, or returns {@code null} if there is none.
+   */
   ScoredMachine pollBest(int taskIndex) {
     ScoredMachine best = machines.poll();
     while (best != null && scoreIsOutdated(best)) {
@@ -52,12 +57,15 @@
     return best;
   }
 
-  /** Whether the machine or its zone got another task of the service since it was scored. */
+  /**
+   * Returns whether the machine's score has risen since it was computed, because the machine or its
+   * zone got another task of the service.
+   */
   private boolean scoreIsOutdated(ScoredMachine best) {
     return spread != null && assigner.score(candidate.job, best.machine, spread) > best.score;
   }
 
-  /** A task of the job was assigned to the machine. */
+  /** Updates the scores after a task of the job was assigned to the machine. */
   void onAssigned(Machine machine) {
     if (spread != null) {
       spread.add(machine);
--- a/src/main/java/io/saltflow/scheduler/MigrationPlans.java
+++ b/src/main/java/io/saltflow/scheduler/MigrationPlans.java
@@ -17,21 +17,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The migration plans that a leader knows: those that are carried out, those that ended, and which
- * records of them have to be written or deleted.
+ * Holds the migration plans that a leader knows: the active ones, the ended ones, and the records
+ * that have to be written or deleted.
  */
 final class MigrationPlans {
   private static final Logger LOG = LoggerFactory.getLogger(MigrationPlans.class);
 
-  /** Ended plans that are kept, for operators and to tell which replicas were moved lately. */
+  /**
+   * Maximum number of ended plans that are kept. They are shown to operators and tell which
+   * replicas were moved recently.
+   */
   private static final int MAX_ENDED_PLANS = 60;
 
-  /** No replica is moved again within this. */
+  /** Minimum time between two moves of the same replica. */
   private static final TimeSpan MIN_TIME_BETWEEN_MOVES = TimeSpan.seconds(600);
 
   private static final long HOUR_MS = 3_600_000;
 
-  /** A plan that is carried out. */
+  /** A plan that is being executed. */
   static final class ActivePlan {
     private final RecordedPlan plan;
     private final MonotonicTime since;
@@ -51,7 +54,7 @@
       return since;
     }
 
-    /** Whether the key-value store holds the plan: only then may its moves begin. */
+    /** Returns whether the key-value store holds the plan. Its moves may begin only then. */
     boolean isRecorded() {
       return recorded;
     }
@@ -68,14 +71,14 @@
   /**
    * Creates an empty set of plans.
    *
-   * @param wallClockOffsetMs the time of day less the monotonic time, in milliseconds
+   * @param wallClockOffsetMs the wall-clock time minus the monotonic time, in milliseconds
    */
   MigrationPlans(Term term, long wallClockOffsetMs) {
     this.term = term;
     this.wallClockOffsetMs = wallClockOffsetMs;
   }
 
-  /** Takes over the plans that leaders of earlier terms recorded. */
+  /** Restores the plans that leaders of earlier terms recorded. */
   void restore(Collection<RecordedPlan> plans, MonotonicTime now) {
     for (RecordedPlan plan : plans) {
       if (plan.outcome() == null) {
@@ -88,17 +91,20 @@
     }
   }
 
-  /** A time of day by this leader's monotonic clock; one that is ahead of it counts as now. */
+  /**
+   * Converts a wall-clock time to this leader's monotonic time. Times in the future become the
+   * current time.
+   */
   private MonotonicTime toMonotonic(long wallMs, MonotonicTime now) {
     return MonotonicTime.earlier(now, new MonotonicTime(wallMs - wallClockOffsetMs));
   }
 
-  /** The time of day in milliseconds since the epoch. */
+  /** Converts a monotonic time to wall-clock milliseconds since the epoch. */
   long toWallMs(MonotonicTime now) {
     return now.ms() + wallClockOffsetMs;
   }
 
-  /** Adds a new plan, which is to be recorded before its first move. */
+  /** Adds a new plan, which has to be recorded before its first move. */
   void add(JobId waitingJob, MigrationPlan plan, MonotonicTime now) {
     String name = "p-" + term + "-" + ++sequence;
     RecordedPlan recordedPlan =
@@ -108,7 +114,7 @@
     LOG.info("migration planned: {}", describe(recordedPlan));
   }
 
-  /** Ends a plan; its record is to be written with the outcome. */
+  /** Ends a plan and queues its record with the outcome to be written. */
   void finish(ActivePlan active, RecordedPlan.PlanOutcome outcome) {
     RecordedPlan ended = active.plan.withOutcome(outcome);
     activePlans.remove(ended.name());
@@ -126,23 +132,25 @@
     }
   }
 
-  /** The plans that are carried out, as of now. */
+  /** Returns a copy of the active plans. */
   List<ActivePlan> activePlans() {
     return List.copyOf(activePlans.values());
   }
 
-  /** How many plans are carried out. */
+  /** Returns the number of active plans. */
   int activeCount() {
     return activePlans.size();
   }
 
-  /** Whether room is being made for the job. */
+  /** Returns whether an active plan makes room for the job. */
   boolean isActiveFor(JobId waitingJob) {
     return activePlans.values().stream()
         .anyMatch(active -> active.plan.waitingJob().equals(waitingJob));
   }
 
-  /** How many moves were planned within the last hour by plans that have ended. */
+  /**
+   * Returns how many moves belong to plans that were created within the last hour and have ended.
+   */
   long movesInLastHour(MonotonicTime now) {
     long hourAgoMs = toWallMs(now) - HOUR_MS;
     return endedPlans.values().stream()
@@ -151,19 +159,19 @@
         .sum();
   }
 
-  /** Whether the replica is being moved, or was moved too lately to be moved again. */
+  /** Returns whether the replica is being moved or was moved too recently to be moved again. */
   boolean movedRecently(TaskId task, MonotonicTime now) {
     long sinceMs = toWallMs(now) - MIN_TIME_BETWEEN_MOVES.ms();
     for (RecordedPlan plan : endedPlans.values()) {
       boolean recent = plan.outcome().atMs() > sinceMs;
-      if (recent && moves(plan, task)) {
+      if (recent && containsMove(plan, task)) {
         return true;
       }
     }
-    return activePlans.values().stream().anyMatch(active -> moves(active.plan, task));
+    return activePlans.values().stream().anyMatch(active -> containsMove(active.plan, task));
   }
 
-  private static boolean moves(RecordedPlan plan, TaskId task) {
+  private static boolean containsMove(RecordedPlan plan, TaskId task) {
     for (ReplicaMove move : plan.moves()) {
       if (move.task().equals(task)) {
         return true;
@@ -172,21 +180,24 @@
     return false;
   }
 
-  /** Plans to write, each whole under its name; a new one begins once that is confirmed. */
+  /**
+   * Returns the plans to write, each as a complete record under its name, and clears the list. The
+   * moves of a new plan begin once its write is confirmed.
+   */
   List<RecordedPlan> takeToRecord() {
-    List<RecordedPlan> out = List.copyOf(toRecord);
+    List<RecordedPlan> records = List.copyOf(toRecord);
     toRecord.clear();
-    return out;
+    return records;
   }
 
-  /** Names of plans whose records are to be deleted. */
+  /** Returns the names of the plans whose records are to be deleted, and clears the list. */
   List<String> takeToDelete() {
-    List<String> out = List.copyOf(toDelete);
+    List<String> names = List.copyOf(toDelete);
     toDelete.clear();
-    return out;
+    return names;
   }
 
-  /** The store holds the plan, or refused the write: then it is written again. */
+  /** Handles the result of a write. A plan whose write failed is queued again. */
   void onRecorded(RecordedPlan plan, boolean succeeded) {
     ActivePlan active = activePlans.get(plan.name());
     if (succeeded && active != null && active.plan == plan) {
@@ -196,7 +207,7 @@
     }
   }
 
-  /** One line for each plan that has ended, for operators. */
+  /** Returns one line of text for each ended plan, for operators. */
   List<String> describeEnded() {
     List<String> lines = new ArrayList<>();
     for (RecordedPlan plan : endedPlans.values()) {
@@ -207,7 +218,7 @@
     return lines;
   }
 
-  /** The plan in a line, for operators. */
+  /** Returns the plan as one line of text, for operators. */
   static String describe(RecordedPlan plan) {
     return "room for "
         + plan.waitingJob()
--- a/src/main/java/io/saltflow/scheduler/MigrationSearch.java
+++ b/src/main/java/io/saltflow/scheduler/MigrationSearch.java
@@ -20,24 +20,28 @@
 import java.util.function.Function;
 
 /**
- * Searches for replicas to move so that one task of a waiting job fits: turns machines and replicas
- * into bins for {@link MigrationPlanner} and says which replicas may move and what that costs.
+ * Searches for replicas to move so that one task of a waiting job fits. Converts machines and
+ * replicas to bins for {@link MigrationPlanner}, and determines which replicas may move and at what
+ * cost.
  */
 final class MigrationSearch {
-  /** Steps of one search, of which a round makes one: some milliseconds of a tenth of a core. */
+  /** Maximum number of steps of one search, which bounds the time that a round spends on it. */
   private static final int SEARCH_STEP_BUDGET = 1500;
 
-  /** What a replica's absence costs beside its fetch, in seconds: stop, heartbeats, start. */
+  /**
+   * Cost of a replica's downtime in addition to the image fetch, in seconds: stop, heartbeats and
+   * start.
+   */
   private static final double DOWNTIME_COST_S = 8;
 
   private static final double SINGLE_REPLICA_COST_S = 20;
   private static final double SAME_PRIORITY_COST_S = 15;
 
   /**
-   * What the search found.
+   * The result of a search.
    *
-   * @param plan the moves; null: none are to be made
-   * @param waitReason why the job still waits, for operators
+   * @param plan the moves, or {@code null} if there are none to make
+   * @param waitReason the reason why the job still waits, for operators
    */
   record Proposal(MigrationPlan plan, String waitReason) {}
 
@@ -60,23 +64,25 @@
   /** Searches the usable machines for moves that make room for one task of the job. */
   Proposal find(Job job, List<Machine> usable, MonotonicTime now) {
     List<Bin> bins = new ArrayList<>();
-    Resources freeInAll = Resources.ZERO;
+    Resources totalFree = Resources.ZERO;
     for (Machine machine : usable) {
       boolean eligible = PlacementRules.allowed(job, machine) && !machine.isCordoned();
-      // What the round has just assigned is not free, though the worker does not know of it yet.
+      // Tasks that the round has just assigned take resources although the worker does not know of
+      // them yet.
       Resources free = machine.available().minus(machine.totalMigrationHold());
-      boolean sameKind = (job.spec.size().gpus() > 0) == (machine.type().size().gpus() > 0);
-      if (sameKind) {
+      boolean sameAcceleratorUse =
+          (job.spec.size().gpus() > 0) == (machine.type().size().gpus() > 0);
+      if (sameAcceleratorUse) {
         bins.add(
             new Bin(
                 machine.id,
                 free,
                 eligible && machine.migrationHolds.isEmpty(),
                 movableReplicas(job, machine, now)));
-        freeInAll = eligible ? freeInAll.plus(free) : freeInAll;
+        totalFree = eligible ? totalFree.plus(free) : totalFree;
       }
     }
-    if (!job.spec.size().fitsIn(freeInAll)) {
+    if (!job.spec.size().fitsIn(totalFree)) {
       return new Proposal(null, "all free room together is too little for it");
     }
     MigrationPlan plan =
@@ -93,7 +99,7 @@
             + " s");
   }
 
-  /** The machine's replicas of no higher priority that may be moved and were not moved lately. */
+  /** Returns the machine's replicas that may be moved for the waiting job, ordered by task id. */
   private List<MovableReplica> movableReplicas(Job waitingJob, Machine machine, MonotonicTime now) {
     List<MovableReplica> movable = new ArrayList<>();
     for (TaskPlacement placement : machine.placements.values()) {
--- a/src/main/java/io/saltflow/scheduler/PlacementRules.java
+++ b/src/main/java/io/saltflow/scheduler/PlacementRules.java
@@ -8,7 +8,7 @@
 import io.saltflow.model.Resources;
 import java.util.Collection;
 
-/** Rules of where a task may be placed, and a score of the machines that remain. */
+/** Rules that decide where a task may be placed, and a score for the machines that are allowed. */
 public final class PlacementRules {
   private static final double EXPENSIVE_PENALTY_S = 8;
   private static final double MAX_ROOM_PENALTY_S = 10;
@@ -18,8 +18,8 @@
   private PlacementRules() {}
 
   /**
-   * Whether one more task of the job may be placed on the machine, by the job's constraints and the
-   * zones of its other tasks.
+   * Returns whether one more task of the job may be placed on the machine, given the job's
+   * constraints and the zones of its other tasks.
    */
   public static boolean allowed(Job job, Machine machine) {
     JobSpec spec = job.spec;
@@ -53,9 +53,10 @@
   }
 
   /**
-   * The machine's score for one task, in seconds; lower is better: no fetch, then a cheap type,
-   * then the least room left. Room is counted in cores, not as a fraction, so that small machines
-   * fill first: one long task would keep a large one.
+   * Returns the machine's score for one task, in seconds. Lower is better: a cached image, then a
+   * cheap type, then the fewest free cores left. Free cores are counted absolutely, not as a
+   * fraction, so that small machines fill first: a single long task would keep a large machine from
+   * being scaled in.
    */
   static double score(
       Job job, Machine machine, Resources free, RunTimeEstimates estimates, boolean expensive) {
@@ -67,7 +68,10 @@
         + machine.failureWeight() * FAILURE_PENALTY_S;
   }
 
-  /** The lowest price of a core among the machines; {@link Double#MAX_VALUE}: there is none. */
+  /**
+   * Returns the lowest price per core among the machines, or {@link Double#MAX_VALUE} if there are
+   * none.
+   */
   public static double cheapestPricePerCore(Collection<Machine> machines) {
     double cheapest = Double.MAX_VALUE;
     for (Machine machine : machines) {
--- a/src/main/java/io/saltflow/scheduler/Preemption.java
+++ b/src/main/java/io/saltflow/scheduler/Preemption.java
@@ -23,9 +23,9 @@
 import java.util.Set;
 
 /**
- * Preempts running tasks to make room for jobs of higher priority, and for guarantees. Room that
- * becomes free by itself within {@link Policy#preemptionLookahead} counts first, so that nothing is
- * stopped for room that is about to come.
+ * Preempts running tasks for jobs of higher priority and for guaranteed quotas. Capacity that
+ * becomes free without preemption within {@link Policy#preemptionLookahead} is used first, so that
+ * no task is stopped unnecessarily.
  */
 public final class Preemption {
   private final Policy policy;
@@ -47,7 +47,9 @@
     this.eventSummary = eventSummary;
   }
 
-  /** A machine with the room that it will have soon, and the tasks that run beyond that. */
+  /**
+   * A machine with the resources that will soon be free, and the tasks that run longer than that.
+   */
   private static final class MachineRoom {
     final Machine machine;
     final int order;
@@ -61,7 +63,7 @@
     }
   }
 
-  /** The tasks to stop so that one more task of a job fits, and the core-seconds that are lost. */
+  /** The tasks to stop so that one more task of a job fits, with the cost in lost core-seconds. */
   private record PreemptionOption(MachineRoom room, List<TaskPlacement> victims, double cost) {}
 
   private static final Comparator<PreemptionOption> BY_COST =
@@ -95,10 +97,10 @@
 
   private List<MachineRoom> machineRooms(
       List<Machine> usable, List<Machine> booting, MonotonicTime now) {
-    MonotonicTime limit = now.plus(policy.preemptionLookahead());
+    MonotonicTime horizon = now.plus(policy.preemptionLookahead());
     List<MachineRoom> rooms = new ArrayList<>();
     for (Machine machine : usable) {
-      // Room reserved on a machine for a minimum share is used by no other job.
+      // Resources that are reserved for a minimum share are not available to other jobs.
       MachineReservation shareReservation =
           machine.reservation() != null && machine.reservation().forMinimumShare
               ? machine.reservation()
@@ -117,7 +119,7 @@
             && !end.after(shareReservation.availableAt)) {
           continue;
         }
-        if (placement.isStopping() || !end.after(limit)) {
+        if (placement.isStopping() || !end.after(horizon)) {
           machineRoom.upcomingRoom = machineRoom.upcomingRoom.plus(placement.job.spec.size());
         } else {
           machineRoom.longRunning.add(placement);
@@ -128,14 +130,17 @@
       rooms.add(machineRoom);
     }
     for (Machine machine : booting) {
-      if (!HeadReservation.readyAt(machine, now).after(limit)) {
+      if (!HeadReservation.readyAt(machine, now).after(horizon)) {
         rooms.add(new MachineRoom(machine, rooms.size(), machine.type().size()));
       }
     }
     return rooms;
   }
 
-  /** Uses the room that becomes free by itself; returns how many tasks find none. */
+  /**
+   * Uses the resources that become free without preemption. Returns how many tasks do not fit in
+   * them.
+   */
   private static int useUpcomingRoom(WaitingJob waitingJob, List<MachineRoom> machineRooms) {
     Resources size = waitingJob.job().spec.size();
     int unplaced = Math.min(waitingJob.tasks(), HeadReservation.MAX_RESERVED_TASKS);
@@ -169,8 +174,8 @@
       PreemptionOption best = options.poll();
       MachineRoom machineRoom = best.room;
       for (TaskPlacement placement : best.victims) {
-        // A stop made meanwhile may have brought its team within its guarantee, or its service to
-        // its floor.
+        // Stops made since this option was computed may have brought the team within its
+        // guaranteed quota, or used up the service's disruption budget.
         if (!mayPreempt(placement, job, guaranteed, stoppedByTeam, List.of())
             || !withinDisruptionBudget(placement, List.of())) {
           continue;
@@ -180,8 +185,8 @@
         }
         eventSummary.countEvent(
             guaranteed.contains(job.id())
-                ? "tasks are stopped for work within its team's guarantee"
-                : "tasks are stopped for work of higher priority",
+                ? "tasks preempted for jobs within their team's guaranteed quota"
+                : "tasks preempted for jobs of higher priority",
             placement.taskId() + " for " + job.id());
         fairShare.onStopRequested(placement);
         placement.requestStop(now, gracePeriod(placement));
@@ -226,35 +231,43 @@
     }
   }
 
-  /** Whether the service's disruption budget allows one more stop beside the chosen victims. */
+  /**
+   * Returns whether the service's disruption budget allows one more stop in addition to the chosen
+   * victims.
+   */
   private static boolean withinDisruptionBudget(
       TaskPlacement placement, List<TaskPlacement> victims) {
     if (!placement.job.isService()) {
       return true;
     }
     DisruptionBudget budget = placement.job.replicas().disruptionBudget();
-    int alreadyTaken = 0;
+    int chosenOfService = 0;
     for (TaskPlacement victim : victims) {
-      alreadyTaken += victim.job.replicas().disruptionBudget() == budget ? 1 : 0;
+      chosenOfService += victim.job.replicas().disruptionBudget() == budget ? 1 : 0;
     }
-    return budget != null && budget.allows(alreadyTaken + 1);
+    return budget != null && budget.allows(chosenOfService + 1);
   }
 
-  /** How long a task may go on after a stop request, to write its checkpoint; 0: not at all. */
+  /**
+   * Returns how long a task may continue after a stop request to write its checkpoint, or 0 if it
+   * writes none.
+   */
   public static TimeSpan gracePeriod(TaskPlacement placement) {
     return placement.job.spec.checkpoints()
         ? placement.job.spec.checkpointWrite().plus(TimeSpan.seconds(1))
         : new TimeSpan(0);
   }
 
-  /** The core-seconds that a stop would lose; a task that checkpoints loses little. */
+  /**
+   * Returns the core-seconds that a stop would lose. A task that writes checkpoints loses little.
+   */
   private static double lostCoreSeconds(TaskPlacement placement, MonotonicTime now) {
-    double ranS =
+    double runTimeS =
         placement.runningSince() == null ? 0 : now.since(placement.runningSince()).toSeconds();
     double lost =
         placement.job.spec.checkpoints()
             ? placement.job.spec.checkpointWrite().toSeconds() + 1
-            : ranS + 1;
+            : runTimeS + 1;
     return lost * Math.max(0.1, placement.job.spec.size().cores());
   }
 
--- a/src/main/java/io/saltflow/scheduler/QuotaReserver.java
+++ b/src/main/java/io/saltflow/scheduler/QuotaReserver.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.PriorityQueue;
 
-/** Reserves part of a team's limit for the first task of a job that the limit keeps waiting. */
+/** Reserves part of a team's limit for the first task of a job that waits because of the limit. */
 final class QuotaReserver {
   private final RunTimeEstimates estimates;
   private final QuotaUsage quotaUsage;
@@ -22,13 +22,13 @@
     this.quotaUsage = quotaUsage;
   }
 
-  /** When a task of a team is predicted to end, and what it gives back to the limit then. */
+  /** The predicted end of a team's task, and the resources that it then returns to the limit. */
   private record QuotaRelease(MonotonicTime at, Resources size) {}
 
   /**
-   * Reserves quota for one task of the job, from when enough of the team's tasks should have ended.
-   * Quota that is reserved at once and from all others keeps narrow jobs waiting beside free
-   * machines, with their team below its limit, for a wide job that they would not delay.
+   * Reserves quota for one task of the job, starting when enough of the team's tasks are predicted
+   * to have ended. An unconditional reservation, effective immediately, would keep narrow jobs
+   * waiting beside free machines although they would not delay the wide job.
    */
   void reserve(Job job, List<Machine> usableMachines, MonotonicTime now) {
     if (quotaUsage.hasReservation(job.spec.team())) {
@@ -40,7 +40,7 @@
     while (!job.spec.size().fitsIn(available)) {
       QuotaRelease release = releases.poll();
       if (release == null || release.at.equals(MonotonicTime.NEVER)) {
-        // Nothing that ends makes room for it: quota is reserved for nobody.
+        // The task does not fit even after all predicted ends, so no quota is reserved.
         return;
       }
       available = available.plus(release.size);
--- a/src/main/java/io/saltflow/scheduler/RecordedOrderInputs.java
+++ b/src/main/java/io/saltflow/scheduler/RecordedOrderInputs.java
@@ -7,13 +7,13 @@
 import java.util.Set;
 
 /**
- * Learns what the queue order depends on beside the jobs' records, and uses it only as recorded, so
- * that the first round of a later leader has the order of the last one before it. Until anything is
- * recorded, at a cluster's very first start, it is used as it is learned.
+ * Learns the inputs of the queue order that are not part of the jobs' records. Uses only the
+ * recorded values, so that the first round of a new leader has the same order as the last round of
+ * its predecessor. Before the first record of a new cluster, the learned values are used directly.
  */
 public final class RecordedOrderInputs {
-  /** Between two writes: at most a tenth of a change a second. */
-  private static final TimeSpan WRITE_INTERVAL = TimeSpan.seconds(10);
+  /** Minimum time between two writes. */
+  private static final TimeSpan MIN_WRITE_INTERVAL = TimeSpan.seconds(10);
 
   private QueueOrderInputs recorded;
   private QueueOrderInputs learned = QueueOrderInputs.NONE;
@@ -21,17 +21,17 @@
   private boolean writeInFlight;
   private MonotonicTime lastWriteAt = MonotonicTime.LONG_AGO;
 
-  /** Takes over what an earlier leader recorded; null: none did. */
+  /** Restores the inputs that an earlier leader recorded, or {@code null} if there are none. */
   public void restore(QueueOrderInputs earlier) {
     recorded = earlier;
   }
 
-  /** The inputs that jobs are ordered by now. */
+  /** Returns the inputs that the queue order uses now. */
   QueueOrderInputs current() {
     return recorded == null ? learned : recorded;
   }
 
-  /** Before a round: as long as nothing is recorded, the fleet is measured each time. */
+  /** Measures the fleet before a round, for as long as no inputs are recorded. */
   void updateFleet(double cores, Map<String, Double> corrections) {
     if (recorded == null) {
       learned =
@@ -39,7 +39,10 @@
     }
   }
 
-  /** After a round. A leader that is not reconciled yet knows less than what is recorded. */
+  /**
+   * Updates the learned inputs after a round. Does nothing before reconciliation, as the leader
+   * then knows less than the record.
+   */
   void observe(
       double cores,
       Map<String, Double> corrections,
@@ -51,12 +54,12 @@
     }
   }
 
-  /** The inputs to write now; null: none. */
+  /** Returns the inputs to write now, or {@code null} if there is nothing to write. */
   public QueueOrderInputs toRecord(MonotonicTime now) {
     if (!hasLearned
         || writeInFlight
         || learned.equals(recorded)
-        || WRITE_INTERVAL.longerThan(now.since(lastWriteAt))) {
+        || MIN_WRITE_INTERVAL.longerThan(now.since(lastWriteAt))) {
       return null;
     }
     writeInFlight = true;
@@ -64,10 +67,10 @@
     return learned;
   }
 
-  /** The write is confirmed, or perhaps failed: then it is repeated after the interval. */
-  public void onWritten(QueueOrderInputs inputs, boolean ok) {
+  /** Handles the result of a write. A write that may have failed is repeated after the interval. */
+  public void onWritten(QueueOrderInputs inputs, boolean succeeded) {
     writeInFlight = false;
-    if (ok) {
+    if (succeeded) {
       recorded = inputs;
     }
   }
--- a/src/main/java/io/saltflow/scheduler/ReplicaMigrations.java
+++ b/src/main/java/io/saltflow/scheduler/ReplicaMigrations.java
@@ -27,48 +27,48 @@
 import java.util.function.Function;
 
 /**
- * Moves replicas so that a large task fits: holds room for both ends of each move and for the task,
- * and stops replicas one by one. It starts nothing: a replica that was stopped, and is proven gone,
- * waits like any other task, with room held for it. So a plan can be abandoned at any moment, by
- * any leader, and nothing is lost but the time. Confined to the leader's thread.
+ * Moves replicas so that a large task fits: holds capacity at both ends of each move and for the
+ * task, and stops replicas one by one. It launches nothing: a stopped replica that is confirmed
+ * gone waits like any other task, with capacity held for it. Any leader can therefore abandon a
+ * plan at any time at no cost but the time spent. Confined to the leader's thread.
  */
 public final class ReplicaMigrations {
-  /** A task for which room becomes free within this is left to wait for it. */
+  /** Time for which a task has to be waiting before a migration is planned for it. */
   private static final TimeSpan MIN_WAIT = TimeSpan.seconds(4);
 
   private static final TimeSpan PLAN_INTERVAL = TimeSpan.seconds(2);
 
-  /** A replica is away for as long as its image fetch takes, and now and then for a retry. */
+  /** Time after which an unfinished plan is abandoned. Allows for image fetches and a retry. */
   private static final TimeSpan PLAN_TIMEOUT = TimeSpan.seconds(300);
 
-  /** Bounds the plans that are carried out at once, by the number of accelerator machines. */
+  /** Limit of concurrently active plans, per accelerator machine. */
   private static final double MAX_ACTIVE_PLANS_PER_MACHINE = 0.25;
 
-  private static final int MIN_ACTIVE_PLANS_BOUND = 2;
+  private static final int MIN_ACTIVE_PLANS_LIMIT = 2;
 
-  /** Bounds the moves of an hour, by the number of accelerator machines. */
+  /** Limit of moves per hour, per accelerator machine. */
   private static final int MAX_MOVES_PER_HOUR_PER_MACHINE = 6;
 
-  private static final int MIN_MOVES_PER_HOUR_BOUND = 24;
+  private static final int MIN_MOVES_PER_HOUR_LIMIT = 24;
 
-  /** When more of the machines than this are being reclaimed, none is cleared. */
-  private static final double MAX_RECLAIMED_FRACTION = 0.1;
+  /** Fraction of departing machines above which no migration is planned. */
+  private static final double MAX_DEPARTING_FRACTION = 0.1;
 
   private final Map<JobId, Job> jobs;
   private final Function<MachineId, Machine> machines;
   private final EventSummary eventSummary;
   private final MigrationPlans plans;
   private final MigrationSearch search;
-  private final Map<JobId, MonotonicTime> misfitSince = new HashMap<>();
+  private final Map<JobId, MonotonicTime> waitingSince = new HashMap<>();
   private final Map<JobId, String> waitReasons = new LinkedHashMap<>();
   private MonotonicTime lastPlanAt = MonotonicTime.LONG_AGO;
 
   /**
-   * Creates the migrations of a term without any plan.
+   * Creates the migrations of a term, without any plan.
    *
    * @param jobs the live jobs, by id
-   * @param machines finds a machine; null: it is gone
-   * @param wallClockOffsetMs the time of day less the monotonic time, in milliseconds
+   * @param machines finds a machine, or returns {@code null} if it is gone
+   * @param wallClockOffsetMs the wall-clock time minus the monotonic time, in milliseconds
    */
   public ReplicaMigrations(
       Map<JobId, Job> jobs,
@@ -84,27 +84,33 @@
     search = new MigrationSearch(jobs, machines, estimates, plans);
   }
 
-  /** Takes over the plans that leaders of earlier terms recorded. */
+  /** Restores the plans that leaders of earlier terms recorded. */
   public void restore(Collection<RecordedPlan> recorded, MonotonicTime now) {
     plans.restore(recorded, now);
   }
 
-  /** Plans to write, each whole under its name; a new one begins once that is confirmed. */
+  /**
+   * Returns the plans to write, each as a complete record under its name, and clears the list. The
+   * moves of a new plan begin once its write is confirmed.
+   */
   public List<RecordedPlan> takeToRecord() {
     return plans.takeToRecord();
   }
 
-  /** Names of plans whose records are to be deleted. */
+  /** Returns the names of the plans whose records are to be deleted, and clears the list. */
   public List<String> takeToDelete() {
     return plans.takeToDelete();
   }
 
-  /** The store holds the plan, or refused the write: then it is written again. */
+  /** Handles the result of a write. A plan whose write failed is queued again. */
   public void onRecorded(RecordedPlan plan, boolean succeeded) {
     plans.onRecorded(plan, succeeded);
   }
 
-  /** Before a round: ends plans that are over, requests stops that are due, and holds room. */
+  /**
+   * Ends plans that are over, requests the stops that are due, and holds capacity. Called before
+   * each round.
+   */
   public void advance(Collection<Machine> fleet, boolean reconciled, MonotonicTime now) {
     for (Machine machine : fleet) {
       machine.migrationHolds.clear();
@@ -126,7 +132,7 @@
     }
   }
 
-  /** How the plan has ended; null: it goes on. */
+  /** Returns the outcome of the plan, or {@code null} if it is still active. */
   private PlanOutcome outcomeOf(ActivePlan active, boolean reconciled, MonotonicTime now) {
     Job waitingJob = jobs.get(active.plan().waitingJob());
     if (waitingJob == null || waitingJob.isCancelled() || waitingJob.isFinishing()) {
@@ -173,7 +179,10 @@
     return placement == null ? null : placement.machine;
   }
 
-  /** Stops a replica whose turn it is; room at its destination is held from the beginning. */
+  /**
+   * Stops the replica once the move may begin. Capacity at its destination is held from the start
+   * of the plan.
+   */
   private void advanceMove(
       ActivePlan active, ReplicaMove move, boolean reconciled, MonotonicTime now) {
     Job job = jobs.get(move.task().job());
@@ -195,7 +204,7 @@
             && destination.schedulable()
             && job.spec.size().fitsIn(destination.free())
             && job.pendingCount() == 0
-            && job.placements.values().stream().noneMatch(each -> each.isStopping())
+            && job.placements.values().stream().noneMatch(other -> other.isStopping())
             && allowedWithout(job, placement, destination)
             && (!job.isService()
                 || (job.replicas().disruptionBudget() != null
@@ -205,24 +214,27 @@
         job.replicas().disruptionBudget().consume(1);
       }
       eventSummary.countEvent(
-          "replicas are moved to make room",
+          "replicas stopped for migration",
           move.task() + " to " + destination.id + " for " + active.plan().waitingJob());
       placement.requestStop(now, Preemption.gracePeriod(placement));
     }
   }
 
-  /** Whether the job's zones allow the replica there once it has left. */
+  /**
+   * Returns whether the job's zone constraint allows the replica on the destination once it has
+   * left its machine.
+   */
   private static boolean allowedWithout(Job job, TaskPlacement placement, Machine destination) {
     return placement.machine.zone.equals(destination.zone)
         || !(job.spec.oneZone() && job.placements.size() > 1);
   }
 
   /**
-   * After a round: plans moves for one waiting job where they are worth it. They are where its task
-   * fits by sum on machines that it may use and on none of them, nothing suitable is booting and
-   * the cloud has lately refused all that would do.
+   * Plans moves for one waiting job after a round. A migration is worth it if the task fits in the
+   * sum of free resources of the machines that the job may use but on none of them, no suitable
+   * machine is booting, and the cloud has recently refused all suitable machine types.
    *
-   * @param mayScaleOut whether the cloud may still have a machine for the job
+   * @param mayScaleOut whether the cloud may still provide a machine for the job
    */
   public void plan(
       List<WaitingJob> waiting,
@@ -232,79 +244,81 @@
       boolean reconciled,
       MonotonicTime now) {
     waitReasons.clear();
-    List<WaitingJob> eligible = jobsThatWaitedEnough(waiting, now);
+    List<WaitingJob> eligible = eligibleJobs(waiting, now);
     if (eligible.isEmpty() || now.since(lastPlanAt).compareTo(PLAN_INTERVAL) < 0) {
       return;
     }
-    String blocked = blockedReason(usable, reconciled, now);
-    if (blocked != null) {
-      eligible.forEach(waitingJob -> waitReasons.put(waitingJob.job().id(), blocked));
+    String blockedReason = blockedReason(usable, reconciled, now);
+    if (blockedReason != null) {
+      eligible.forEach(waitingJob -> waitReasons.put(waitingJob.job().id(), blockedReason));
       return;
     }
     lastPlanAt = now;
     for (WaitingJob waitingJob : eligible) {
       Job job = waitingJob.job();
-      String unneeded = unneededReason(job, booting, mayScaleOut, now);
-      if (unneeded != null) {
-        waitReasons.put(job.id(), unneeded);
+      String skipReason = skipReason(job, booting, mayScaleOut, now);
+      if (skipReason != null) {
+        waitReasons.put(job.id(), skipReason);
       } else if (planFor(job, usable, now)) {
         return;
       }
     }
   }
 
-  private List<WaitingJob> jobsThatWaitedEnough(List<WaitingJob> waiting, MonotonicTime now) {
+  private List<WaitingJob> eligibleJobs(List<WaitingJob> waiting, MonotonicTime now) {
     Set<JobId> stillWaiting = new HashSet<>();
     List<WaitingJob> eligible = new ArrayList<>();
     for (WaitingJob waitingJob : waiting) {
       Job job = waitingJob.job();
-      // Cores come free all the time; accelerators, and room for what stays, do not.
-      boolean lasting = job.spec.daemon() || job.spec.size().gpus() > 0;
-      if (lasting
+      // Cores become free all the time, but accelerators and capacity for daemons do not.
+      boolean longLived = job.spec.daemon() || job.spec.size().gpus() > 0;
+      if (longLived
           && waitingJob.tasks() > 0
           && !waitingJob.awaitingStartRecord()
           && !job.failsEverywhere()) {
         stillWaiting.add(job.id());
-        misfitSince.putIfAbsent(job.id(), now);
-        if (now.since(misfitSince.get(job.id())).compareTo(MIN_WAIT) >= 0) {
+        waitingSince.putIfAbsent(job.id(), now);
+        if (now.since(waitingSince.get(job.id())).compareTo(MIN_WAIT) >= 0) {
           eligible.add(waitingJob);
         }
       }
     }
-    misfitSince.keySet().retainAll(stillWaiting);
+    waitingSince.keySet().retainAll(stillWaiting);
     return eligible;
   }
 
-  /** Why no moves may be planned for any job now; null: they may. */
+  /** Returns why no moves may be planned for any job now, or {@code null} if they may. */
   private String blockedReason(List<Machine> usable, boolean reconciled, MonotonicTime now) {
     if (!reconciled) {
       return "nothing is moved while a takeover is not accounted for";
     }
     long departing = usable.stream().filter(Machine::departing).count();
-    if (departing > usable.size() * MAX_RECLAIMED_FRACTION) {
+    if (departing > usable.size() * MAX_DEPARTING_FRACTION) {
       return "nothing is moved while machines are being taken back";
     }
     long acceleratorMachines =
         usable.stream().filter(machine -> machine.type().size().gpus() > 0).count();
     double maxActivePlans =
-        Math.max(MIN_ACTIVE_PLANS_BOUND, acceleratorMachines * MAX_ACTIVE_PLANS_PER_MACHINE);
+        Math.max(MIN_ACTIVE_PLANS_LIMIT, acceleratorMachines * MAX_ACTIVE_PLANS_PER_MACHINE);
     if (plans.activeCount() >= maxActivePlans) {
       return "other moves go on";
     }
     long maxMoves =
-        Math.max(MIN_MOVES_PER_HOUR_BOUND, acceleratorMachines * MAX_MOVES_PER_HOUR_PER_MACHINE);
+        Math.max(MIN_MOVES_PER_HOUR_LIMIT, acceleratorMachines * MAX_MOVES_PER_HOUR_PER_MACHINE);
     return plans.movesInLastHour(now) >= maxMoves ? "enough was moved this hour" : null;
   }
 
-  /** Why moves need not be planned for the job; null: they are worth a search. */
-  private String unneededReason(
+  /**
+   * Returns why no moves need to be planned for the job, or {@code null} if a search is worthwhile.
+   */
+  private String skipReason(
       Job job, List<Machine> booting, Function<Job, Boolean> mayScaleOut, MonotonicTime now) {
     if (plans.isActiveFor(job.id())) {
       return "room is being made for it";
     }
     for (Machine machine : booting) {
-      boolean soon = !machine.bootOverdue(now) && job.spec.size().fitsIn(machine.type().size());
-      if (soon && PlacementRules.allowed(job, machine)) {
+      boolean suitable = !machine.bootOverdue(now) && job.spec.size().fitsIn(machine.type().size());
+      if (suitable && PlacementRules.allowed(job, machine)) {
         return "a machine for it is on its way";
       }
     }
@@ -319,7 +333,7 @@
       return false;
     }
     plans.add(job.id(), plan, now);
-    // From this moment on: machines are filled between two rounds as well.
+    // Capacity is held immediately, because machines are also filled between two rounds.
     machines.apply(plan.target()).holdForMigration(job.id(), job.spec.size());
     for (ReplicaMove move : plan.moves()) {
       Job moved = jobs.get(move.task().job());
@@ -328,12 +342,15 @@
     return true;
   }
 
-  /** Why the jobs wait for which moves might help, for operators. */
+  /** Returns why each job that a migration might help still waits, for operators. */
   public Map<JobId, String> waitReasons() {
     return waitReasons;
   }
 
-  /** The active plans, the outcomes of earlier ones, and why other jobs wait, for operators. */
+  /**
+   * Returns the active plans, the outcomes of ended plans and the reasons why other jobs wait, as
+   * lines of text for operators.
+   */
   public List<String> describePlans() {
     List<String> lines = new ArrayList<>();
     for (ActivePlan active : plans.activePlans()) {
--- a/src/main/java/io/saltflow/scheduler/RoundPlacer.java
+++ b/src/main/java/io/saltflow/scheduler/RoundPlacer.java
@@ -12,8 +12,8 @@
 import java.util.Map;
 
 /**
- * Places the tasks of one scheduling round: asks the candidates in order, assigns their tasks to
- * the best machines, and reserves room for minimum shares and for the head of the queue.
+ * Places the tasks of one scheduling round: considers the candidates in order, assigns their tasks
+ * to the best machines, and reserves capacity for minimum shares and for the head of the queue.
  */
 final class RoundPlacer {
   private final RoundState state;
@@ -45,7 +45,7 @@
     openMachines = state.machinesWithRoom();
   }
 
-  /** Places what fits, and returns the jobs with tasks that found no machine, by job. */
+  /** Places the tasks that fit. Returns the jobs with tasks that found no machine, by job id. */
   Map<JobId, WaitingJob> placeAll(List<CandidateOrder.Candidate> candidates) {
     state.setHead(null);
     for (CandidateOrder.Candidate candidate : candidates) {
@@ -66,12 +66,12 @@
     openMachines.removeIf(machine -> state.fullyReserved(machine, now));
   }
 
-  /** Places the candidate's tasks, and notes how many of them are left. */
+  /** Places the candidate's tasks and records how many of them are left. */
   private void placeCandidate(CandidateOrder.Candidate candidate) {
     Job job = candidate.job;
     if (!job.isStartRecorded()) {
-      int heldTasks = job.countPending(0, quotaUsage.remainingTasks(job), now);
-      unplaced.put(job.id(), new WaitingJob(job, heldTasks, true));
+      int pendingTasks = job.countPending(0, quotaUsage.remainingTasks(job), now);
+      unplaced.put(job.id(), new WaitingJob(job, pendingTasks, true));
       return;
     }
     int tasksLeft = placeTasks(candidate);
@@ -108,9 +108,10 @@
   }
 
   /**
-   * Assigns the candidate's tasks to the machines that suit best.
+   * Assigns the candidate's tasks to the best machines.
    *
-   * @return how many tasks found no machine; 0 too when quota or share, not room, ends it
+   * @return how many tasks found no machine, or 0 if quota or share ended the placement rather than
+   *     capacity
    */
   private int placeTasks(CandidateOrder.Candidate candidate) {
     Job job = candidate.job;
@@ -133,7 +134,8 @@
         int pending = job.countPending(taskIndex, quotaUsage.remainingTasks(job), now);
         return Math.min(candidate.maxTasks(), pending);
       }
-      // Tasks that were stopped before are predicted otherwise than their peers.
+      // The predicted run time of a previously stopped task differs from that of the job's other
+      // tasks, so the machine is checked again.
       if (assigner.mayPlace(candidate, taskIndex, best.machine(), backfilling, now)) {
         assigner.assign(candidate, taskIndex, best.machine(), now);
         ranking.onAssigned(best.machine());
@@ -146,7 +148,10 @@
     return 0;
   }
 
-  /** The team's limit stands in its way, not room: no room on machines is made or reserved. */
+  /**
+   * Reserves quota for the job's first task. The team's limit delays it, so no capacity on machines
+   * is freed or reserved.
+   */
   private void reserveQuotaForFirstTask(CandidateOrder.Candidate candidate) {
     if (candidate.reason == CandidateOrder.Reason.FIRST_TASK
         && candidate.mayStartAnother(fairShare)) {
--- a/src/main/java/io/saltflow/scheduler/RoundState.java
+++ b/src/main/java/io/saltflow/scheduler/RoundState.java
@@ -13,9 +13,9 @@
 import java.util.Set;
 
 /**
- * The facts that a scheduling round establishes and that hold until the next one: the machines, the
- * jobs within their team's guarantee, the head of the queue and the smallest waiting task. Confined
- * to the leader's thread.
+ * The results of a scheduling round that hold until the next one: the machines, the jobs within
+ * their team's guaranteed quota, the head of the queue and the smallest waiting task. Confined to
+ * the leader's thread.
  */
 final class RoundState {
   private List<Machine> usableMachines = List.of();
@@ -26,7 +26,7 @@
   private Resources smallestWaitingTask;
   private TimeSpan shortestWaitingRun;
 
-  /** Forgets the machines of the round before. */
+  /** Clears the machines of the previous round. */
   void clearMachines() {
     usableMachines = new ArrayList<>();
     bootingMachines = new ArrayList<>();
@@ -40,22 +40,22 @@
     bootingMachines.add(machine);
   }
 
-  /** The machines that tasks may be placed on, in the order in which the round was given them. */
+  /** Returns the machines that tasks may be placed on, in the order in which they were added. */
   List<Machine> usableMachines() {
     return usableMachines;
   }
 
-  /** The machines that have been requested and are not up yet. */
+  /** Returns the machines that have been requested and are not up yet. */
   List<Machine> bootingMachines() {
     return bootingMachines;
   }
 
-  /** Computes the lowest price of a core among the usable machines. */
+  /** Recomputes the lowest price per core among the usable machines. */
   void updateCheapestPrice() {
     cheapestPricePerCore = PlacementRules.cheapestPricePerCore(usableMachines);
   }
 
-  /** The lowest price of a core among the usable machines. */
+  /** Returns the lowest price per core among the usable machines. */
   double cheapestPricePerCore() {
     return cheapestPricePerCore;
   }
@@ -64,7 +64,7 @@
     guaranteedJobs = jobs;
   }
 
-  /** The jobs that lie within their team's guarantee. */
+  /** Returns the jobs within their team's guaranteed quota. */
   Set<JobId> guaranteedJobs() {
     return guaranteedJobs;
   }
@@ -73,12 +73,15 @@
     head = job;
   }
 
-  /** The first job in the queue that did not fit; null: every job did. */
+  /** Returns the first job in the queue that did not fit, or {@code null} if every job did. */
   Job head() {
     return head;
   }
 
-  /** Computes the least of each resource that any of the jobs asks for, and the shortest run. */
+  /**
+   * Recomputes the minimum of each resource over the tasks of the jobs, and the shortest predicted
+   * run.
+   */
   void updateWaitingMinimums(List<Job> jobs, RunTimeEstimates estimates) {
     smallestWaitingTask = null;
     shortestWaitingRun = new TimeSpan(Long.MAX_VALUE / 2);
@@ -90,27 +93,31 @@
     }
   }
 
-  /** The usable machines on which the smallest waiting task fits. */
+  /** Returns the usable machines on which the smallest waiting task fits. */
   List<Machine> machinesWithRoom() {
-    List<Machine> open = new ArrayList<>();
+    List<Machine> withRoom = new ArrayList<>();
     if (smallestWaitingTask != null) {
       for (Machine machine : usableMachines) {
         if (smallestWaitingTask.fitsIn(machine.available())) {
-          open.add(machine);
+          withRoom.add(machine);
         }
       }
     }
-    return open;
+    return withRoom;
   }
 
-  /** Whether the smallest waiting task fits on the machine; false: nothing waits either. */
+  /**
+   * Returns whether the smallest waiting task fits on the machine, or {@code false} if no job
+   * waits.
+   */
   boolean hasRoom(Machine machine) {
     return smallestWaitingTask != null && smallestWaitingTask.fitsIn(machine.available());
   }
 
   /**
-   * Whether all that is free is reserved for a minimum share, so that no other job need be asked: a
-   * machine on which room accumulates reports several times before the reservation is due.
+   * Returns whether all free resources of the machine are reserved for a minimum share, so that no
+   * other job needs to be considered. A machine that accumulates free resources reports several
+   * times before the reservation is due.
    */
   boolean fullyReserved(Machine machine, MonotonicTime now) {
     MachineReservation reservation = machine.reservation();
--- a/src/main/java/io/saltflow/scheduler/Scheduler.java
+++ b/src/main/java/io/saltflow/scheduler/Scheduler.java
@@ -17,14 +17,14 @@
 import java.util.Set;
 
 /**
- * Runs scheduling rounds with backfilling. Jobs start in queue order while they fit; the first that
- * does not, the head, gets a reservation on the machines where room for it comes first; later jobs
- * are backfilled when they end before the reservation or fit beside it; backfilled tasks that
- * checkpoint are preempted when it is due.
+ * Runs scheduling rounds with backfilling. Jobs start in queue order while they fit. The first job
+ * that does not fit, the head, gets a reservation on the machines where capacity for it is
+ * available first. Later jobs are backfilled if they end before the reservation or fit beside it,
+ * and backfilled tasks that write checkpoints are preempted when it is due.
  *
- * <p>A whole round looks at all machines. Between two rounds, {@link #fillMachine} looks at the one
- * machine that reports, with the queue and the reservations of the last round. Confined to the
- * leader's thread.
+ * <p>A full round considers all machines. Between two rounds, {@link #fillMachine} considers only
+ * the machine that sent a heartbeat, with the queue and the reservations of the last round.
+ * Confined to the leader's thread.
  */
 public final class Scheduler {
   private final Policy policy;
@@ -40,13 +40,13 @@
   private final TaskAssigner assigner;
   private final MachineFiller filler;
 
-  /** Which jobs are asked in which order when a machine reports between two rounds. */
+  /** Candidates in order, for machines that send a heartbeat between two rounds. */
   private List<CandidateOrder.Candidate> candidates = List.of();
 
   /**
-   * Creates a scheduler that has seen no machine and no job.
+   * Creates a scheduler without machines and jobs.
    *
-   * @param orderInputs what the queue order depends on beside the jobs' records
+   * @param orderInputs the inputs of the queue order that are not part of the jobs' records
    */
   public Scheduler(
       Policy policy,
@@ -67,12 +67,12 @@
     filler = new MachineFiller(state, assigner, fairShare, quotaUsage);
   }
 
-  /** The jobs that lay within their team's guarantee at the last round. */
+  /** Returns the jobs that were within their team's guaranteed quota at the last round. */
   public Set<JobId> guaranteedJobs() {
     return state.guaranteedJobs();
   }
 
-  /** The resources of all machines that are usable or booting, as of the last round. */
+  /** Returns the resources of all machines that were usable or booting at the last round. */
   public Resources fleetResources() {
     Resources sum = Resources.ZERO;
     for (Machine machine : state.usableMachines()) {
@@ -84,22 +84,22 @@
     return sum;
   }
 
-  /** The machines that tasks may be placed on, as of the last round. */
+  /** Returns the machines that tasks could be placed on at the last round. */
   public List<Machine> usableMachines() {
     return state.usableMachines();
   }
 
-  /** The machines that have been requested and are not up yet, as of the last round. */
+  /** Returns the machines that had been requested and were not up yet at the last round. */
   public List<Machine> bootingMachines() {
     return state.bootingMachines();
   }
 
-  /** How often a machine was checked for a task: what a round's work grows with. */
+  /** Returns how often a machine was checked for a task, as a measure of the work of the rounds. */
   public long placementChecks() {
     return assigner.placementChecks();
   }
 
-  /** The shares of classes and teams, as of the last round. */
+  /** Returns the shares of classes and teams at the last round. */
   public FairShareScheduler fairShare() {
     return fairShare;
   }
@@ -107,8 +107,8 @@
   /**
    * Assigns tasks to machines and requests stops where preemption is due.
    *
-   * @param reconciled all machines have reported in this term, so no task of an earlier term is
-   *     unknown
+   * @param reconciled whether all machines have reported in this term, so that no task of an
+   *     earlier term is unknown
    * @return the jobs that still wait, in queue order
    */
   public List<WaitingJob> runRound(
@@ -150,7 +150,10 @@
     return waitingJobs;
   }
 
-  /** Withdraws what was not sent, sorts the machines, and returns the cores of the usable ones. */
+  /**
+   * Withdraws assignments that were not sent, and groups the machines into usable and booting ones.
+   * Returns the total cores of the usable machines.
+   */
   private double updateMachines(Collection<Machine> machines) {
     state.clearMachines();
     double usableCores = 0;
@@ -190,14 +193,14 @@
         policy.preemptingPriority());
   }
 
-  /** Withdraws the assignments that the machine's worker has not been sent yet. */
+  /** Withdraws the assignments that have not been sent to the machine's worker yet. */
   public void withdrawAssignments(Machine machine) {
     assigner.withdraw(machine);
   }
 
   /**
-   * Assigns tasks to a machine that reports between two rounds: those that come first in the last
-   * round's queue and may be placed there.
+   * Assigns tasks to a machine that sent a heartbeat between two rounds: the first in the last
+   * round's order that may be placed there.
    */
   public void fillMachine(Machine machine, boolean reconciled, MonotonicTime now) {
     filler.fill(machine, candidates, reconciled, now);
--- a/src/main/java/io/saltflow/scheduler/SpreadScorer.java
+++ b/src/main/java/io/saltflow/scheduler/SpreadScorer.java
@@ -8,14 +8,14 @@
 import java.util.Map;
 
 /**
- * Scores machines by how few of a service's tasks are on the machine and in its zone, so that they
- * spread.
+ * Scores machines by the number of a service's tasks on the machine and in its zone, so that the
+ * tasks are spread.
  */
 final class SpreadScorer {
-  /** Seconds of image fetch that are worth not sharing a machine with one more task. */
+  /** Penalty for each task of the service on the same machine, in seconds of image fetch. */
   private static final double SAME_MACHINE_PENALTY_S = 40;
 
-  /** The same for a zone. */
+  /** Penalty for each task of the service in the same zone, in seconds of image fetch. */
   private static final double SAME_ZONE_PENALTY_S = 20;
 
   private final Map<String, Integer> byZone = new HashMap<>();
@@ -23,7 +23,7 @@
 
   SpreadScorer(Job job) {
     for (TaskPlacement placement : job.placements.values()) {
-      // What leaves soon is being replaced: its replacement goes where it was.
+      // Tasks that leave soon are not counted, so that their replacement may take their place.
       if (!placement.isStopping() && !placement.machine.departing()) {
         add(placement.machine);
       }
@@ -35,7 +35,7 @@
     byMachine.merge(machine.id, 1, Integer::sum);
   }
 
-  /** The penalty in seconds; it never falls while tasks are assigned. */
+  /** Returns the penalty in seconds. It never decreases while tasks are assigned. */
   double score(Machine machine) {
     return SAME_MACHINE_PENALTY_S * byMachine.getOrDefault(machine.id, 0)
         + SAME_ZONE_PENALTY_S * byZone.getOrDefault(machine.zone, 0);
--- a/src/main/java/io/saltflow/scheduler/TaskAssigner.java
+++ b/src/main/java/io/saltflow/scheduler/TaskAssigner.java
@@ -16,10 +16,13 @@
  * assignment on the machine, the job and the team's quota.
  */
 final class TaskAssigner {
-  /** Outweighs every other part of a score: a task goes where room is held for its migration. */
+  /**
+   * Outweighs all other parts of a score, so that a task goes where capacity is held for its
+   * migration.
+   */
   private static final double MIGRATION_HOLD_BONUS = 1e6;
 
-  /** Seconds of image fetch that are worth keeping one more accelerator usable. */
+  /** Cost of fragmentation that makes one more accelerator unusable, in seconds of image fetch. */
   private static final double FRAGMENTATION_COST_S = 30;
 
   private final Policy policy;
@@ -28,7 +31,6 @@
   private final RoundState state;
   private final Fragmentation fragmentation = new Fragmentation();
 
-  /** How often a machine was checked for a task. */
   private long placementChecks;
 
   TaskAssigner(Policy policy, RunTimeEstimates estimates, QuotaUsage quotaUsage, RoundState state) {
@@ -38,12 +40,12 @@
     this.state = state;
   }
 
-  /** How often a machine was checked for a task: what a round's work grows with. */
+  /** Returns how often a machine was checked for a task, as a measure of the work of the rounds. */
   long placementChecks() {
     return placementChecks;
   }
 
-  /** Takes in which task sizes run and wait, by which fragmentation is measured. */
+  /** Updates the running and waiting task sizes that fragmentation is measured by. */
   void updateWorkload(Collection<Job> jobs) {
     fragmentation.clear();
     for (Job job : jobs) {
@@ -52,10 +54,11 @@
   }
 
   /**
-   * The machine's score for one task of the job, in seconds; lower is better. A service's tasks are
-   * spread; others go where they fetch least and leave most room.
+   * Returns the machine's score for one task of the job, in seconds. Lower is better. The tasks of
+   * a service are spread. Other tasks prefer a short image fetch and the least fragmentation.
    *
-   * @param spread where the service's tasks are; null: the job is no service
+   * @param spread the distribution of the service's tasks, or {@code null} if the job is not a
+   *     service
    */
   double score(Job job, Machine machine, SpreadScorer spread) {
     boolean expensive =
@@ -73,9 +76,9 @@
   }
 
   /**
-   * Whether the task may be placed on the machine now.
+   * Returns whether the task may be placed on the machine now.
    *
-   * @param backfilling the job stands behind the head of the queue
+   * @param backfilling whether the job is behind the head of the queue
    */
   boolean mayPlace(
       CandidateOrder.Candidate candidate,
@@ -104,8 +107,9 @@
   }
 
   /**
-   * Whether the machine's reservation binds the candidate: the head's binds what is behind it in
-   * the queue, one for a minimum share binds all that does not draw on such reservations.
+   * Returns whether the machine's reservation restricts the candidate. A reservation for the head
+   * restricts the candidates behind it in the queue, and one for a minimum share restricts all
+   * candidates that do not use such reservations.
    */
   private static boolean boundByReservation(
       CandidateOrder.Candidate candidate, Machine machine, boolean backfilling) {
@@ -127,7 +131,9 @@
         && !now.plus(estimates.fetchTime(job, machine)).plus(run).after(reservation.availableAt);
   }
 
-  /** Assigns the task to the machine; the machine's worker is told with its next heartbeat. */
+  /**
+   * Assigns the task to the machine. The worker is notified with the reply to its next heartbeat.
+   */
   void assign(
       CandidateOrder.Candidate candidate, int taskIndex, Machine machine, MonotonicTime now) {
     Job job = candidate.job;
@@ -151,7 +157,7 @@
     }
   }
 
-  /** Withdraws the assignments that the machine's worker has not been sent yet. */
+  /** Withdraws the assignments that have not been sent to the machine's worker yet. */
   void withdraw(Machine machine) {
     for (Machine.Assignment assigned : machine.assignments) {
       assigned.job().markUnassigned(assigned.taskIndex());
--- a/src/main/java/io/saltflow/scheduler/package-info.java
+++ b/src/main/java/io/saltflow/scheduler/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Checkpoint-based backfilling after Niu et al.: queue order, head reservation, backfilling,
- * preemption, fair share, placement and replica migrations. Deterministic; it has no sockets and no
- * clock.
+ * Job scheduling with checkpoint-based backfilling after Niu et al.: queue order, head reservation,
+ * backfilling, preemption, fair share, placement and replica migrations. The code is deterministic
+ * and uses neither sockets nor a clock.
  */
 package io.saltflow.scheduler;
