--- a/src/main/java/io/saltflow/fencing/OutcomeListener.java
+++ b/src/main/java/io/saltflow/fencing/OutcomeListener.java
@@ -6,32 +6,35 @@
 import io.saltflow.model.MonotonicTime;
 import io.saltflow.model.WorkerHeartbeat;
 
-/** Receives the outcome of task attempts as heartbeats, deletions and lease expiries prove them. */
+/**
+ * Receives outcomes of task attempts proven by heartbeats, machine deletions and lease expiries.
+ */
 interface OutcomeListener {
   /**
-   * A task succeeded.
+   * Handles the success of a task.
    *
-   * @param placement the attempt that brought the result; null: it is not a known one
+   * @param placement the attempt that produced the result, or {@code null} if the attempt is
+   *     unknown
    */
   void onDone(Job job, int index, TaskPlacement placement, MonotonicTime now);
 
-  /** A task failed by itself on the machine. */
+  /** Handles an attempt that exited with an error. */
   void onFailed(Job job, int index, Machine machine, MonotonicTime now);
 
   /**
-   * A task ended because a stop was requested.
+   * Handles the end of a task that was requested to stop.
    *
    * @param saved whether its checkpoint was written
    */
   void onStopped(TaskPlacement placement, boolean saved, MonotonicTime now);
 
-  /** A machine refused to launch a task. */
-  void onRefused(TaskPlacement placement, WorkerHeartbeat.ExitCause cause, MonotonicTime now);
+  /** Handles a launch that the machine refused. */
+  void onLaunchRefused(TaskPlacement placement, WorkerHeartbeat.ExitCause cause, MonotonicTime now);
 
   /**
-   * An attempt is gone without a result.
+   * Handles an attempt that ended without a result.
    *
-   * @param reason what proves it, for operators and for the exits of services
+   * @param reason the proof of the loss, shown to operators and recorded for the exits of services
    */
   void onLost(TaskPlacement placement, String reason, MonotonicTime now);
 }
--- a/src/main/java/io/saltflow/fencing/Placements.java
+++ b/src/main/java/io/saltflow/fencing/Placements.java
@@ -10,8 +10,7 @@
 import java.util.function.Predicate;
 
 /**
- * Creates and ends task placements, so that a job, its machine and the quota usage always agree on
- * them.
+ * Adds and removes task placements and keeps the job, its machine and the quota usage consistent.
  */
 final class Placements {
   private final QuotaUsage quotaUsage;
@@ -22,7 +21,7 @@
     this.listener = listener;
   }
 
-  /** Places an attempt that the answer to the machine's newest heartbeat launches. */
+  /** Adds a placement for an attempt launched by the answer to the machine's latest heartbeat. */
   TaskPlacement add(Job job, int index, Attempt attempt, Machine machine, MonotonicTime now) {
     TaskPlacement placement = new TaskPlacement(job, index, attempt, machine, now);
     machine.addPlacement(placement);
@@ -31,15 +30,15 @@
     return placement;
   }
 
-  /** Ends a placement whose attempt is proven to be gone. */
+  /** Removes a placement whose attempt is proven to have ended. */
   void remove(TaskPlacement placement) {
     placement.machine.removePlacement(placement);
     placement.job.removePlacement(placement);
     quotaUsage.removed(placement.job);
   }
 
-  /** Ends those placements on the machine that meet the condition, as lost for that reason. */
-  void dropIf(
+  /** Removes the placements on the machine that match the condition and reports them as lost. */
+  void removeIf(
       Machine machine, Predicate<TaskPlacement> condition, String reason, MonotonicTime now) {
     for (TaskPlacement placement : new ArrayList<>(machine.placements.values())) {
       if (condition.test(placement)) {
@@ -49,8 +48,8 @@
     }
   }
 
-  /** Ends all placements on the machine, as lost for that reason. */
-  void dropAll(Machine machine, String reason, MonotonicTime now) {
-    dropIf(machine, placement -> true, reason, now);
+  /** Removes all placements on the machine and reports them as lost. */
+  void removeAll(Machine machine, String reason, MonotonicTime now) {
+    removeIf(machine, placement -> true, reason, now);
   }
 }
--- a/src/main/java/io/saltflow/fencing/TaskOutcomes.java
+++ b/src/main/java/io/saltflow/fencing/TaskOutcomes.java
@@ -21,15 +21,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Applies the proven outcomes of tasks to their jobs and machines: progress, retries, estimates,
- * and the attribution of faults.
+ * Applies proven task outcomes to jobs and machines: progress, retries, run time estimates and
+ * fault attribution.
  */
 public final class TaskOutcomes implements OutcomeListener {
   private static final Logger LOG = LoggerFactory.getLogger(TaskOutcomes.class);
 
   private static final String TASK_ERROR = "error";
 
-  /** How soon a task that failed is tried again elsewhere. */
+  /** Delay before a failed task is retried. */
   private static final TimeSpan RETRY_DELAY = TimeSpan.millis(500);
 
   private final RunTimeEstimates estimates;
@@ -40,7 +40,11 @@
   private TaskReconciler reconciler;
   private boolean changed;
 
-  /** Creates the outcomes of a leader's term. */
+  /**
+   * Creates the listener for the outcomes of one term.
+   *
+   * @param jobs a live view of the scheduled jobs
+   */
   public TaskOutcomes(
       Policy policy,
       Map<JobId, Job> jobs,
@@ -54,32 +58,32 @@
     this.eventSummary = eventSummary;
   }
 
-  /** Sets the reconciler that knows the machines; once, before the first outcome. */
+  /** Sets the reconciler, which must happen once before the first outcome. */
   public void setReconciler(TaskReconciler taskReconciler) {
     reconciler = taskReconciler;
   }
 
-  /** The job ended: its failures count against no machine any more. */
+  /** Discards the failures of a job that ended, so that they no longer count against machines. */
   public void onJobEnded(JobId job) {
     faultAttribution.removeJob(job);
   }
 
-  /** The machine was deleted. */
-  public void onMachineGone(MachineId machine) {
+  /** Discards the failures on a machine that was deleted. */
+  public void onMachineDeleted(MachineId machine) {
     faultAttribution.removeMachine(machine);
   }
 
-  /** Whether an outcome since the last round calls for a new one. */
+  /** Returns whether an outcome since the last round requires a new one. */
   public boolean changed() {
     return changed;
   }
 
-  /** A round begins, which considers all outcomes so far. */
+  /** Marks all outcomes so far as considered by a scheduling round. */
   public void clearChanged() {
     changed = false;
   }
 
-  /** Logs once for each job how long it waited until its first task ran. */
+  /** Logs, once for each job, the time from its eligibility to the start of its first task. */
   static void onTaskRunning(Job job, MonotonicTime now) {
     if (job.markStarted()) {
       double afterS = Math.max(0, now.since(job.queueState().eligibleAt()).toSeconds());
@@ -115,16 +119,16 @@
     job.replicas().recordUnexpectedExit(TASK_ERROR, true);
     job.notBefore.put(index, now.plus(RETRY_DELAY));
     if (job.isService()) {
-      // A broken build fails on any machine: its rollout judges it, and nothing counts against the
-      // machines, which may run replicas of other services.
-      LOG.debug("{}/{} failed on {}", job.id(), index, machine.id);
-      double waitS =
+      // A broken build fails on any machine and is handled by its rollout. Its failures must not
+      // count against machines that may run replicas of other services.
+      LOG.debug("task {}/{} failed on machine {}", job.id(), index, machine.id);
+      double retryDelayS =
           job.failsEverywhere() ? Math.min(60, 2 * job.failureCount()) : RETRY_DELAY.toSeconds();
-      job.notBefore.put(index, now.plus(TimeSpan.seconds(waitS)));
+      job.notBefore.put(index, now.plus(TimeSpan.seconds(retryDelayS)));
       return;
     }
     if (job.doneCount() > 0) {
-      // Tasks that succeeded in earlier terms.
+      // Successes in earlier terms also count.
       applyFindings(faultAttribution.recordSuccess(job.id(), null), now);
     }
     applyFindings(faultAttribution.recordFailure(job.id(), machine.id), now);
@@ -137,7 +141,7 @@
     }
   }
 
-  /** Marks the jobs and machines that the findings concern. */
+  /** Marks the jobs and machines named by the findings. */
   private void applyFindings(List<Finding> findings, MonotonicTime now) {
     for (Finding finding : findings) {
       changed = true;
@@ -152,7 +156,7 @@
         if (job != null) {
           job.setDefective(true, now);
           LOG.info(
-              "{} fails on every machine, {} so far: one task at a time is retried with backoff"
+              "job {} fails on every machine, {} so far; retrying one task at a time with backoff"
                   + " until the job is cancelled",
               job.id(),
               defective.machines());
@@ -161,7 +165,8 @@
         Job job = jobs.get(cleared.job());
         if (job != null) {
           job.setDefective(false, now);
-          LOG.info("{} no longer fails on every machine: its tasks are started again", job.id());
+          LOG.info(
+              "job {} no longer fails on every machine; resuming launches of its tasks", job.id());
         }
       }
     }
@@ -186,10 +191,10 @@
   }
 
   @Override
-  public void onRefused(
+  public void onLaunchRefused(
       TaskPlacement placement, WorkerHeartbeat.ExitCause cause, MonotonicTime now) {
     changed = true;
-    eventSummary.countEvent("launches refused by their machines: " + cause, location(placement));
+    eventSummary.countEvent("launches refused by workers: " + cause, location(placement));
     placement.job.notBefore.put(placement.index, now.plus(TimeSpan.seconds(2)));
   }
 
@@ -201,7 +206,7 @@
         .replicas()
         .recordUnexpectedExit(reason, reason.equals(TaskStatusReconciler.EXITED_BY_ITSELF));
     if (placement.state() != TaskPlacement.State.LAUNCHED) {
-      eventSummary.countEvent("tasks lost, to be restarted: " + reason, location(placement));
+      eventSummary.countEvent("tasks lost and to be restarted: " + reason, location(placement));
     }
     if (placement.runningSince() == null) {
       return;
@@ -219,7 +224,7 @@
     return placement.taskId() + " on " + placement.machine.id;
   }
 
-  /** Adds run time that a checkpoint holds: the task resumes from there. */
+  /** Adds run time covered by a checkpoint, from which the task resumes. */
   private static void keepProgress(TaskPlacement placement, TimeSpan runTime) {
     TimeSpan before =
         placement.job.checkpointedRunTime.getOrDefault(placement.index, new TimeSpan(0));
--- a/src/main/java/io/saltflow/fencing/TaskReconciler.java
+++ b/src/main/java/io/saltflow/fencing/TaskReconciler.java
@@ -26,10 +26,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Knows the machines and reconciles their heartbeats with the task placements. A placement ends
- * only by proof: a heartbeat made after the last command with this term's fencing token seen, a new
- * agent epoch, a successful delete, or a lease that has certainly expired. Silence alone and the
- * cloud's list prove nothing.
+ * Maintains the machines and reconciles their heartbeats with the task placements. A placement ends
+ * only on proof: a heartbeat that was created after the last command and carries this term's
+ * fencing token, a new agent epoch, a successful deletion, or a lease that has certainly expired.
+ * Silence alone and the cloud's list of machines are no proof.
  */
 public final class TaskReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(TaskReconciler.class);
@@ -47,8 +47,8 @@
   /**
    * Creates the reconciler of one term.
    *
-   * @param jobs the jobs that are scheduled, a live view
-   * @param leaderSince when the term began, by this leader's clock
+   * @param jobs a live view of the scheduled jobs
+   * @param leaderSince when the term began, on this leader's monotonic clock
    */
   public TaskReconciler(
       Policy policy,
@@ -67,62 +67,65 @@
         new TaskStatusReconciler(jobs, endedJobs, placements, listener, eventSummary);
   }
 
-  /** Every known machine, a live view in the order in which they became known. */
+  /** Returns a live view of all known machines in the order in which they became known. */
   public Collection<Machine> machines() {
     return machines.values();
   }
 
-  /** The machine of that id; null: it is not known. */
+  /** Returns the machine with this id, or {@code null} if it is unknown. */
   public Machine findMachine(MachineId id) {
     return machines.get(id);
   }
 
-  /** Adds a machine that is not known yet. */
+  /** Adds a machine unless it is already known. */
   public void addMachine(Machine machine) {
     if (machines.putIfAbsent(machine.id, machine) == null && machine.mayRunEarlierTermTasks()) {
       unreconciled.add(machine);
     }
   }
 
-  /** The job ended; tasks of it that earlier terms launched may still be on machines. */
+  /** Handles the end of a job whose tasks from earlier terms may still be on machines. */
   public void onJobEnded(Job job) {
     if (!allReconciled()) {
       endedJobs.add(job);
     }
   }
 
-  /** Every machine is reconciled: what may run of ended jobs is known. */
+  /** Discards the ended jobs once every machine is reconciled. */
   public void clearEndedJobs() {
     endedJobs.clear();
   }
 
-  /** Machine types have become known: machines that counted beyond any limit are measured. */
+  /** Recomputes the usage of unreconciled machines after machine types have become known. */
   public void recountUnreconciled() {
     unreconciled.recount(machines.values());
   }
 
-  /** Part of the machine ledger could not be read: there may be unknown machines. */
+  /** Marks the machine ledger as incomplete, so that unknown machines may exist. */
   public void setLedgerIncomplete() {
     unreconciled.setLedgerIncomplete(true);
   }
 
-  /** Whether every machine that earlier terms may have used is reconciled. */
+  /** Returns whether every machine that earlier terms may have used is reconciled. */
   public boolean allReconciled() {
     return unreconciled.isEmpty();
   }
 
-  /** The most that tasks of earlier terms may hold on machines that are not reconciled yet. */
+  /**
+   * Returns the maximum resources that tasks of earlier terms may hold on unreconciled machines.
+   */
   public Resources maxUnreconciledUsage() {
     return unreconciled.maxUsage();
   }
 
   /**
-   * Takes a heartbeat in.
+   * Processes a heartbeat.
    *
-   * @param types the machine types that are known, by name
-   * @param answersMayBeLate whether this leader's own answers may have been too late to be read
-   * @return the machine; null: the heartbeat is older than one seen before and must not be answered
-   *     with commands
+   * @param types the known machine types by name
+   * @param answersMayBeLate whether answers of this leader may have arrived too late to be
+   *     processed
+   * @return the machine, or {@code null} if the heartbeat is outdated and must not be answered with
+   *     commands
    */
   public Machine onHeartbeat(
       WorkerHeartbeat heartbeat,
@@ -136,17 +139,17 @@
       return null;
     }
     if (machine.isReconciled() && !currentToken) {
-      // A worker never forgets a token while its process runs, so this is of an earlier process on
-      // that machine: a late copy from before a restart, whose epoch may well be the higher one.
-      // Taken for newer, it "disproved" what had been launched since, and that ran twice.
+      // A worker process never forgets a token, so this is a late copy from an earlier process on
+      // the machine, and its epoch may even be higher. Accepting it would end placements launched
+      // since, and their tasks would run twice.
       return null;
     }
     boolean newEpoch = state.agentEpoch() != 0 && heartbeat.agentEpoch() != state.agentEpoch();
     detectAnswerLoss(machine, heartbeat, currentToken, answersMayBeLate, now);
     updateMachine(machine, heartbeat, types, now);
     if (newEpoch) {
-      // The worker killed and forgot everything when its lease expired.
-      placements.dropIf(
+      // The worker stopped all tasks and discarded its state when its lease expired.
+      placements.removeIf(
           machine,
           placement -> placement.launchEpoch < heartbeat.agentEpoch(),
           "its worker began a new session",
@@ -196,7 +199,7 @@
     state.answerLossDetector().onHeartbeat(evidence, answersMayBeLate, now);
   }
 
-  /** What became of the launches that the machine's last answer held. */
+  /** Returns the outcome of the launches in the last answer to the machine. */
   private static AnswerEvidence.LaunchOutcome launchOutcome(
       Machine machine, WorkerHeartbeat heartbeat) {
     AnswerEvidence.LaunchOutcome outcome = AnswerEvidence.LaunchOutcome.NONE;
@@ -253,9 +256,9 @@
     }
     machine.setReconciled(true);
     unreconciled.markReconciled(machine);
-    // Commands travel only in answers, and the worker made this heartbeat after it had executed or
-    // dropped every earlier answer: what it does not list is not there.
-    placements.dropIf(
+    // Commands are sent only in answers, and the worker created this heartbeat after it had
+    // executed or dropped every earlier answer. A task missing from its list is not on the machine.
+    placements.removeIf(
         machine,
         placement -> {
           WorkerHeartbeat.TaskStatus reported = listed.get(placement.taskId());
@@ -275,12 +278,12 @@
     }
   }
 
-  /** Accepts the results in a heartbeat of a deleted machine, and nothing else of it. */
+  /** Accepts only the task results in a heartbeat of a deleted machine. */
   public void acceptResults(WorkerHeartbeat heartbeat, MonotonicTime now) {
     taskStatuses.acceptResults(heartbeat, now);
   }
 
-  /** Places an attempt that the answer to the machine's heartbeat launches. */
+  /** Adds a placement for an attempt launched by the answer to the machine's heartbeat. */
   public TaskPlacement launch(
       Job job, int index, Attempt attempt, Machine machine, boolean backfilled, MonotonicTime now) {
     TaskPlacement placement = placements.add(job, index, attempt, machine, now);
@@ -289,12 +292,16 @@
     return placement;
   }
 
-  /** The cloud confirmed a deletion: the machine and all on it are gone; null: it was not known. */
+  /**
+   * Removes a machine and its placements after the cloud confirmed its deletion.
+   *
+   * @return the machine, or {@code null} if it was unknown
+   */
   public Machine onMachineDeleted(MachineId id, MonotonicTime now) {
     Machine machine = machines.remove(id);
     if (machine != null) {
       unreconciled.markReconciled(machine);
-      placements.dropAll(machine, "its machine was returned", now);
+      placements.removeAll(machine, "its machine was returned", now);
     }
     return machine;
   }
@@ -302,38 +309,40 @@
   /**
    * Ends the placements on machines whose lease has certainly expired.
    *
-   * <p>A successor that was elected without this leader knowing may have answered the machine and
-   * so renewed its lease. Only a lease that expired while nobody else can have been elected proves
-   * anything; judged by the present time, a task was started again while it ran.
+   * <p>A successor that was elected without this leader's knowledge may have answered the machine
+   * and renewed its lease. Only expiry during a period in which no other controller can have been
+   * elected is proof. Comparing with the current time could restart a task that is still running.
    *
-   * @param soleLeaderUntil nobody else was elected before this
+   * @param soleLeaderUntil time before which no other controller was elected
    */
   public void expireLeases(MonotonicTime now, MonotonicTime soleLeaderUntil) {
-    MonotonicTime provenUntil = MonotonicTime.earlier(now, soleLeaderUntil);
-    MonotonicTime earlierAnswersUntil = leaderSince.plus(policy.leaseRenewalWindow());
+    MonotonicTime provenSoleLeaderUntil = MonotonicTime.earlier(now, soleLeaderUntil);
+    MonotonicTime earlierTermRenewalsUntil = leaderSince.plus(policy.leaseRenewalWindow());
     if (unreconciled.isLedgerIncomplete()
-        && !provenUntil.before(earlierAnswersUntil.plus(policy.leaseExpiryBound()))) {
+        && !provenSoleLeaderUntil.before(
+            earlierTermRenewalsUntil.plus(policy.leaseExpiryBound()))) {
       LOG.info("machine ledger incomplete: leases of all missing machines have expired");
       unreconciled.setLedgerIncomplete(false);
     }
     for (Machine machine : machines.values()) {
-      MonotonicTime lastRenewal = lastLeaseRenewal(machine, earlierAnswersUntil);
-      if (!provenUntil.before(lastRenewal.plus(policy.leaseExpiryBound()))) {
+      MonotonicTime lastRenewal = lastLeaseRenewal(machine, earlierTermRenewalsUntil);
+      if (!provenSoleLeaderUntil.before(lastRenewal.plus(policy.leaseExpiryBound()))) {
         expireLease(machine, now);
       }
     }
   }
 
   /**
-   * The lease counts from when the last answered heartbeat was sent, which was before it came. One
-   * that was not answered with 200 renews nothing: a worker that got no answers held up a failover
-   * without end when each of its heartbeats counted.
+   * Returns the time from which the machine's lease counts, based on the arrival of the last
+   * answered heartbeat, which was sent earlier. A heartbeat that was not answered with status 200
+   * renews nothing; counting it would let a worker that receives no answers delay a failover
+   * indefinitely.
    */
   private static MonotonicTime lastLeaseRenewal(
-      Machine machine, MonotonicTime earlierAnswersUntil) {
+      Machine machine, MonotonicTime earlierTermRenewalsUntil) {
     return machine.isReconciled()
         ? machine.heartbeats().lastAnsweredAt()
-        : MonotonicTime.later(machine.heartbeats().lastAnsweredAt(), earlierAnswersUntil);
+        : MonotonicTime.later(machine.heartbeats().lastAnsweredAt(), earlierTermRenewalsUntil);
   }
 
   private void expireLease(Machine machine, MonotonicTime now) {
@@ -342,7 +351,7 @@
       unreconciled.markReconciled(machine);
     }
     if (!machine.placements.isEmpty()) {
-      placements.dropAll(machine, "its machine was silent until its lease was over", now);
+      placements.removeAll(machine, "its machine was silent until its lease was over", now);
     }
   }
 }
--- a/src/main/java/io/saltflow/fencing/TaskStatusReconciler.java
+++ b/src/main/java/io/saltflow/fencing/TaskStatusReconciler.java
@@ -11,11 +11,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reconciles the status of single tasks, as a heartbeat lists it, with their placements. */
+/** Reconciles each task status in a heartbeat with the placements. */
 final class TaskStatusReconciler {
   private static final Logger LOG = LoggerFactory.getLogger(TaskStatusReconciler.class);
 
-  /** Reason of the exit of a replica that no command stopped. */
+  /** Exit reason of a replica that ended without a stop command. */
   static final String EXITED_BY_ITSELF = "it ended by itself";
 
   private final Map<JobId, Job> jobs;
@@ -38,9 +38,10 @@
   }
 
   /**
-   * Reconciles one task of a machine's heartbeat.
+   * Reconciles one task in a heartbeat of a machine.
    *
-   * @param currentToken whether the worker had seen this term's fencing token when it made the list
+   * @param currentToken whether the worker had received this term's fencing token when it created
+   *     the list
    */
   void reconcile(
       Machine machine,
@@ -58,14 +59,14 @@
       return;
     }
     if (job == null) {
-      // Cancelled between the machine's first answer and this heartbeat, which reconciles the
-      // machine. Not counted, the task let its team start another while the halt that answers this
-      // heartbeat was lost, and both ran beyond the team's limit.
+      // The job was cancelled between the machine's first answer and this heartbeat, which
+      // reconciles the machine. The task must count towards the team's limit, because the answer
+      // with its stop command may be lost and the team could then exceed its limit.
       job = endedJobs.find(reported.task().job());
     }
     if (!currentToken || job == null || reported.task().index() >= job.spec.tasks()) {
-      // A list made before our token was seen may be minutes old: taking a task from it as present
-      // would hide where the task really is.
+      // A list created before the worker received this term's token may be minutes old. Adopting a
+      // task from it could hide where the task actually runs.
       return;
     }
     if (!known) {
@@ -77,12 +78,16 @@
     updateState(placement, reported.state(), now);
   }
 
-  /** Places a task that the machine runs and this leader did not launch; null: it is elsewhere. */
+  /**
+   * Adds a placement for a task that this leader did not launch.
+   *
+   * @return the placement, or {@code null} if the task is placed elsewhere
+   */
   private TaskPlacement adopt(
       Job job, Machine machine, WorkerHeartbeat.TaskStatus reported, MonotonicTime now) {
     if (job.placements.get(reported.task().index()) != null) {
-      // A heartbeat that was held back until its machine's lease expired; the next one is of a new
-      // agent epoch. The task stays where it was launched since.
+      // This heartbeat was delayed until its machine's lease expired, and the next one will carry a
+      // new agent epoch. The task stays where it was launched since.
       eventSummary.countEvent(
           "tasks in outdated heartbeats ignored", reported.task() + " of " + machine.id);
       return null;
@@ -116,14 +121,14 @@
       placement.job.replicas().recordStartLatency(now.since(placement.launchedAt));
     }
     LOG.debug(
-        "{} runs on {}, {} s after its launch",
+        "task {} running on machine {}, {} s after its launch",
         placement.taskId(),
         placement.machine.id,
         now.since(placement.launchedAt).toSeconds());
     placement.machine.addCachedImage(placement.job.spec.image());
   }
 
-  /** Accepts only the results of a heartbeat, of a machine that is deleted. */
+  /** Accepts only the task results in a heartbeat of a deleted machine. */
   void acceptResults(WorkerHeartbeat heartbeat, MonotonicTime now) {
     for (WorkerHeartbeat.TaskStatus reported : heartbeat.tasks()) {
       Job job = jobs.get(reported.task().job());
@@ -145,7 +150,7 @@
     }
     int index = reported.task().index();
     if (reported.cause() == WorkerHeartbeat.ExitCause.DONE && !job.spec.daemon()) {
-      // A result is kept whichever attempt brought it, however late the heartbeat is.
+      // A result is accepted from any attempt, however late the heartbeat arrives.
       if (!job.done.get(index)) {
         listener.onDone(job, index, placement, now);
       }
@@ -158,7 +163,7 @@
       case ERROR -> listener.onFailed(job, index, machine, now);
       case STOPPED -> listener.onStopped(placement, reported.checkpointSaved(), now);
       case DONE -> listener.onLost(placement, EXITED_BY_ITSELF, now);
-      default -> listener.onRefused(placement, reported.cause(), now);
+      default -> listener.onLaunchRefused(placement, reported.cause(), now);
     }
   }
 }
--- a/src/main/java/io/saltflow/fencing/UnreconciledMachines.java
+++ b/src/main/java/io/saltflow/fencing/UnreconciledMachines.java
@@ -5,25 +5,27 @@
 import java.util.Collection;
 
 /**
- * Counts the machines that may still run tasks of earlier terms, and the resources these may hold.
- * Kept up to date with each heartbeat: a sum over thousands of machines at each heartbeat took most
- * of a failover.
+ * Counts the machines that may still run tasks of earlier terms and the resources that these may
+ * hold. The totals are updated incrementally, because summing over thousands of machines at each
+ * heartbeat would slow down a failover.
  */
 final class UnreconciledMachines {
-  private static final Resources BEYOND_ANY_LIMIT = new Resources(1e9, 1e9, 1e9);
+  private static final Resources UNBOUNDED = new Resources(1e9, 1e9, 1e9);
 
   private int count;
   private Resources totalSize = Resources.ZERO;
   private boolean ledgerIncomplete;
 
-  /** Counts a machine that may run tasks of earlier terms. */
+  /**
+   * Adds a machine that may run tasks of earlier terms. An unknown type counts as unbounded usage.
+   */
   void add(Machine machine) {
     count++;
-    machine.setUnreconciledSize(machine.type() == null ? BEYOND_ANY_LIMIT : machine.type().size());
+    machine.setUnreconciledSize(machine.type() == null ? UNBOUNDED : machine.type().size());
     totalSize = totalSize.plus(machine.unreconciledSize());
   }
 
-  /** Counts anew once types are known: machines of an unknown type count beyond any limit. */
+  /** Recomputes the totals after machine types have become known. */
   void recount(Collection<Machine> machines) {
     count = 0;
     totalSize = Resources.ZERO;
@@ -34,33 +36,36 @@
     }
   }
 
-  /** What earlier terms launched on the machine is known now, or gone. */
+  /** Removes a machine whose tasks of earlier terms are known or have ended. */
   void markReconciled(Machine machine) {
     if (machine.mayRunEarlierTermTasks()) {
       machine.setMayRunEarlierTermTasks(false);
       count--;
-      // Rounding leaves a remainder in a sum of amounts: with no machine left it is exactly zero.
+      // Subtraction leaves a rounding error, so the total is reset when no machine remains.
       totalSize = count == 0 ? Resources.ZERO : totalSize.minus(machine.unreconciledSize());
     }
   }
 
-  /** Whether part of the machine ledger could not be read, so that machines may be unknown. */
+  /**
+   * Returns whether part of the machine ledger could not be read, so that unknown machines may
+   * exist.
+   */
   boolean isLedgerIncomplete() {
     return ledgerIncomplete;
   }
 
-  /** Notes whether part of the machine ledger could not be read. */
+  /** Sets whether part of the machine ledger could not be read. */
   void setLedgerIncomplete(boolean incomplete) {
     ledgerIncomplete = incomplete;
   }
 
-  /** Whether every machine that earlier terms may have used is reconciled. */
+  /** Returns whether every machine that earlier terms may have used is reconciled. */
   boolean isEmpty() {
     return !ledgerIncomplete && count == 0;
   }
 
-  /** The most that tasks on all of these machines may hold. */
+  /** Returns the maximum resources that tasks on all of these machines may hold. */
   Resources maxUsage() {
-    return ledgerIncomplete ? BEYOND_ANY_LIMIT : totalSize;
+    return ledgerIncomplete ? UNBOUNDED : totalSize;
   }
 }
--- a/src/main/java/io/saltflow/leader/ClusterState.java
+++ b/src/main/java/io/saltflow/leader/ClusterState.java
@@ -11,17 +11,17 @@
 import java.util.Map;
 
 /**
- * The cluster as the leader knows it. The parts of the core share it; all of them run on one
+ * State of the cluster as known to the leader, shared by the parts of the core, which run on one
  * thread.
  *
  * @param policy the operators' settings
  * @param term the term in which this controller leads
  * @param jobs the jobs that have not ended
- * @param machineTypes the machine types that the cloud offers, by name; empty until it was asked
- * @param reconciler the machines and where each task may be
- * @param estimates predicted run times
- * @param quotaUsage what the teams use of their quotas
- * @param eventSummary where events and conditions are counted for the log
+ * @param machineTypes the machine types that the cloud offers, by name; empty until they are read
+ * @param reconciler the machines and the placements of tasks
+ * @param estimates the predicted run times
+ * @param quotaUsage the teams' usage of their quotas
+ * @param eventSummary counts events and conditions for the log
  */
 record ClusterState(
     Policy policy,
@@ -32,7 +32,7 @@
     RunTimeEstimates estimates,
     QuotaUsage quotaUsage,
     EventSummary eventSummary) {
-  /** Every known machine, in the order in which they became known. */
+  /** Returns all known machines in the order in which they became known. */
   Collection<Machine> machines() {
     return reconciler.machines();
   }
--- a/src/main/java/io/saltflow/leader/HealthMonitor.java
+++ b/src/main/java/io/saltflow/leader/HealthMonitor.java
@@ -30,7 +30,10 @@
     this.eventSummary = eventSummary;
   }
 
-  /** Checks everything if the last check is a second ago, and flushes the event summary. */
+  /**
+   * Checks all conditions and flushes the event summary if a second has passed since the last
+   * check.
+   */
   void check(
       Collection<Machine> machines,
       Collection<Job> jobs,
@@ -64,14 +67,17 @@
       }
     }
     eventSummary.updateCondition(
-        EventSummary.PersistentCondition.SILENT_MACHINES, silent, tasks + " tasks on them", now);
+        EventSummary.PersistentCondition.SILENT_MACHINES,
+        silent,
+        tasks + " tasks placed on them",
+        now);
     eventSummary.updateCondition(
         EventSummary.PersistentCondition.ANSWERS_LOST,
         unreachable,
-        "no more tasks launched on them",
+        "no tasks are launched on them",
         now);
     eventSummary.updateCondition(
-        EventSummary.PersistentCondition.SLOW_BOOT, overdue, "others created instead", now);
+        EventSummary.PersistentCondition.SLOW_BOOT, overdue, "replacements are created", now);
   }
 
   private void checkDeadlines(Collection<Job> jobs, MonotonicTime now) {
@@ -87,7 +93,7 @@
     eventSummary.updateCondition(
         EventSummary.PersistentCondition.OVERDUE_JOBS,
         late,
-        "at most by " + Math.round(maxSecondsLate) + " s",
+        "by up to " + Math.round(maxSecondsLate) + " s",
         now);
   }
 
@@ -110,15 +116,17 @@
         EventSummary.PersistentCondition.GUARANTEE_UNMET,
         jobs,
         tasks
-            + " tasks for more than "
+            + " tasks waiting for more than "
             + Math.round(policy.guaranteeStartTarget().toSeconds())
             + " s",
         now);
   }
 
-  /** Classes and teams that have waited for long and have less of the cluster than they need. */
+  /**
+   * Checks for classes and teams that have waited long and hold less of the cluster than they need.
+   */
   private void checkFairShares(FairShareScheduler fairShare, MonotonicTime now) {
-    Set<String> ended = eventSummary.active(EventSummary.PersistentCondition.FAIR_SHARE_UNMET);
+    Set<String> cleared = eventSummary.active(EventSummary.PersistentCondition.FAIR_SHARE_UNMET);
     fairShare
         .shareStatuses()
         .forEach(
@@ -126,12 +134,12 @@
               if (!shareStatus.isWaiting()) {
                 return;
               }
-              ended.remove(group.toString());
-              String note =
+              cleared.remove(group.toString());
+              String details =
                   String.format(
                       Locale.ROOT,
-                      "it has %.0f%% of the cluster and needs %.0f%%, its minimum share is %.0f%%,"
-                          + " the longest wait is %.0f s",
+                      "share %.0f%% of the cluster, demand %.0f%%, minimum share %.0f%%,"
+                          + " longest wait %.0f s",
                       100 * fairShare.heldFraction(group),
                       100 * shareStatus.demand(),
                       100 * shareStatus.minimumShare(),
@@ -140,10 +148,10 @@
                   EventSummary.PersistentCondition.FAIR_SHARE_UNMET,
                   group.toString(),
                   shareStatus.waitingJobs(),
-                  note,
+                  details,
                   now);
             });
-    for (String name : ended) {
+    for (String name : cleared) {
       eventSummary.updateCondition(
           EventSummary.PersistentCondition.FAIR_SHARE_UNMET, name, 0, "", now);
     }
--- a/src/main/java/io/saltflow/leader/InheritedState.java
+++ b/src/main/java/io/saltflow/leader/InheritedState.java
@@ -6,12 +6,12 @@
 import java.util.List;
 
 /**
- * What a new leader read from the key-value store before it began to act.
+ * State that a new leader reads from the key-value store before it acts.
  *
  * @param jobs the live jobs with their recorded progress
- * @param ledger the machines that earlier leaders recorded before they used them
+ * @param ledger the machines that earlier leaders recorded before using them
  * @param ledgerComplete whether every page of the ledger could be read
- * @param machineTypes the machine types that are known already; empty until the cloud was asked
+ * @param machineTypes the machine types known so far; empty until they are read from the cloud
  */
 public record InheritedState(
     Collection<Job> jobs,
@@ -19,7 +19,7 @@
     boolean ledgerComplete,
     Collection<MachineType> machineTypes) {
 
-  /** The state of a cluster that has no job and no machine yet. */
+  /** Returns the state of a cluster without jobs and machines. */
   public static InheritedState empty(Collection<MachineType> machineTypes) {
     return new InheritedState(List.of(), List.of(), true, machineTypes);
   }
--- a/src/main/java/io/saltflow/leader/JobLifecycle.java
+++ b/src/main/java/io/saltflow/leader/JobLifecycle.java
@@ -21,8 +21,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The way of a job from its submission to its end, and which of it has to be written to the
- * key-value store. The caller reads and writes the records and reports each result here.
+ * Tracks each job from submission to its end and selects the job records to write to the key-value
+ * store. The caller reads and writes the records and reports each result here.
  */
 public final class JobLifecycle {
   private static final Logger LOG = LoggerFactory.getLogger(JobLifecycle.class);
@@ -48,7 +48,7 @@
     this.roundTrigger = roundTrigger;
   }
 
-  /** Takes over the jobs that were read at the election. */
+  /** Restores the jobs that were read after the election. */
   void restore(Collection<Job> inherited) {
     for (Job job : inherited) {
       add(job);
@@ -56,22 +56,22 @@
     cluster.jobs().dependencies().onFailover();
   }
 
-  /** The jobs that are scheduled; those that are held by their dependencies are not among them. */
+  /** Returns the scheduled jobs, without those held by their dependencies. */
   public Collection<Job> scheduled() {
     return scheduled.values();
   }
 
-  /** The ids of all jobs that are known to be live, held ones too. */
+  /** Returns the ids of all live jobs, including held ones. */
   public List<JobId> liveIds() {
     return cluster.jobs().ids();
   }
 
-  /** A live job, whether it is scheduled or held by its dependencies; null if it is not known. */
+  /** Returns the live job with this id, scheduled or held, or {@code null} if it is unknown. */
   public Job find(JobId id) {
     return cluster.jobs().find(id);
   }
 
-  /** A job is scheduled at once, unless it awaits the end of others. */
+  /** Schedules a job unless its dependencies hold it. */
   private void add(Job job) {
     long leaderSinceMs = cluster.term().wallClockMs(cluster.term().since());
     boolean held = cluster.jobs().dependencies().onJobAdded(job, leaderSinceMs);
@@ -82,8 +82,8 @@
   }
 
   /**
-   * A deadline counts from the submission, the targets of its class from the end of the last
-   * dependency.
+   * Sets the deadline of a job, which counts from its submission, and the targets of its class,
+   * which count from the end of its last dependency.
    */
   private void setDeadlines(Job job) {
     job.queueState().setEligibleAt(cluster.term().monotonicTime(job.queueState().eligibleWallMs()));
@@ -117,16 +117,16 @@
     }
   }
 
-  /** Adds a job to the lane of its priority, in the order of arrival. */
+  /** Adds a job to the lane of its priority, ordered by arrival. */
   public void onAdded(JobSpec spec, long arrivedWallMs, boolean mayHaveStarted) {
     Lane lane = Lane.of(spec.priority());
     onAdded(spec, arrivedWallMs, mayHaveStarted, lane, new AdmissionPosition(0, 0));
   }
 
   /**
-   * The record of a live job was read. A job that is known already is left as it is.
+   * Adds a job whose live record was read. Has no effect if the job is known already.
    *
-   * @param arrivedWallMs when it was submitted, in milliseconds since the epoch
+   * @param arrivedWallMs when the job was submitted, in milliseconds since the epoch
    * @param mayHaveStarted whether an earlier leader may have launched some of its tasks
    */
   public void onAdded(
@@ -153,9 +153,9 @@
   }
 
   /**
-   * The record of a job was deleted though this leader did not end it: a user cancelled it. Its
-   * dependents stay held until the record of its end was read, as an end written by this leader may
-   * have been carried out without a response.
+   * Cancels a job whose record was deleted by a user and not by this leader. Its dependents stay
+   * held until the record of its end is read, because an end written by this leader may have been
+   * committed although its response was lost.
    */
   public void onRemoved(JobId id, MonotonicTime now) {
     Job job = find(id);
@@ -167,16 +167,16 @@
   }
 
   /**
-   * The record of a job's end was read: it is done.
+   * Processes the completion record of a job that is done.
    *
-   * @param endedMs when it ended, in milliseconds since the epoch
+   * @param endedMs when the job ended, in milliseconds since the epoch
    */
   public void onCompletionRead(JobId id, long endedMs, MonotonicTime now) {
     cluster.jobs().dependencies().onJobDone(id, endedMs);
     scheduleReleased(now);
   }
 
-  /** The record of a job's end was read or written: it is cancelled. */
+  /** Cancels a job whose cancellation record was read or written. */
   public void onCancellationRead(JobId id, MonotonicTime now) {
     Job job = find(id);
     cluster.jobs().dependencies().onJobCancelled(id);
@@ -197,7 +197,7 @@
     removeIfStopped(job);
   }
 
-  /** A cancelled job is dropped once none of its tasks may be on a machine. */
+  /** Removes a cancelled job once none of its tasks may be on a machine. */
   void removeIfStopped(Job job) {
     if (job.isCancelled() && job.placements.isEmpty()) {
       scheduled.remove(job.id());
@@ -207,9 +207,9 @@
   }
 
   /**
-   * Sets how many replicas a version of a service has; more are stopped.
+   * Sets the desired replicas of one version of a service. Excess replicas are stopped.
    *
-   * @param disruptions the budget that all versions of the service share
+   * @param disruptions the disruption budget shared by all versions of the service
    */
   public void setDesiredReplicas(JobId id, DesiredReplicas desired, DisruptionBudget disruptions) {
     Job job = scheduled.get(id);
@@ -222,7 +222,7 @@
     }
   }
 
-  /** Stops what a service has beyond its desired replicas. */
+  /** Stops the replicas of a service that exceed the desired number. */
   void stopExcessReplicas(Job job, MonotonicTime now) {
     if (!job.isService()) {
       return;
@@ -235,7 +235,7 @@
     }
   }
 
-  /** The jobs whose last task is done and whose end is not recorded yet. */
+  /** Returns the jobs whose tasks are all done and whose completion is not recorded yet. */
   public List<Job> toFinish() {
     List<Job> unfinished = new ArrayList<>();
     for (Job job : scheduled.values()) {
@@ -246,12 +246,16 @@
     return unfinished;
   }
 
-  /** The end of a job is being written, or was certainly not. */
+  /**
+   * Sets whether the completion record of a job is being written.
+   *
+   * @param writeInFlight {@code false} only if the record was certainly not written
+   */
   public void setFinishing(Job job, boolean writeInFlight) {
     job.setFinishing(writeInFlight);
   }
 
-  /** The end of a job is recorded: all its tasks are done. */
+  /** Removes a job whose completion was recorded and releases its dependents. */
   public void onFinished(Job job, MonotonicTime now) {
     if (scheduled.remove(job.id()) != null) {
       decisions.onJobDone(job);
@@ -266,7 +270,7 @@
     onCompletionRead(job.id(), cluster.term().wallClockMs(now), now);
   }
 
-  /** The jobs with progress that the key-value store does not hold yet. */
+  /** Returns the jobs with progress that is not in the key-value store yet. */
   public List<Job> toRecord() {
     List<Job> unrecorded = new ArrayList<>();
     for (Job job : scheduled.values()) {
@@ -277,12 +281,15 @@
     return unrecorded;
   }
 
-  /** The present progress of a job is being written. */
+  /** Marks the current progress of a job as being written. */
   public void onRecordingStarted(Job job) {
     job.setUnrecordedProgress(false);
   }
 
-  /** The jobs whose record has to say that they may be started before they are; each once. */
+  /**
+   * Returns the jobs that must be recorded as possibly started before their first launch, each job
+   * once.
+   */
   public List<Job> toMarkStarted() {
     List<Job> unmarked = new ArrayList<>();
     for (Job job : scheduled.values()) {
@@ -295,7 +302,10 @@
   }
 
   /**
-   * The key-value store holds that a job may have been started, and which of its tasks are done.
+   * Handles a successful write of a job's progress, which also records that the job may have
+   * started.
+   *
+   * @param doneTasks the tasks recorded as done
    */
   public void onProgressRecorded(Job job, BitSet doneTasks) {
     job.setRecordedTasks(doneTasks);
--- a/src/main/java/io/saltflow/leader/LeaderCore.java
+++ b/src/main/java/io/saltflow/leader/LeaderCore.java
@@ -33,19 +33,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The core of the leading controller for one term: a deterministic state machine without I/O.
- * Events and the time of each go in; what to write, to launch, to stop, to create and to delete
- * comes out. It has no sockets, no clock and no random numbers, and runs on one thread.
+ * Deterministic state machine of the leader for one term. It takes events with their timestamps and
+ * returns the records to write, the tasks to launch and stop, and the machines to create and
+ * delete. It performs no I/O, reads no clock, uses no random numbers and runs on a single thread.
  */
 public final class LeaderCore {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderCore.class);
 
-  /** Ticks are at least this part of the time between two rounds apart. */
-  private static final double TICK_SHARE_OF_ROUND_INTERVAL = 0.25;
+  /** Minimum time between two ticks, as a fraction of the minimum time between two rounds. */
+  private static final double MIN_TICK_INTERVAL_FRACTION = 0.25;
 
   /**
-   * A heartbeat with so many tasks, each of which may take about 130 bytes, is well below the 64
-   * KiB that a body may have: a machine that lists so many results gets no more launches.
+   * Number of tasks in a heartbeat at which its machine gets no further launches. At about 130
+   * bytes per task, the heartbeat stays well below the maximum body size of 64 KiB.
    */
   private static final int MAX_TASKS_IN_HEARTBEAT = 400;
 
@@ -66,10 +66,10 @@
   private MonotonicTime lastTick = MonotonicTime.LONG_AGO;
 
   /**
-   * Begins a term.
+   * Starts a term with the state that was read after the election.
    *
-   * @param inherited what was read from the key-value store after the election
-   * @param now the monotonic clock
+   * @param inherited the state read from the key-value store after the election
+   * @param now the current time of the monotonic clock
    * @param wallClockMs the wall clock at the same moment, in milliseconds since the epoch
    */
   public LeaderCore(
@@ -131,61 +131,61 @@
         inherited.ledger().size());
   }
 
-  /** The term in which this controller leads. */
+  /** Returns the term in which this controller leads. */
   public Term term() {
     return cluster.term().number();
   }
 
-  /** The jobs: what becomes of them, and what of it is to be written. */
+  /** Returns the lifecycle of the jobs, including the job records to write. */
   public JobLifecycle jobs() {
     return jobs;
   }
 
-  /** The machines: which to create, to record and to delete. */
+  /** Returns the lifecycle of the machines: those to create, to record and to delete. */
   public MachineLifecycle machines() {
     return machines;
   }
 
-  /** The jobs that depend on others. */
+  /** Returns the tracker of dependencies between jobs. */
   public DependencyTracker dependencies() {
     return cluster.jobs().dependencies();
   }
 
-  /** What is decided and recorded beside launches. */
+  /** Returns the recorded decisions other than launches. */
   public RecordedDecisions decisions() {
     return decisions;
   }
 
-  /** The wall clock in milliseconds since the epoch, as far as it was known at the election. */
+  /** Returns the wall clock extrapolated from the election, in milliseconds since the epoch. */
   public long wallClockMs(MonotonicTime now) {
     return cluster.term().wallClockMs(now);
   }
 
   /**
-   * Takes a worker's heartbeat in.
+   * Processes a worker's heartbeat.
    *
-   * @param mayLaunch whether the leader's lease allows it to start tasks now
-   * @return the commands that answer it; null when it must not be answered, as any answer renews
-   *     the worker's lease
+   * @param mayLaunch whether the leader lease currently permits launching tasks
+   * @return the commands that answer the heartbeat, or {@code null} if it must not be answered
+   *     because any answer renews the worker's lease
    */
   public List<WorkerCommand> onHeartbeat(
       WorkerHeartbeat heartbeat, boolean mayLaunch, MonotonicTime now) {
     if (machines.isDeleted(heartbeat.machine())) {
-      // A partition held the heartbeat back until its machine was deleted. Taken for a machine that
-      // is up, it kept its tasks from starting elsewhere until it was found silent and deleted
+      // A partition delayed this heartbeat until its machine was deleted. Treating the machine as
+      // up would block its tasks from restarting elsewhere until it is found silent and deleted
       // again.
       reconciler.acceptResults(heartbeat, now);
       return null;
     }
     Machine machine = reconcile(heartbeat, now);
     if (machine == null) {
-      // A late duplicate proves nothing, not even that a worker can reach this leader.
+      // A late duplicate does not prove that the worker can currently reach this leader.
       return null;
     }
     if (machine.mayRunEarlierTermTasks()
         && machine.heartbeats().answerLossDetector().answersCertainlyLost()) {
-      // It has seen no answer of this leader, and whether it sees the next one nobody would know.
-      // Without an answer its lease expires for certain before long.
+      // The worker has received no answer of this leader, and the leader could not tell whether the
+      // next one arrives. Without an answer, the worker's lease is certain to expire soon.
       return null;
     }
     machine.heartbeats().setLastAnsweredAt(now);
@@ -200,7 +200,7 @@
     return commandsFor(machine, heartbeat, mayLaunch, now);
   }
 
-  /** The machine as it is after its heartbeat; null if a newer one was seen before. */
+  /** Returns the updated machine, or {@code null} if a newer heartbeat was received before. */
   private Machine reconcile(WorkerHeartbeat heartbeat, MonotonicTime now) {
     Machine known = reconciler.findMachine(heartbeat.machine());
     boolean wasUsable = known != null && known.isReconciled() && !known.isUnresponsive();
@@ -228,7 +228,7 @@
     if (rounds.isDue(now)) {
       rounds.run(now);
     } else if (machine.schedulable()) {
-      rounds.fill(machine, now);
+      rounds.fillMachine(machine, now);
     }
     if (!machine.isReconciled()) {
       workerCommands.stopEndedJobs(heartbeat, commands);
@@ -243,19 +243,20 @@
     return commands;
   }
 
-  /** As {@link #tick(MonotonicTime, MonotonicTime)}, of a leader that cannot have been replaced. */
+  /** Runs a tick for a leader that cannot have been replaced. */
   public void tick(MonotonicTime now) {
     tick(now, now);
   }
 
   /**
-   * Handles what time alone brings about: expired leases, reclaimed machines and a scheduling
-   * round. It looks at every machine and task, so with a large cluster most calls return at once.
+   * Handles timed events: lease expiry, reclaimed machines and scheduling rounds. A tick examines
+   * every machine and task, so most calls return at once in a large cluster.
    *
-   * @param soleLeaderUntil nobody else was elected before this ({@link LeaderLease#renewedAt()})
+   * @param soleLeaderUntil time before which no other controller was elected ({@link
+   *     LeaderLease#renewedAt()})
    */
   public void tick(MonotonicTime now, MonotonicTime soleLeaderUntil) {
-    TimeSpan minInterval = rounds.minInterval().times(TICK_SHARE_OF_ROUND_INTERVAL);
+    TimeSpan minInterval = rounds.minInterval().times(MIN_TICK_INTERVAL_FRACTION);
     if (now.since(lastTick).compareTo(minInterval) < 0) {
       return;
     }
@@ -277,8 +278,8 @@
   }
 
   /**
-   * On a machine that the cloud is about to reclaim, tasks that can checkpoint do so; the others
-   * may still end in time.
+   * Requests checkpoints of the tasks on a machine that the cloud is about to reclaim. Tasks that
+   * cannot checkpoint keep running, as they may still finish in time.
    */
   private static void drain(Machine machine, MonotonicTime now) {
     if (machine.reclaimAt() == null) {
@@ -291,7 +292,7 @@
     }
   }
 
-  /** The waiting jobs by lane, and why the first of each does not start. */
+  /** Returns the waiting jobs by lane, with the reason why the first of each does not start. */
   public List<LaneSummary> queueView(MonotonicTime now) {
     return QueueView.of(
         rounds.waitingJobs(),
@@ -302,29 +303,29 @@
         now);
   }
 
-  /** The waiting jobs in the order of the last round. */
+  /** Returns the ids of the waiting jobs in the order of the last round. */
   public List<JobId> waitingJobIds() {
     return rounds.waitingJobs().stream().map(waitingJob -> waitingJob.job().id()).toList();
   }
 
-  /** The jobs within their team's guaranteed quota, as of the last round. */
+  /** Returns the jobs that were within their team's guaranteed quota in the last round. */
   Set<JobId> jobsWithinGuarantee() {
     return scheduler.guaranteedJobs();
   }
 
-  /** Whether every machine that an earlier leader may have used is reconciled. */
+  /** Returns whether every machine that an earlier leader may have used is reconciled. */
   public boolean isReconciled() {
     return reconciliation.isComplete();
   }
 
-  /** Sets what the message queues use of the teams' quotas, which they share with jobs. */
+  /** Sets the demand of the message queues, which share the quotas of the teams with jobs. */
   public void setQueueDemands(List<QueueDemand> demands) {
     quotaUsage.messageDemands(demands);
   }
 
   /**
-   * Whether a message may be delivered to its consumer: its team's quota has room for it besides
-   * what runs and besides the jobs that go before it by priority and arrival.
+   * Returns whether a message may be delivered to its consumer. The team's quota must have room for
+   * the message in addition to running tasks and to jobs ahead of it by priority and arrival.
    *
    * @param arrivedWallMs when the message arrived, in milliseconds since the epoch
    */
@@ -336,17 +337,17 @@
     return quotaUsage.mayDeliver(team, size, earlierDemand);
   }
 
-  /** How often a machine was examined for a task: tests bound the work of a round by it. */
+  /** Returns the number of machines examined for tasks, to bound the work of a round in tests. */
   long machinesExamined() {
     return scheduler.placementChecks();
   }
 
   /**
-   * Takes in what the work of the last second cost this process.
+   * Processes a sample of this process's load over the last second.
    *
-   * @param busy the part of it in which the event loop was at work, 0 to 1
-   * @param heap the part of the heap that is held, 0 to 1
-   * @param rejectedConnections connections that were closed for want of sockets
+   * @param busy fraction of the time in which the event loop was busy, 0 to 1
+   * @param heap fraction of the heap in use, 0 to 1
+   * @param rejectedConnections number of connections closed because no socket was available
    */
   public void onLoadSample(double busy, double heap, int rejectedConnections, MonotonicTime now) {
     int machineCount = cluster.machines().size();
@@ -361,26 +362,26 @@
             now);
   }
 
-  /** Whether all workers that should report have been silent: this leader may be cut off. */
+  /** Returns whether all expected workers are silent, so that this leader may be partitioned. */
   public boolean isCutOff(MonotonicTime now) {
     return workerContact.isCutOff(cluster.machines(), now);
   }
 
   /**
-   * This process was paused until now: that nothing was heard meanwhile is not the machines'
-   * silence. Leases go on, as they did on the workers.
+   * Handles the end of a process pause, in which missing heartbeats do not indicate silent
+   * machines. Worker leases kept running during the pause, as they did on the workers.
    */
   public void onProcessResumed(MonotonicTime now) {
     workerContact.onProcessResumed(now);
     capacity.onProcessResumed(now);
   }
 
-  /** How many jobs and machines there are, for the log. */
+  /** Returns the number of jobs and machines for the log. */
   public String sizeSummary() {
     return jobs.scheduled().size() + " jobs and " + cluster.machines().size() + " machines";
   }
 
-  /** The state of the cluster in one line, for the log. */
+  /** Returns the state of the cluster as one line for the log. */
   public String statusLine() {
     return StatusLine.format(
         jobs.scheduled().size(),
--- a/src/main/java/io/saltflow/leader/LeaderLease.java
+++ b/src/main/java/io/saltflow/leader/LeaderLease.java
@@ -6,23 +6,25 @@
 import io.saltflow.model.TimeSpan;
 
 /**
- * The leader's lease: what a controller may do by its election, as far as its own monotonic clock
- * can tell. All durations count from when the confirming request was sent, never from when its
- * response came.
+ * Leader lease: decides from this controller's monotonic clock which actions its election permits.
+ * All durations count from when the confirming request was sent, never from when its response
+ * arrived.
  *
- * <p>This is the one place that decides who may renew a worker's lease, and with it the bound on a
- * cancelled job's tasks: <em>no controller sends a response that renews a lease later than {@link
- * #workerRenewalBound} after the newest moment by which it certainly knows every confirmed
- * cancellation</em>. The tasks of a job that was cancelled after that moment end with the lease,
- * within {@code cancel_s} of the confirmation, whatever the key-value store does meanwhile.
+ * <p>Only this class decides who may renew a worker's lease, which bounds how long tasks of a
+ * cancelled job may run: <em>no controller sends a response that renews a lease later than {@link
+ * #workerRenewalBound} after the latest moment by which it certainly knows every confirmed
+ * cancellation</em>. The tasks of a job that is cancelled after that moment end with the lease,
+ * within {@code cancel_s} of the confirmation, regardless of the key-value store.
  */
 public final class LeaderLease {
-  /** For the way from the check to the act. */
+  /** Time allowed between the check of the lease and the action that it permits. */
   private static final TimeSpan SAFETY_MARGIN = TimeSpan.millis(100);
 
   private static final TimeSpan MAX_SYNC_AGE_FOR_LAUNCH = TimeSpan.seconds(5);
 
-  /** Of the time a cancellation has, this is left for its way to the leader and the worker. */
+  /**
+   * Part of the cancellation time that is reserved for delivery to the leader and to the worker.
+   */
   private static final TimeSpan CANCELLATION_DELIVERY_TIME = TimeSpan.seconds(5);
 
   private final TimeSpan leaderLease;
@@ -33,20 +35,20 @@
   private MonotonicTime renewedAt = MonotonicTime.LONG_AGO;
 
   /**
-   * Every cancellation confirmed before this is known here; long ago as long as none is known, as
-   * is the case from an election until the jobs have been read.
+   * Time before which every confirmed cancellation is known to this controller. Its value is {@link
+   * MonotonicTime#LONG_AGO} from an election until the jobs have been read.
    */
   private MonotonicTime syncedAt = MonotonicTime.LONG_AGO;
 
-  /** What was confirmed before this is not acted on: the process was paused since. */
+  /** End of the last process pause. Launches require a lease renewal sent at or after this time. */
   private MonotonicTime resumedAt = MonotonicTime.LONG_AGO;
 
   /**
-   * A lease that is not held yet.
+   * Creates a lease that is not held yet.
    *
-   * @param leaderLease how long the leader key lives without a renewal
-   * @param renewalAfterSync how long workers' leases are renewed without news of the jobs ({@link
-   *     #workerRenewalBound})
+   * @param leaderLease how long the leader key exists without a renewal
+   * @param renewalAfterSync how long worker leases are renewed after the last synchronization of
+   *     the jobs ({@link #workerRenewalBound})
    */
   public LeaderLease(TimeSpan leaderLease, TimeSpan renewalAfterSync) {
     this.leaderLease = leaderLease;
@@ -54,11 +56,11 @@
   }
 
   /**
-   * How long a leader may renew workers' leases without news of the jobs; zero if the settings
-   * leave no time for that.
+   * Returns how long a leader may renew worker leases after the last synchronization of the jobs,
+   * or zero if the settings leave no time for that.
    *
-   * @param lease the workers' lease
-   * @param cancel the time within which a cancelled job's tasks have to end
+   * @param lease the duration of a worker's lease
+   * @param cancel the time within which the tasks of a cancelled job must end
    */
   public static TimeSpan workerRenewalBound(TimeSpan lease, TimeSpan cancel) {
     long ms = cancel.ms() - lease.maximumOnRemoteClock().ms() - CANCELLATION_DELIVERY_TIME.ms();
@@ -66,10 +68,10 @@
   }
 
   /**
-   * This controller was elected. It knows of no cancellation before it has read the jobs. When it
-   * was counted from the election, the bounds of a leader and its successor added up where the
-   * key-value store became unavailable between election and reading, and a task outlived its
-   * cancellation by both; likewise for one controller that was elected twice.
+   * Starts a term. No cancellation counts as known until the jobs have been read. If the time
+   * counted from the election, the renewal bounds of a leader and its successor would add up when
+   * the key-value store becomes unavailable between election and reading, and a task could outlive
+   * its cancellation by both. The same holds for one controller that is elected twice.
    *
    * @param leaseRequestedAt when the request that won the election was sent
    */
@@ -81,22 +83,27 @@
     syncedAt = MonotonicTime.LONG_AGO;
   }
 
-  /** A renewal that was sent then is confirmed. */
+  /**
+   * Handles a confirmed renewal of the lease.
+   *
+   * @param requestedAt when the renewal request was sent
+   */
   public void onRenewed(MonotonicTime requestedAt) {
     renewedAt = MonotonicTime.later(renewedAt, requestedAt);
   }
 
-  /** Every change of the jobs that was made before this time has been read. */
+  /** Records that every change of the jobs made before this time has been read. */
   public void onSynced(MonotonicTime requestedAt) {
     syncedAt = MonotonicTime.later(syncedAt, requestedAt);
   }
 
   /**
-   * This process was paused until now. Whatever it held to be true may have changed, so nothing is
-   * launched, created or deleted until the key-value store has confirmed the lease once more.
+   * Handles the end of a process pause. The controller's knowledge may be outdated, so no task is
+   * launched and no machine is created or deleted until the key-value store confirms the lease
+   * again.
    *
-   * @param monotonicClockStopped for how long the monotonic clock did not run: what was timed by it
-   *     is older than it looks by so much
+   * @param monotonicClockStopped time during which the monotonic clock did not advance, by which
+   *     earlier timestamps are older than they appear
    */
   public void onProcessPause(TimeSpan monotonicClockStopped, MonotonicTime now) {
     resumedAt = now;
@@ -104,34 +111,37 @@
     syncedAt = new MonotonicTime(syncedAt.ms() - monotonicClockStopped.ms());
   }
 
-  /** When the last renewal was sent that was confirmed: nobody else was elected before. */
+  /**
+   * Returns when the last confirmed renewal was sent. No other controller was elected before this
+   * time.
+   */
   public MonotonicTime renewedAt() {
     return renewedAt;
   }
 
-  /** This controller does not lead any more. */
+  /** Handles the loss of leadership. */
   public void onLost() {
     isLeader = false;
   }
 
-  /** Whether this controller was elected and has not stepped down. */
+  /** Returns whether this controller was elected and has not stepped down. */
   public boolean isLeader() {
     return isLeader;
   }
 
-  /** The term of the last election that was won; {@link Term#NONE} before. */
+  /** Returns the term of the last election won, or {@link Term#NONE} if there was none. */
   public Term term() {
     return term;
   }
 
-  /** The revision of the leader key, on which every write of this leader is conditional. */
+  /** Returns the revision of the leader key, which guards every write of this leader. */
   public Revision leaderKeyRevision() {
     return leaderKeyRevision;
   }
 
   /**
-   * Whether tasks may be launched: nobody else can have been elected yet, and no cancellation that
-   * is not known here is older than the bound allows.
+   * Returns whether tasks may be launched: no other controller can have been elected yet, and every
+   * cancellation that is older than the bound allows is known.
    */
   public boolean mayLaunch(MonotonicTime now) {
     return isLeader
@@ -141,8 +151,9 @@
   }
 
   /**
-   * Whether heartbeats may be answered with a 200, which renews the workers' leases. In an outage
-   * of the key-value store that goes on up to the bound, so that running tasks outlast it.
+   * Returns whether heartbeats may be answered with status 200, which renews the workers' leases.
+   * During an outage of the key-value store, this continues up to the bound so that running tasks
+   * survive the outage.
    */
   public boolean mayRenewWorkerLeases(MonotonicTime now) {
     return isLeader
@@ -151,19 +162,20 @@
   }
 
   /**
-   * Whether machines may be created. Those that a superseded leader creates are paid until its
-   * successor finds them. In an outage for all nobody else can be elected, and machines that are
-   * created meanwhile are up when it ends.
+   * Returns whether machines may be created. Machines created by a superseded leader incur cost
+   * until its successor finds them. In an outage that affects all controllers, no other controller
+   * can be elected, and machines created meanwhile are up when the outage ends.
    *
-   * @param outageForAll whether the key-value store serves no controller
+   * @param outageForAll whether the key-value store is unavailable to every controller
    */
   public boolean mayScaleOut(boolean outageForAll, MonotonicTime now) {
     return mayLaunch(now) || (outageForAll && mayRenewWorkerLeases(now));
   }
 
   /**
-   * Whether machines may be deleted. A leader that is partitioned sees only silence: its deletes
-   * would be held back and carried out minutes later, on machines that a successor is using.
+   * Returns whether machines may be deleted. To a partitioned leader all machines appear silent,
+   * and its delete requests could be delayed by minutes and then remove machines that a successor
+   * is using.
    */
   public boolean mayScaleIn(MonotonicTime now) {
     return mayLaunch(now);
--- a/src/main/java/io/saltflow/leader/MachineLifecycle.java
+++ b/src/main/java/io/saltflow/leader/MachineLifecycle.java
@@ -18,13 +18,17 @@
 import java.util.Set;
 
 /**
- * The way of a machine from the request to the cloud to its deletion, and which machines have to be
- * written to the ledger. The caller asks the cloud, writes the ledger and reports each result here.
+ * Tracks each machine from the scale-out request to its deletion and selects the machines to write
+ * to the ledger. The caller sends the cloud requests, writes the ledger and reports each result
+ * here.
  */
 public final class MachineLifecycle {
   private static final int MAX_REMEMBERED_DELETIONS = 4000;
 
-  /** In silence timeouts: by then nearly every machine of an earlier leader has been heard. */
+  /**
+   * Time after an election during which demand is uncertain, in silence timeouts. After that,
+   * nearly every machine of an earlier leader has sent a heartbeat.
+   */
   private static final double UNCERTAIN_DEMAND_TIMEOUT_FACTOR = 1.5;
 
   private final ClusterState cluster;
@@ -52,7 +56,7 @@
     this.capacity = capacity;
   }
 
-  /** Takes over the machines that earlier leaders recorded: each has to be reconciled. */
+  /** Restores the machines recorded by earlier leaders, each of which must be reconciled. */
   void restore(Collection<LedgerEntry> ledger, boolean ledgerComplete, MonotonicTime now) {
     if (!ledgerComplete) {
       cluster.reconciler().setLedgerIncomplete();
@@ -67,22 +71,22 @@
     }
   }
 
-  /** Every known machine. */
+  /** Returns all known machines. */
   Collection<Machine> all() {
     return cluster.machines();
   }
 
-  /** Whether the machine was deleted on this leader's request. */
+  /** Returns whether the machine was deleted at the request of this leader. */
   boolean isDeleted(MachineId id) {
     return deleted.contains(id);
   }
 
-  /** Whether the machine types are known. */
+  /** Returns whether the machine types are known. */
   public boolean hasTypes() {
     return !cluster.machineTypes().isEmpty();
   }
 
-  /** The machine types that the cloud offers were read. */
+  /** Updates the machine types from those that the cloud offers. */
   public void onTypesRead(Collection<MachineType> types) {
     for (MachineType type : types) {
       cluster.machineTypes().put(type.name(), type);
@@ -95,8 +99,8 @@
   }
 
   /**
-   * The requests to send to the cloud. Each stays open until {@link #onCreated} or {@link
-   * #onScaleOutRefused}.
+   * Returns the scale-out requests to send to the cloud. Each stays open until {@link #onCreated}
+   * or {@link #onScaleOutRefused} is called for it.
    */
   public List<ScaleOutRequest> planScaleOut(MonotonicTime now) {
     if (!hasTypes() || isDemandUncertain(now)) {
@@ -112,16 +116,17 @@
   }
 
   /**
-   * A new leader takes tasks on machines that it has not heard yet for waiting ones: scaling out
-   * for them would create machines that nobody needs.
+   * Returns whether tasks that appear to be waiting may still run on machines that have not sent a
+   * heartbeat to this new leader. Scaling out for them would create unneeded machines.
    */
   private boolean isDemandUncertain(MonotonicTime now) {
-    TimeSpan patience = cluster.policy().silenceTimeout().times(UNCERTAIN_DEMAND_TIMEOUT_FACTOR);
+    TimeSpan uncertaintyPeriod =
+        cluster.policy().silenceTimeout().times(UNCERTAIN_DEMAND_TIMEOUT_FACTOR);
     return !reconciliation.isComplete()
-        && now.since(cluster.term().since()).compareTo(patience) < 0;
+        && now.since(cluster.term().since()).compareTo(uncertaintyPeriod) < 0;
   }
 
-  /** The cloud created machines for a request: as many as asked for or fewer. */
+  /** Adds the machines that the cloud created for a request, possibly fewer than requested. */
   public void onCreated(ScaleOutRequest request, List<MachineId> machines, MonotonicTime now) {
     scaleOutPlanner.onAnswered(request, machines.size(), now);
     for (MachineId id : machines) {
@@ -132,15 +137,15 @@
     rounds.request();
   }
 
-  /** The cloud has no machine for a request. */
+  /** Closes a request for which the cloud has no machine. */
   public void onScaleOutRefused(ScaleOutRequest request, MonotonicTime now) {
     scaleOutPlanner.onAnswered(request, 0, now);
   }
 
   /**
-   * The machines that have to be in the ledger before they may be used; each is named once. One
-   * that is not up yet is left out: the next leader would have to reconcile it although nothing was
-   * ever launched on it.
+   * Returns the machines to write to the ledger before they may be used, each machine once.
+   * Machines that are not up yet are excluded: the next leader would have to reconcile them
+   * although no task was ever launched on them.
    */
   public List<LedgerEntry> toRecord() {
     List<LedgerEntry> entries = new ArrayList<>();
@@ -156,7 +161,7 @@
     return entries;
   }
 
-  /** The ledger holds these machines: tasks may be launched on them. */
+  /** Permits launches on machines that were written to the ledger. */
   public void onRecorded(List<LedgerEntry> entries) {
     for (LedgerEntry entry : entries) {
       Machine machine = cluster.reconciler().findMachine(entry.id());
@@ -167,11 +172,14 @@
     }
   }
 
-  /** The machines to delete; each is named once and stays asked for until {@link #onDeleted}. */
+  /**
+   * Returns the machines to delete, each machine once. A deletion stays requested until {@link
+   * #onDeleted} is called for the machine.
+   */
   public List<MachineId> planScaleIn(MonotonicTime now) {
     if (!hasTypes()) {
-      // A leader elected in its first second may not have read the types yet: every machine would
-      // look like one of an unknown type, and be returned with all that runs on it.
+      // A new leader may not have read the machine types yet. Every machine would appear to be of
+      // an unknown type and would be deleted with all its tasks.
       return List.of();
     }
     ScaleInPlanner.Contact contact =
@@ -180,17 +188,17 @@
     return scaleInPlanner.machinesToRemove(cluster.machines(), contact);
   }
 
-  /** The cloud confirmed that the machines are gone, and all tasks on them with them. */
+  /** Removes deleted machines, which ends all tasks on them. */
   public void onDeleted(List<MachineId> ids, MonotonicTime now) {
     for (MachineId id : ids) {
       Machine machine = cluster.reconciler().findMachine(id);
       if (machine != null) {
-        // What the last round assigned to it goes elsewhere. Before, it was kept for the machine
-        // that was gone, and its job was never done under this leader.
+        // Assignments of the last round must be withdrawn. Otherwise the tasks stay assigned to the
+        // deleted machine and their job never finishes under this leader.
         rounds.withdrawAssignments(machine);
       }
       cluster.reconciler().onMachineDeleted(id, now);
-      taskOutcomes.onMachineGone(id);
+      taskOutcomes.onMachineDeleted(id);
       deleted.add(id);
     }
     while (deleted.size() > MAX_REMEMBERED_DELETIONS) {
@@ -199,7 +207,7 @@
     reconciliation.check(now);
   }
 
-  /** The cloud's list was read: it shows machines that were not known, and those that failed. */
+  /** Adds unknown machines from the cloud's list and marks the machines that it shows as failed. */
   public void onListed(List<CloudCodec.ListedMachine> machines, MonotonicTime now) {
     for (Machine machine : cluster.machines()) {
       machine.setMissingFromCloudList(true);
@@ -221,7 +229,7 @@
 
   private void addListed(CloudCodec.ListedMachine listed, MonotonicTime createdAt) {
     if (listed.failed() || deleted.contains(listed.id())) {
-      // The list lags: machines already gone are listed for a while, and would count as room.
+      // The list lags: deleted machines stay listed for a while and must not count as capacity.
       return;
     }
     MachineType type = cluster.machineTypes().get(listed.type());
--- a/src/main/java/io/saltflow/leader/QueueView.java
+++ b/src/main/java/io/saltflow/leader/QueueView.java
@@ -14,16 +14,18 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Describes the queue for operators: what waits in each lane, and why its first job does. */
+/**
+ * Describes the waiting jobs of each lane to operators, and why the first of them does not start.
+ */
 final class QueueView {
   private static final int MAX_LISTED_JOBS = 10;
 
   private QueueView() {}
 
   /**
-   * The lanes in which jobs wait, highest first.
+   * Returns a summary of each lane with waiting jobs, highest lane first.
    *
-   * @param migrationWaitReasons why jobs wait that a migration of replicas might help
+   * @param migrationWaitReasons wait reasons of jobs that a replica migration might help
    */
   static List<LaneSummary> of(
       List<WaitingJob> waitingJobs,
--- a/src/main/java/io/saltflow/leader/Reconciliation.java
+++ b/src/main/java/io/saltflow/leader/Reconciliation.java
@@ -6,8 +6,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Progress of a failover: whether every machine that an earlier leader may have used is reconciled,
- * which means that its tasks are known or proven to be over.
+ * Tracks the reconciliation of a failover. It is complete when the tasks on every machine that an
+ * earlier leader may have used are known or proven to have ended.
  */
 final class Reconciliation {
   private static final Logger LOG = LoggerFactory.getLogger(Reconciliation.class);
@@ -33,24 +33,23 @@
     return completedAt != null;
   }
 
-  /** When it was completed; null before that. */
+  /** Returns when reconciliation was completed, or {@code null} if it is still in progress. */
   MonotonicTime completedAt() {
     return completedAt;
   }
 
   /**
-   * Whether it goes before launches that are not urgent.
+   * Returns whether reconciliation has precedence over launches that are not urgent.
    *
-   * <p>Each launch makes its worker report twice more. While machines of an earlier leader are
-   * still to be reconciled and heartbeats come faster than they can be read, only urgent tasks are
-   * started: the heartbeats that other launches caused kept thousands of machines unheard until
-   * their leases had expired and all on them was lost.
+   * <p>Each launch causes two additional heartbeats. If heartbeats arrive faster than they can be
+   * read while machines of an earlier leader are unreconciled, launches would delay the heartbeats
+   * of these machines until their leases expire and their tasks are lost.
    */
   boolean hasPrecedence(MonotonicTime now) {
     return !isComplete() && capacity.isOverloaded(now);
   }
 
-  /** Looks again after a machine was heard, deleted or lost its lease. */
+  /** Checks for completion after a heartbeat, a deletion or a lease expiry. */
   void check(MonotonicTime now) {
     if (isComplete()) {
       return;
@@ -62,7 +61,7 @@
       decisions.onReconciled(now);
       roundTrigger.request();
       LOG.info(
-          "failover complete, all {} machines reconciled {} ms into term {}",
+          "failover complete, all {} machines reconciled {} ms after the start of term {}",
           cluster.machines().size(),
           now.since(cluster.term().since()).ms(),
           cluster.term().number());
--- a/src/main/java/io/saltflow/leader/RecordedDecisions.java
+++ b/src/main/java/io/saltflow/leader/RecordedDecisions.java
@@ -25,14 +25,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What a leader decides beside launches and its successor goes on with: plans to migrate replicas,
- * the inputs of the queue order, daily deadlines, and operators' overrides. Each takes effect only
- * as it is recorded. The caller writes what is to be recorded and reports the result here.
+ * Decisions other than launches that a successor continues: plans to migrate replicas, inputs of
+ * the queue order, daily deadlines, and operator overrides. Each takes effect only once it is
+ * recorded. The caller writes the records and reports each result here.
  */
 public final class RecordedDecisions {
   private static final Logger LOG = LoggerFactory.getLogger(RecordedDecisions.class);
 
-  /** After a failover overrides are kept for so long: by then every batch of jobs is unpacked. */
+  /**
+   * Time after a failover during which overrides are kept, by the end of which every submission
+   * batch is unpacked.
+   */
   private static final TimeSpan OVERRIDE_RETENTION = TimeSpan.seconds(60);
 
   private final ClusterState cluster;
@@ -40,13 +43,18 @@
   private final DailyDeadlines dailyDeadlines;
   private final RecordedOrderInputs orderInputs = new RecordedOrderInputs();
 
-  /** By job. One that has ended stays until its record is deleted. */
+  /** Overrides by job. The override of an ended job stays until its record is deleted. */
   private final Map<JobId, OperatorOverride> overrides = new LinkedHashMap<>();
 
-  /** The wall clock less the monotonic clock, corrected by what the controllers agree on. */
+  /**
+   * Difference between the wall clock agreed on by the controllers and the monotonic clock, in
+   * milliseconds.
+   */
   private long wallClockOffsetMs;
 
-  /** Whether replicas may be moved: the key-value store and the machines keep up. */
+  /**
+   * Whether replicas may be migrated, given the load of the key-value store and of the machines.
+   */
   private boolean migrationAllowed;
 
   private boolean changedSinceRound;
@@ -70,32 +78,35 @@
             term.wallClockOffsetMs());
   }
 
-  /** The inputs of the queue order, for the scheduler. */
+  /** Returns the inputs of the queue order for the scheduler. */
   RecordedOrderInputs orderInputs() {
     return orderInputs;
   }
 
-  /** Whether something was recorded that the next scheduling round has to see. */
+  /** Returns whether a change was recorded that the next scheduling round has to consider. */
   boolean changedSinceRound() {
     return changedSinceRound;
   }
 
-  /** The failover is complete. */
+  /** Handles the completion of a failover. */
   void onReconciled(MonotonicTime now) {
     overridesKeptUntil = now.plus(OVERRIDE_RETENTION);
   }
 
-  /** The operator's override of a job's place in the queue; null if there is none. */
+  /**
+   * Returns the operator override of a job's position in the queue, or {@code null} if there is
+   * none.
+   */
   OperatorOverride operatorOverride(JobId id) {
     return overrides.get(id);
   }
 
-  /** A job is done: it counts for the deadlines that it belongs to. */
+  /** Counts a job that is done towards the daily deadlines that include it. */
   void onJobDone(Job job) {
     dailyDeadlines.onJobDone(job);
   }
 
-  /** Why jobs wait that a migration of replicas might help. */
+  /** Returns the wait reasons of jobs that a replica migration might help. */
   Map<JobId, String> migrationWaitReasons() {
     return migrations.waitReasons();
   }
@@ -116,11 +127,11 @@
   }
 
   /**
-   * Plans migrations and updates the daily deadlines by what the round left waiting.
+   * Plans migrations and updates the daily deadlines from the jobs left waiting by the round.
    *
    * @param mayScaleOutFor whether the cloud may still have a machine for a job
-   * @param expectedResources the resources before long: of machines that are up, booting or about
-   *     to be created
+   * @param expectedResources the resources expected soon, from machines that are up, booting or
+   *     about to be created
    */
   void afterRound(
       List<WaitingJob> waiting,
@@ -147,42 +158,52 @@
         now);
   }
 
-  /** Takes over the migrations that earlier leaders recorded. */
+  /** Restores the migrations recorded by earlier leaders. */
   public void restoreMigrationPlans(Collection<RecordedPlan> recorded, MonotonicTime now) {
     migrations.restore(recorded, now);
   }
 
-  /** Sets whether replicas may be moved, as far as the key-value store goes. */
+  /** Sets whether the state of the key-value store permits replica migrations. */
   public void setMigrationAllowed(boolean allowed) {
     migrationAllowed = allowed;
   }
 
   /**
-   * The migration plans to write, each once; {@link #onMigrationPlanRecorded} reports the result.
+   * Returns the migration plans to write, each plan once. The result is reported to {@link
+   * #onMigrationPlanRecorded}.
    */
   public List<RecordedPlan> migrationPlansToRecord() {
     return migrations.takeToRecord();
   }
 
-  /** A migration plan was written, or may not have been. */
+  /**
+   * Handles the result of writing a migration plan.
+   *
+   * @param succeeded {@code false} if the plan may not have been written
+   */
   public void onMigrationPlanRecorded(RecordedPlan plan, boolean succeeded) {
     migrations.onRecorded(plan, succeeded);
     changedSinceRound = true;
   }
 
-  /** The names of the migration plans whose records are to be deleted. */
+  /** Returns the names of the migration plans whose records are to be deleted. */
   public List<String> migrationPlansToDelete() {
     return migrations.takeToDelete();
   }
 
   /**
-   * The migrations that are planned, done and abandoned, and why jobs wait for one, a line each.
+   * Returns one line for each planned, completed and abandoned migration, and for each job waiting
+   * for one.
    */
   public List<String> migrationStatusLines() {
     return migrations.describePlans();
   }
 
-  /** Takes over the inputs of the queue order that an earlier leader recorded; null if none did. */
+  /**
+   * Restores the inputs of the queue order recorded by an earlier leader.
+   *
+   * @param recorded the inputs, or {@code null} if none are recorded
+   */
   public void restoreOrderInputs(QueueOrderInputs recorded) {
     orderInputs.restore(recorded);
     if (recorded != null) {
@@ -191,45 +212,56 @@
   }
 
   /**
-   * The inputs of the queue order to write now, or null; {@link #onOrderInputsRecorded} reports the
-   * result.
+   * Returns the inputs of the queue order to write now, or {@code null} if there are none. The
+   * result is reported to {@link #onOrderInputsRecorded}.
    */
   public QueueOrderInputs orderInputsToRecord(MonotonicTime now) {
     return orderInputs.toRecord(now);
   }
 
-  /** The inputs of the queue order were written, or may not have been. */
+  /**
+   * Handles the result of writing the inputs of the queue order.
+   *
+   * @param succeeded {@code false} if the inputs may not have been written
+   */
   public void onOrderInputsRecorded(QueueOrderInputs written, boolean succeeded) {
     orderInputs.onWritten(written, succeeded);
   }
 
-  /** Takes over the daily deadlines that earlier leaders recorded. */
+  /** Restores the daily deadlines recorded by earlier leaders. */
   public void restoreDailyDeadlines(Collection<DailyDeadline> recorded) {
     dailyDeadlines.restore(recorded, cluster.jobs().scheduled().values());
   }
 
-  /** Sets the wall clock as the controllers agree on it, in milliseconds since the epoch. */
+  /** Sets the wall clock agreed on by the controllers, in milliseconds since the epoch. */
   public void setWallClock(long wallMs, MonotonicTime now) {
     wallClockOffsetMs = wallMs - now.ms();
   }
 
-  /** A daily deadline to write, or null; {@link #onDailyDeadlineRecorded} reports the result. */
+  /**
+   * Returns a daily deadline to write, or {@code null} if there is none. The result is reported to
+   * {@link #onDailyDeadlineRecorded}.
+   */
   public DailyDeadline dailyDeadlineToRecord(MonotonicTime now) {
     return dailyDeadlines.toRecord(now);
   }
 
-  /** A daily deadline was written, or may not have been. */
+  /**
+   * Handles the result of writing a daily deadline.
+   *
+   * @param succeeded {@code false} if the deadline may not have been written
+   */
   public void onDailyDeadlineRecorded(DailyDeadline written, boolean succeeded) {
     dailyDeadlines.onWritten(written, succeeded);
     changedSinceRound = true;
   }
 
-  /** The names of the daily deadlines whose records are to be deleted. */
+  /** Returns the names of the daily deadlines whose records are to be deleted. */
   public List<String> dailyDeadlinesToDelete() {
     return dailyDeadlines.takeToDelete();
   }
 
-  /** An operator moved a job to another lane, or to the front of its lane. */
+  /** Applies an operator override that moves a job to another lane or to the front of its lane. */
   public void onOperatorOverride(JobId id, OperatorOverride operatorOverride) {
     OperatorOverride previous = overrides.put(id, operatorOverride);
     Job job = cluster.jobs().scheduled().get(id);
@@ -237,22 +269,26 @@
       job.queueState().setOperatorOverride(operatorOverride);
       changedSinceRound = true;
       LOG.info(
-          "operator moved {} {}",
+          "operator moved job {} {}",
           id,
           operatorOverride.lane() == null
               ? "to the front of its lane"
-              : "to the lane " + operatorOverride.lane());
+              : "to lane " + operatorOverride.lane());
     }
   }
 
-  /** The ended jobs whose overrides are to be deleted from the key-value store. */
+  /** Returns the ended jobs whose overrides are to be deleted from the key-value store. */
   public List<JobId> overridesToDelete(MonotonicTime now) {
     return now.before(overridesKeptUntil)
         ? List.of()
         : overrides.keySet().stream().filter(id -> cluster.jobs().find(id) == null).toList();
   }
 
-  /** The overrides of these jobs were deleted, or may not have been. */
+  /**
+   * Handles the result of deleting the overrides of jobs.
+   *
+   * @param succeeded {@code false} if the overrides may not have been deleted
+   */
   public void onOverridesDeleted(List<JobId> ids, boolean succeeded) {
     if (succeeded) {
       overrides.keySet().removeAll(ids);
--- a/src/main/java/io/saltflow/leader/RoundTrigger.java
+++ b/src/main/java/io/saltflow/leader/RoundTrigger.java
@@ -1,6 +1,6 @@
 package io.saltflow.leader;
 
-/** Whether something has changed since the last scheduling round that the next one has to see. */
+/** Flag that requests a scheduling round because of a change since the last one. */
 final class RoundTrigger {
   private boolean requested = true;
 
--- a/src/main/java/io/saltflow/leader/SchedulingRounds.java
+++ b/src/main/java/io/saltflow/leader/SchedulingRounds.java
@@ -15,16 +15,16 @@
 import java.util.List;
 
 /**
- * When the queue is scheduled as a whole, and what each such round is made of.
+ * Decides when to schedule the whole queue, and runs the steps of each such round.
  *
- * <p>A round looks at every machine, so with a large cluster rounds run at a bounded rate; in
- * between, a machine that reports is filled alone.
+ * <p>A round examines every machine, so rounds run at a bounded rate in a large cluster. Between
+ * two rounds, tasks are assigned only to the machine that sent a heartbeat.
  */
 final class SchedulingRounds {
   private static final TimeSpan ROUND_INTERVAL = TimeSpan.seconds(1);
 
-  /** Rounds are this many times further apart while reconciliation has precedence. */
-  private static final double RECONCILIATION_PAUSE_FACTOR = 3;
+  /** Factor by which the time between two rounds grows while reconciliation has precedence. */
+  private static final double RECONCILIATION_INTERVAL_FACTOR = 3;
 
   private final ClusterState cluster;
   private final Scheduler scheduler;
@@ -57,37 +57,39 @@
     this.trigger = trigger;
   }
 
-  /** Something changed that the next round has to see. */
+  /** Requests a round because of a change that it has to consider. */
   void request() {
     trigger.request();
   }
 
-  /** What the last round left waiting, in queue order. */
+  /** Returns the jobs left waiting by the last round, in queue order. */
   List<WaitingJob> waitingJobs() {
     return waitingJobs;
   }
 
-  /** What all accepted jobs still needed at the last round. */
+  /** Returns the outstanding demand of all accepted jobs at the last round. */
   Backlog backlog() {
     return backlog;
   }
 
-  /** The least time between two rounds, which grows with the cluster. */
+  /** Returns the minimum time between two rounds, which grows with the cluster. */
   TimeSpan minInterval() {
     return minInterval;
   }
 
-  /** Whether something has changed and the last round is long enough ago. */
+  /**
+   * Returns whether a round was requested and the minimum interval since the last one has elapsed.
+   */
   boolean isDue(MonotonicTime now) {
-    TimeSpan pause =
+    TimeSpan interval =
         reconciliation.hasPrecedence(now)
-            ? minInterval.times(RECONCILIATION_PAUSE_FACTOR)
+            ? minInterval.times(RECONCILIATION_INTERVAL_FACTOR)
             : minInterval;
     return (trigger.isRequested() || taskOutcomes.changed() || decisions.changedSinceRound())
-        && now.since(lastRound).compareTo(pause) >= 0;
+        && now.since(lastRound).compareTo(interval) >= 0;
   }
 
-  /** Runs a round if one is due, or if none ran for {@link #ROUND_INTERVAL}. */
+  /** Runs a round if one is due or if none has run for {@link #ROUND_INTERVAL}. */
   void tick(MonotonicTime now) {
     boolean overdue =
         !reconciliation.hasPrecedence(now) && now.since(lastRound).compareTo(ROUND_INTERVAL) >= 0;
@@ -130,8 +132,9 @@
   }
 
   /**
-   * The resources of the cluster before long. While the cloud grants every request that is what all
-   * jobs need: the size of a cluster that has just begun to grow says nothing of a daily deadline.
+   * Returns the resources that the cluster is expected to have soon. While the cloud grants every
+   * request, that is the demand of all jobs: the current size of a cluster that has just begun to
+   * scale out does not show whether a daily deadline can be met.
    */
   private Resources expectedResources(MonotonicTime now) {
     Resources current = scheduler.fleetResources();
@@ -142,12 +145,12 @@
         : current;
   }
 
-  /** Between two rounds: assigns waiting tasks to one machine that reported. */
-  void fill(Machine machine, MonotonicTime now) {
+  /** Assigns waiting tasks to one machine that sent a heartbeat between two rounds. */
+  void fillMachine(Machine machine, MonotonicTime now) {
     scheduler.fillMachine(machine, reconciliation.isComplete(), now);
   }
 
-  /** The machine gets none of the tasks that were assigned to it and not launched. */
+  /** Withdraws the tasks that are assigned to the machine but not launched yet. */
   void withdrawAssignments(Machine machine) {
     scheduler.withdrawAssignments(machine);
   }
--- a/src/main/java/io/saltflow/leader/StatusLine.java
+++ b/src/main/java/io/saltflow/leader/StatusLine.java
@@ -6,7 +6,7 @@
 import java.util.Collection;
 import java.util.List;
 
-/** Formats the state of the cluster as one line of the log. */
+/** Formats the state of the cluster as one log line. */
 final class StatusLine {
   private StatusLine() {}
 
@@ -40,7 +40,7 @@
       beyondQuota += Math.max(0, waitingJob.job().pendingCount() - waitingJob.tasks());
     }
     return String.format(
-        "%d jobs, %d tasks waiting and %d beyond quotas, %d on machines,"
+        "%d jobs, %d tasks waiting, %d beyond quota, %d placed on machines,"
             + " %.0f of %.0f cores in use, %d machines up, %d booting, %d launches; %s",
         jobs,
         queued,
--- a/src/main/java/io/saltflow/leader/WorkerCommands.java
+++ b/src/main/java/io/saltflow/leader/WorkerCommands.java
@@ -14,11 +14,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The commands that answer a worker's heartbeat: which tasks to clear, to stop and to launch. */
+/** Creates the commands that answer a heartbeat: results to clear, tasks to stop and to launch. */
 final class WorkerCommands {
   private static final Logger LOG = LoggerFactory.getLogger(WorkerCommands.class);
 
-  /** Beyond twice its grace period a task that writes a checkpoint is given this long. */
+  /** Time beyond twice the grace period that a task may take to write a checkpoint. */
   private static final TimeSpan CHECKPOINT_GRACE_MARGIN = TimeSpan.seconds(5);
 
   private final ClusterState cluster;
@@ -33,30 +33,33 @@
     this.reconciliation = reconciliation;
   }
 
-  /** How many tasks were launched in this term. */
+  /** Returns the number of tasks launched in this term. */
   long launches() {
     return launches;
   }
 
-  /** A result stays on its worker until it is recorded, so that the next leader finds it. */
+  /**
+   * Clears results that are recorded or not needed. Other results stay on their worker, where the
+   * next leader can find them.
+   */
   void clearRecordedResults(WorkerHeartbeat heartbeat, List<WorkerCommand> commands) {
     for (WorkerHeartbeat.TaskStatus status : heartbeat.tasks()) {
       if (status.state() != WorkerHeartbeat.TaskState.EXITED) {
         continue;
       }
       Job job = cluster.jobs().scheduled().get(status.task().job());
-      boolean resultHeld = job == null || job.recordedTasks().get(status.task().index());
-      if (status.cause() != WorkerHeartbeat.ExitCause.DONE || resultHeld) {
+      boolean resultNotNeeded = job == null || job.recordedTasks().get(status.task().index());
+      if (status.cause() != WorkerHeartbeat.ExitCause.DONE || resultNotNeeded) {
         commands.add(new WorkerCommand.Clear(status.task(), status.attempt()));
       }
     }
   }
 
   /**
-   * Stops the tasks of ended jobs on a machine that is not reconciled yet, whose list may be old.
-   * Every answer renews the machine's lease, so each has to do that: a machine that was unreachable
-   * from before a cancellation got its first answer of a new leader without it, was unreachable
-   * again before its second, and ran the task for a whole lease more.
+   * Stops the tasks of ended jobs on a machine that is not reconciled yet, whose task list may be
+   * old. Every answer renews the machine's lease and therefore must include these stops: a machine
+   * that becomes unreachable after the answer would otherwise run a cancelled task for another
+   * lease period.
    */
   void stopEndedJobs(WorkerHeartbeat heartbeat, List<WorkerCommand> commands) {
     for (WorkerHeartbeat.TaskStatus status : heartbeat.tasks()) {
@@ -68,7 +71,7 @@
     }
   }
 
-  /** Stops what should not run on a reconciled machine, and what has to give way. */
+  /** Stops preempted tasks and those that should not run on a reconciled machine. */
   void stopUnwantedTasks(
       Machine machine, WorkerHeartbeat heartbeat, List<WorkerCommand> commands, MonotonicTime now) {
     for (WorkerHeartbeat.TaskStatus status : heartbeat.tasks()) {
@@ -98,9 +101,9 @@
   }
 
   /**
-   * Launches the tasks that were assigned to the machine, as far as nothing has changed since.
+   * Launches the tasks assigned to the machine that may still start.
    *
-   * @param urgentOnly whether tasks that are not urgent wait for the next round
+   * @param urgentOnly whether only tasks with a preempting priority are launched
    */
   void launchAssigned(
       Machine machine,
@@ -116,7 +119,7 @@
     int remaining = maxLaunches;
     for (Machine.Assignment assignment : assignments) {
       Job job = assignment.job();
-      // The round that assigned it may be a second old.
+      // The assignment may be outdated: up to a second has passed since the round.
       if (remaining <= 0
           || job.isCancelled()
           || job.isFinishing()
@@ -140,7 +143,7 @@
       remaining--;
       if (launches++ == 0) {
         LOG.info(
-            "first task launched {} ms into term {}",
+            "first task launched {} ms after the start of term {}",
             now.since(cluster.term().since()).ms(),
             cluster.term().number());
       }
@@ -148,8 +151,9 @@
   }
 
   /**
-   * Until the failover is complete, only jobs that no earlier leader can have launched may start:
-   * any other task might run on a machine that has not been heard yet.
+   * Returns whether tasks of the job may start. Until the failover is complete, this excludes jobs
+   * that an earlier leader may have launched, as their tasks may run on machines that are not
+   * reconciled yet.
    */
   private boolean mayStart(Job job) {
     return job.isStartRecorded()
--- a/src/main/java/io/saltflow/leader/WorkerContact.java
+++ b/src/main/java/io/saltflow/leader/WorkerContact.java
@@ -6,12 +6,17 @@
 import io.saltflow.model.TimeSpan;
 import java.util.Collection;
 
-/** Which workers are silent, and whether all are, so that this leader may be the one cut off. */
+/** Detects silent workers, and whether all are silent so that this leader may be partitioned. */
 final class WorkerContact {
-  /** With so many machines some heartbeat is due every moment. */
+  /**
+   * Number of machines from which the heartbeat timeout applies, as some heartbeat is always due.
+   */
   private static final int LARGE_CLUSTER_THRESHOLD = 6;
 
-  /** One silent machine proves nothing of this leader's own network. */
+  /**
+   * Minimum number of expected machines, as a single silent machine does not indicate a fault of
+   * this leader's network.
+   */
   private static final int MIN_MACHINES = 2;
 
   private static final int MISSED_HEARTBEATS = 3;
@@ -27,18 +32,21 @@
     resumedAt = now;
   }
 
-  /** A heartbeat arrived that is newer than all before it from its machine. */
+  /** Records a heartbeat that is newer than all previous ones of its machine. */
   void onHeartbeat(MonotonicTime now) {
     lastHeartbeat = now;
     anyHeartbeatReceived = true;
   }
 
-  /** This process was paused until now: that it heard nobody is not the machines' silence. */
+  /**
+   * Handles the end of a process pause, in which missing heartbeats do not indicate silent
+   * machines.
+   */
   void onProcessResumed(MonotonicTime now) {
     resumedAt = now;
   }
 
-  /** Whether a machine that is up is overdue with its heartbeat, or gets no response. */
+  /** Returns whether a machine is up and its heartbeat is overdue or its answers are being lost. */
   boolean isUnresponsive(Machine machine, MonotonicTime now) {
     MonotonicTime lastHeard =
         MonotonicTime.later(machine.heartbeats().lastHeartbeatAt(), resumedAt);
@@ -46,7 +54,7 @@
         && (machine.answersLost() || now.since(lastHeard).longerThan(policy.heartbeatTimeout()));
   }
 
-  /** Whether all workers that should report have been silent: this leader may be cut off. */
+  /** Returns whether all expected workers are silent, so that this leader may be partitioned. */
   boolean isCutOff(Collection<Machine> machines, MonotonicTime now) {
     int expected = 0;
     for (Machine machine : machines) {
@@ -58,8 +66,9 @@
         expected >= LARGE_CLUSTER_THRESHOLD
             ? policy.heartbeatTimeout()
             : policy.heartbeatInterval().times(MISSED_HEARTBEATS);
-    // A process that was paused was not cut off. Once, in an outage of the store, a leader stepped
-    // down when it resumed, with all workers about to report to it and nobody else able to lead.
+    // A process pause is no partition. A leader that resumes during an outage of the key-value
+    // store must not step down while its workers are about to send heartbeats and no other
+    // controller can be elected.
     MonotonicTime lastHeard = MonotonicTime.later(lastHeartbeat, resumedAt);
     return anyHeartbeatReceived
         && expected >= MIN_MACHINES
--- a/src/main/java/io/saltflow/leader/package-info.java
+++ b/src/main/java/io/saltflow/leader/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The core of the leading controller, which joins the state of the cluster, fencing, scheduling and
- * autoscaling: events in, effects out. Also the leader lease, recorded decisions and the health
- * monitor. Deterministic; it has no sockets and no clock.
+ * Deterministic core of the leader, which combines the cluster state, fencing, scheduling and
+ * autoscaling, processes events and returns their effects without sockets or a clock. Also contains
+ * the leader lease, the recorded decisions and the health monitor.
  */
 package io.saltflow.leader;
--- a/src/test/java/io/saltflow/fencing/RunTimeEstimatesTest.java
+++ b/src/test/java/io/saltflow/fencing/RunTimeEstimatesTest.java
@@ -20,7 +20,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What a class is predicted to take, as its tasks end. */
+/** Guards against wrong run time estimates after tasks of a class have finished. */
 class RunTimeEstimatesTest {
   private static final Policy POLICY =
       TestPolicies.of(
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void tasksFoundRunningAreNotObserved() {
+  void tasksFoundInHeartbeatDoNotChangeEstimates() {
     for (int i = 0; i < 50; i++) {
       TaskPlacement placement = running(i, 100);
       placement.setFoundInHeartbeat(true);
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void classThatOutrunsItsEstimatesIsCorrected() {
+  void estimateIsCorrectedWhenTasksOfClassRunLonger() {
     for (int i = 0; i < 50; i++) {
       outcomes.onDone(job, i, running(i, 100), at(190));
     }
