--- a/src/main/java/io/saltflow/records/JobRepository.java
+++ b/src/main/java/io/saltflow/records/JobRepository.java
@@ -203,8 +203,8 @@
    * Records an operator's override of a live job's position in the queue. Any node may write it.
    *
    * @param lane lane to which the job moves, or {@code null} for the front of its own lane
-   * @param then receives the live job if the override was recorded; for other outcomes nothing was
-   *     recorded, except that it is undetermined for {@link JobOutcome.Unknown}
+   * @param then receives the live job if the override was recorded, an unknown outcome if that is
+   *     uncertain, and any other outcome if the job is not live
    */
   public void overrideOrder(JobId id, Lane lane, Consumer<JobOutcome> then) {
     ifLive(
--- a/src/test/java/io/saltflow/records/AdmissionPositionTest.java
+++ b/src/test/java/io/saltflow/records/AdmissionPositionTest.java
@@ -28,21 +28,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Places gone through: three nodes admit three jobs, alone and in two bundles that overlap; leaders
- * take them out; one is deposed with a transaction still on its way. Every order in which these can
- * happen, with what each reader would read after each step.
+ * Guards against jobs that change their admission position. Explores every order of single and
+ * overlapping batch submissions, unpacking, and a leader change with a delayed transaction.
  */
 class AdmissionPositionTest {
   private static final int OPERATION_COUNT = 8;
 
-  /** What may happen, each once; the leader's step twice. */
+  /** Operations of a run, each of which is executed once. */
   private enum Operation {
-    ALONE,
-    BUNDLE_AB,
-    BUNDLE_BC,
-    PREPARE,
-    DEPOSED,
-    LATE,
+    SUBMIT_SINGLE,
+    SUBMIT_BATCH_AB,
+    SUBMIT_BATCH_BC,
+    PREPARE_UNPACK,
+    CHANGE_LEADER,
+    COMMIT_PREPARED,
     UNPACK,
     UNPACK_AGAIN
   }
@@ -55,7 +54,7 @@
     final Map<JobId, AdmissionPosition> positions = new HashMap<>();
     MessageBody prepared;
     Revision leader = commit(new Transaction().put(Keys.LEADER, MessageBody.of()));
-    boolean forgetPositions;
+    boolean omitPositions;
     String fault;
 
     private MessageBody roundTrip(Transaction txn) {
@@ -66,8 +65,8 @@
       }
     }
 
-    /** The leader's own, until it is deposed. */
-    BatchUnpacker unpacking = new BatchUnpacker();
+    /** State of the current leader. */
+    BatchUnpacker unpacker = new BatchUnpacker();
 
     private Revision commit(MessageBody txn) {
       try {
@@ -87,7 +86,7 @@
       }
     }
 
-    void bundle(String name, JobId... ids) {
+    void submitBatch(String name, JobId... ids) {
       Map<JobId, MessageBody> records = new LinkedHashMap<>();
       Transaction txn = new Transaction();
       for (JobId id : ids) {
@@ -99,22 +98,22 @@
           commit(txn.guard(key, Revision.ABSENT).put(key, SubmissionBatch.encode(records))), ids);
     }
 
-    /** What a leader that reads now would write next; null: nothing. */
-    BatchUnpacker.UnpackStep step() {
+    /** Returns the leader's next writes, or {@code null} if no batch is left to unpack. */
+    BatchUnpacker.UnpackStep nextStep() {
       for (MessageBody pair : list(SubmissionBatch.PREFIX)) {
         try {
-          unpacking.found(
+          unpacker.found(
               pair.text(Wire.KEY), pair.map(Wire.VALUE), new Revision(pair.integer(Wire.VERSION)));
         } catch (InvalidMessageException exception) {
           throw new IllegalStateException(exception);
         }
       }
-      return unpacking.isEmpty() ? null : unpacking.next(new StoreLimits(2, 8, 30));
+      return unpacker.isEmpty() ? null : unpacker.next(new StoreLimits(2, 8, 30));
     }
 
     private MessageBody txn(BatchUnpacker.UnpackStep step) {
       Transaction txn = new Transaction().guard(Keys.LEADER, leader);
-      if (forgetPositions) {
+      if (omitPositions) {
         for (BatchUnpacker.BatchedJob item : step.jobs()) {
           AdmissionWriter.guardAbsent(txn, item.id()).put(Keys.liveJob(item.id()), item.record());
         }
@@ -137,10 +136,10 @@
       try {
         var reply = store.commit(txn(step));
         if (reply.status() == 200) {
-          unpacking.onCommitted(step);
+          unpacker.onCommitted(step);
         } else {
           MessageBody body = MessagePackCodec.decode(MessagePackCodec.encode(reply.body()));
-          unpacking.onRefused(
+          unpacker.onRefused(
               step, new KeyValueClient.StoreResponse(reply.status(), body, new MonotonicTime(0)));
         }
       } catch (InvalidMessageException exception) {
@@ -148,9 +147,9 @@
       }
     }
 
-    void play(Operation op) {
-      switch (op) {
-        case ALONE -> {
+    void execute(Operation operation) {
+      switch (operation) {
+        case SUBMIT_SINGLE -> {
           JobId jobId = A;
           accept(
               commit(
@@ -158,23 +157,23 @@
                       .put(Keys.liveJob(jobId), record(jobId))),
               jobId);
         }
-        case BUNDLE_AB -> bundle("one-1", A, B);
-        case BUNDLE_BC -> bundle("two-1", B, C);
-        case PREPARE -> {
-          BatchUnpacker.UnpackStep step = step();
+        case SUBMIT_BATCH_AB -> submitBatch("one-1", A, B);
+        case SUBMIT_BATCH_BC -> submitBatch("two-1", B, C);
+        case PREPARE_UNPACK -> {
+          BatchUnpacker.UnpackStep step = nextStep();
           prepared = step == null ? null : txn(step);
         }
-        case DEPOSED -> {
+        case CHANGE_LEADER -> {
           leader = commit(new Transaction().put(Keys.LEADER, MessageBody.of()));
-          unpacking = new BatchUnpacker();
+          unpacker = new BatchUnpacker();
         }
-        case LATE -> {
+        case COMMIT_PREPARED -> {
           if (prepared != null) {
             commit(prepared);
           }
         }
         default -> {
-          BatchUnpacker.UnpackStep step = step();
+          BatchUnpacker.UnpackStep step = nextStep();
           if (step != null) {
             write(step);
           }
@@ -183,7 +182,7 @@
       checkPositions();
     }
 
-    /** Any node may read now: a place is of an acceptance, and stays. */
+    /** Checks that each position refers to an acceptance of the job and has not changed. */
     private void checkPositions() {
       for (MessageBody pair : list(Keys.LIVE_JOBS)) {
         try {
@@ -192,13 +191,14 @@
             continue;
           }
           Revision version = new Revision(pair.integer(Wire.VERSION));
-          AdmissionPosition place = JobRecordCodec.decode(pair.map(Wire.VALUE), version).position();
-          AdmissionPosition before = positions.putIfAbsent(id, place);
-          if (before != null && !before.equals(place)) {
-            fault = id + " was at " + before + " and is at " + place;
+          AdmissionPosition position =
+              JobRecordCodec.decode(pair.map(Wire.VALUE), version).position();
+          AdmissionPosition before = positions.putIfAbsent(id, position);
+          if (before != null && !before.equals(position)) {
+            fault = id + " moved from position " + before + " to " + position;
           }
-          if (!accepted.getOrDefault(id, List.of()).contains(place.revision())) {
-            fault = id + " is at " + place + ", accepted at " + accepted.get(id);
+          if (!accepted.getOrDefault(id, List.of()).contains(position.revision())) {
+            fault = id + " is at position " + position + ", accepted at " + accepted.get(id);
           }
         } catch (InvalidMessageException exception) {
           throw new IllegalStateException(exception);
@@ -238,40 +238,44 @@
     }
   }
 
-  /** All orders of the operations; returns how many were played, or stops at the first fault. */
-  private static String explore(boolean forgetPlaces, int[] count) {
-    return explore(new ArrayList<>(), new boolean[OPERATION_COUNT], forgetPlaces, count);
+  /**
+   * Runs all orders of the operations and counts the runs.
+   *
+   * @return the first fault, or {@code null} if there is none
+   */
+  private static String explore(boolean omitPositions, int[] count) {
+    return explore(new ArrayList<>(), new boolean[OPERATION_COUNT], omitPositions, count);
   }
 
   private static String explore(
-      List<Operation> played, boolean[] used, boolean forgetPlaces, int[] count) {
-    if (played.size() == OPERATION_COUNT) {
+      List<Operation> executed, boolean[] used, boolean omitPositions, int[] count) {
+    if (executed.size() == OPERATION_COUNT) {
       count[0]++;
       SimulationRun run = new SimulationRun();
-      run.forgetPositions = forgetPlaces;
-      for (Operation operation : played) {
-        run.play(operation);
+      run.omitPositions = omitPositions;
+      for (Operation operation : executed) {
+        run.execute(operation);
       }
-      for (int i = 0; i < 12 && run.step() != null; i++) {
-        run.play(Operation.UNPACK);
+      for (int i = 0; i < 12 && run.nextStep() != null; i++) {
+        run.execute(Operation.UNPACK);
       }
       boolean all = run.positions.keySet().containsAll(run.accepted.keySet());
-      if (run.fault == null && !forgetPlaces && !all) {
-        run.fault = "accepted " + run.accepted.keySet() + ", known " + run.positions.keySet();
+      if (run.fault == null && !omitPositions && !all) {
+        run.fault = "accepted " + run.accepted.keySet() + ", recorded " + run.positions.keySet();
       }
-      return run.fault == null ? null : run.fault + " after " + played;
+      return run.fault == null ? null : run.fault + " after " + executed;
     }
     for (Operation operation : Operation.values()) {
-      boolean tooSoon =
-          (operation == Operation.LATE && !used[Operation.PREPARE.ordinal()])
+      boolean tooEarly =
+          (operation == Operation.COMMIT_PREPARED && !used[Operation.PREPARE_UNPACK.ordinal()])
               || (operation == Operation.UNPACK_AGAIN && !used[Operation.UNPACK.ordinal()]);
-      if (used[operation.ordinal()] || tooSoon) {
+      if (used[operation.ordinal()] || tooEarly) {
         continue;
       }
       used[operation.ordinal()] = true;
-      played.add(operation);
-      String fault = explore(played, used, forgetPlaces, count);
-      played.remove(played.size() - 1);
+      executed.add(operation);
+      String fault = explore(executed, used, omitPositions, count);
+      executed.remove(executed.size() - 1);
       used[operation.ordinal()] = false;
       if (fault != null) {
         return fault;
@@ -281,22 +285,22 @@
   }
 
   @Test
-  void eachJobHasOnePlaceWhateverHappensInWhichOrder() {
+  void positionIsStableInEveryOrderOfOperations() {
     int[] count = new int[1];
     assertEquals(null, explore(false, count));
     assertEquals(10080, count[0], Arrays.toString(count));
   }
 
-  /** The check can fail: a place that is taken again when the record is written anew is found. */
+  /** Guards against a position check that cannot fail. */
   @Test
-  void aPlaceTakenAgainIsFound() {
+  void positionCheckDetectsUnpackedRecordsWithoutPosition() {
     String fault = explore(true, new int[1]);
     assertTrue(fault != null && fault.contains("accepted at"), fault);
   }
 
-  /** An operator's act is of the key's own revision; a lane that can't be read changes nothing. */
+  /** Guards against operator overrides that are decoded differently from how they were written. */
   @Test
-  void whatOperatorsDoIsReadAsItWasWritten() throws InvalidMessageException {
+  void operatorOverrideSurvivesRoundTrip() throws InvalidMessageException {
     MessageBody front =
         MessagePackCodec.decode(MessagePackCodec.encode(QueueOrderCodec.encode((Lane) null)));
     assertEquals(41, QueueOrderCodec.decode(front, new Revision(41)).frontRevision());
--- a/src/test/java/io/saltflow/records/AdmissionSimulation.java
+++ b/src/test/java/io/saltflow/records/AdmissionSimulation.java
@@ -33,55 +33,55 @@
 import java.util.function.Consumer;
 
 /**
- * Nodes before one key-value store in memory. Messages to it are numbered from the moment when the
- * first submission is made, and trouble may happen to each. The clock jumps when nothing but timers
- * is waited for.
+ * Several nodes that share one in-memory key-value store. Requests to the store are numbered from
+ * the first submission on, and a fault can be injected into each. The clock advances when only
+ * timers are pending.
  */
 final class AdmissionSimulation implements AutoCloseable {
-  /** A job's life as the key-value store has it. */
+  /** Lifecycle stage of a job in the key-value store. */
   enum Stage {
     NONE,
-    BUNDLED,
+    BATCHED,
     LIVE,
     DONE,
     CANCELLED
   }
 
-  /** What may happen to a message. */
+  /** Fault that is injected into a request. */
   enum Fault {
-    /** Carried out, without an answer. */
-    LOST,
-    /** No answer, and carried out after everything else. */
-    LATE,
-    REFUSED,
-    LIMITED
+    /** The request is executed and its answer is lost. */
+    ANSWER_LOST,
+    /** The request is not answered, and is executed only by {@link #deliverDelayed}. */
+    DELAYED,
+    UNAVAILABLE,
+    RATE_LIMITED
   }
 
-  private static final class Root extends Routine {
-    Root() {
+  private static final class RootRoutine extends Routine {
+    RootRoutine() {
       super(null);
     }
   }
 
   private static final long CLOCK_STEP_MS = 100;
-  private static final int MAX_IDLE_TURNS = 2;
-  private static final int MAX_TURNS = 4000;
+  private static final int MAX_IDLE_ITERATIONS = 2;
+  private static final int MAX_ITERATIONS = 4000;
 
   final List<String> requests = new ArrayList<>();
   final EmulatedKeyValueStore store;
-  private final Root root = new Root();
-  private final Map<Integer, Runnable> before = new HashMap<>();
-  private final Map<Integer, Runnable> after = new HashMap<>();
+  private final RootRoutine root = new RootRoutine();
+  private final Map<Integer, Runnable> eventsBefore = new HashMap<>();
+  private final Map<Integer, Runnable> eventsAfter = new HashMap<>();
   private final Map<Integer, Fault> faults = new HashMap<>();
   private final Map<JobId, Stage> stages = new HashMap<>();
   private final List<Runnable> delayed = new ArrayList<>();
   private final int txnOps;
   private final double valueKb;
   private final EventLoop loop;
-  private final KeyValueServer front;
+  private final KeyValueServer keyValueServer;
   private final HttpServer server;
   private long clockOffsetMs;
-  private int messageCount;
+  private int requestCount;
   private boolean eventRan;
 
   AdmissionSimulation(int txnOps) throws IOException {
@@ -97,72 +97,70 @@
     store =
         new EmulatedKeyValueStore(
             new KeyValueLimits(1000, 1000, valueKb, txnOps), steps -> {}, loop.now());
-    front = new KeyValueServer(root, loop, store.core(), () -> store.flush(loop.now()));
+    keyValueServer = new KeyValueServer(root, loop, store.core(), () -> store.flush(loop.now()));
     server = new HttpServer(root, loop, Addresses.parse("127.0.0.1:0"), 64, this::handle);
   }
 
   private void handle(String method, String target, byte[] body, Consumer<HttpResponse> answer) {
-    int number = messageCount++;
+    int number = requestCount++;
     requests.add(method + " " + target);
-    Runnable event = before.get(number);
+    Runnable event = eventsBefore.get(number);
     if (event != null) {
       eventRan = true;
       event.run();
     }
     Fault fault = faults.get(number);
     if (fault == null) {
-      front.handle(method, target, body, answer);
-      after.getOrDefault(number, () -> {}).run();
+      keyValueServer.handle(method, target, body, answer);
+      eventsAfter.getOrDefault(number, () -> {}).run();
       return;
     }
     switch (fault) {
-      case LOST -> front.handle(method, target, body, reply -> {});
-      case LATE -> delayed.add(() -> front.handle(method, target, body, reply -> {}));
-      case REFUSED -> answer.accept(HttpResponse.empty(503));
-      case LIMITED -> answer.accept(HttpResponse.empty(429));
+      case ANSWER_LOST -> keyValueServer.handle(method, target, body, reply -> {});
+      case DELAYED -> delayed.add(() -> keyValueServer.handle(method, target, body, reply -> {}));
+      case UNAVAILABLE -> answer.accept(HttpResponse.empty(503));
+      case RATE_LIMITED -> answer.accept(HttpResponse.empty(429));
       default -> throw new IllegalStateException();
     }
   }
 
-  JobRepository node(String name) {
+  JobRepository newNode(String name) {
     HttpClient http =
         new HttpClient(root, loop, Addresses.parse("127.0.0.1:" + server.port()), 8, 64);
-    KeyValueClient state =
+    KeyValueClient client =
         new KeyValueClient(root, loop, http, http, 450, 15, new StoreLimits(txnOps, valueKb, 30));
-    return new JobRepository(root, loop, state, name, LaneRules.NONE);
+    return new JobRepository(root, loop, client, name, LaneRules.NONE);
   }
 
-  /** Something happens right before the message of that number is carried out. */
-  void before(int number, Runnable event) {
-    before.put(number, event);
+  /** Registers an event that runs just before a request is executed. */
+  void runBefore(int number, Runnable event) {
+    eventsBefore.put(number, event);
   }
 
-  /**
-   * Something happens when the message of that number is carried out, and its answer on its way.
-   */
-  void after(int number, Runnable event) {
-    after.put(number, event);
+  /** Registers an event that runs after a request is executed and before its answer arrives. */
+  void runAfter(int number, Runnable event) {
+    eventsAfter.put(number, event);
   }
 
-  /** Whether that was reached. */
+  /** Returns whether an event that was registered with {@link #runBefore} has run. */
   boolean eventRan() {
     return eventRan;
   }
 
-  void fault(int number, Fault fault) {
+  void injectFault(int number, Fault fault) {
     if (fault != null) {
       faults.put(number, fault);
     }
   }
 
-  /** From here on messages are carried out at once; those that were held back are now. */
+  /** Removes all faults and preceding events, and executes the delayed requests. */
   void deliverDelayed() {
-    before.clear();
+    eventsBefore.clear();
     faults.clear();
     delayed.forEach(Runnable::run);
   }
 
-  static JobSpec spec(JobId id, List<JobId> awaits) {
+  static JobSpec spec(JobId id, List<JobId> dependencies) {
     MessageBody body =
         MessageBody.of()
             .with("id", id.text())
@@ -182,7 +180,7 @@
             .with("expectS", 40.0)
             .with("snapshotS", 0.0)
             .with("flushS", 0.0)
-            .with(Wire.DEPENDENCIES, awaits.stream().map(JobId::text).toList());
+            .with(Wire.DEPENDENCIES, dependencies.stream().map(JobId::text).toList());
     try {
       return JobCodec.decode(body);
     } catch (InvalidMessageException exception) {
@@ -190,25 +188,25 @@
     }
   }
 
-  static MessageBody record(JobId id, List<JobId> awaits) {
-    String field = awaits.isEmpty() ? "spec" : "dependentSpec";
-    return MessageBody.of().with(field, JobCodec.encode(spec(id, awaits))).with("at", 5L);
+  static MessageBody record(JobId id, List<JobId> dependencies) {
+    String field = dependencies.isEmpty() ? "spec" : "dependentSpec";
+    return MessageBody.of().with(field, JobCodec.encode(spec(id, dependencies))).with("at", 5L);
   }
 
   private static String batchKey(JobId id) {
     return SubmissionBatch.key("of-" + id);
   }
 
-  /** The leader, another node or a user does that to a job. */
-  void moveTo(JobId id, Stage stage) {
+  /** Writes the records of a job as if the leader, another node or a user had changed them. */
+  void setStage(JobId id, Stage stage) {
     Transaction txn = new Transaction();
     Stage from = stages.getOrDefault(id, Stage.NONE);
     switch (stage) {
-      case BUNDLED ->
+      case BATCHED ->
           txn.put(batchKey(id), SubmissionBatch.encode(Map.of(id, record(id, List.of()))));
       case LIVE -> {
         txn.put(Keys.liveJob(id), record(id, List.of()));
-        if (from == Stage.BUNDLED) {
+        if (from == Stage.BATCHED) {
           txn.delete(batchKey(id));
         }
       }
@@ -251,51 +249,52 @@
     return outcomes.get(0);
   }
 
-  void runUntil(BooleanSupplier reached) throws IOException {
-    int lastCount = -1;
-    int idle = 0;
-    for (int i = 0; i < MAX_TURNS && !reached.getAsBoolean(); i++) {
-      idle = lastCount == messageCount ? idle + 1 : 0;
-      lastCount = messageCount;
-      if (idle > MAX_IDLE_TURNS) {
+  void runUntil(BooleanSupplier condition) throws IOException {
+    int lastRequestCount = -1;
+    int idleIterations = 0;
+    for (int i = 0; i < MAX_ITERATIONS && !condition.getAsBoolean(); i++) {
+      idleIterations = lastRequestCount == requestCount ? idleIterations + 1 : 0;
+      lastRequestCount = requestCount;
+      if (idleIterations > MAX_IDLE_ITERATIONS) {
         clockOffsetMs += CLOCK_STEP_MS;
       }
       loop.schedule(TimeSpan.millis(1), root, loop::pause);
       loop.run();
     }
-    if (!reached.getAsBoolean()) {
-      throw new IllegalStateException("nothing happens after " + requests);
+    if (!condition.getAsBoolean()) {
+      throw new IllegalStateException("condition not reached after requests " + requests);
     }
   }
 
-  /** How a job ended, by its record; null: it did not. */
-  KeyValueStore.Value endOf(JobId id) {
+  /** Returns the end record of a job, or {@code null} if there is none. */
+  KeyValueStore.Value endRecord(JobId id) {
     return store.value(Keys.finishedJob(id));
   }
 
-  /** Whether a bundle holds the job. */
+  /** Returns whether the job is recorded only in a batch. */
   boolean isBatched(JobId id) throws InvalidMessageException {
-    return store.value(Keys.liveJob(id)) == null && recordOf(id) != null;
+    return store.value(Keys.liveJob(id)) == null && liveRecord(id) != null;
   }
 
-  /** The dependencies in a live job's record; null: there is no record. */
-  List<JobId> awaitsOf(JobId id) throws InvalidMessageException {
-    MessageBody record = recordOf(id);
+  /** Returns the recorded dependencies of a job, or {@code null} if it has no live record. */
+  List<JobId> recordedDependencies(JobId id) throws InvalidMessageException {
+    MessageBody record = liveRecord(id);
     return record == null
         ? null
         : JobRecordCodec.decode(record, Revision.ABSENT).spec().dependencies();
   }
 
-  MessageBody recordOf(JobId id) throws InvalidMessageException {
-    KeyValueStore.Value own = store.value(Keys.liveJob(id));
-    if (own != null) {
-      return roundTrip(own.data());
+  /** Returns the live or batched record of a job, or {@code null} if there is none. */
+  MessageBody liveRecord(JobId id) throws InvalidMessageException {
+    KeyValueStore.Value live = store.value(Keys.liveJob(id));
+    if (live != null) {
+      return roundTrip(live.data());
     }
     MessageBody listed = roundTrip(store.list(SubmissionBatch.PREFIX, "", 1000).body());
     for (MessageBody pair : listed.maps(Wire.ITEMS)) {
-      MessageBody bundled = SubmissionBatch.decode(pair.map(Wire.VALUE)).get(id);
-      if (bundled != null) {
-        return bundled;
+      MessageBody batched = SubmissionBatch.decode(pair.map(Wire.VALUE)).get(id);
+      if (batched != null) {
+        return batched;
       }
     }
     return null;
--- a/src/test/java/io/saltflow/records/ClusterVersionCoordinatorTest.java
+++ b/src/test/java/io/saltflow/records/ClusterVersionCoordinatorTest.java
@@ -32,18 +32,18 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Cluster versions on a key-value store: announced, required, active, and incompatible. */
+/** Guards the announcement, activation and enforcement of cluster versions on a key-value store. */
 class ClusterVersionCoordinatorTest {
   private static final VersionUpgrade.UpgradePolicy POLICY =
       new VersionUpgrade.UpgradePolicy(TimeSpan.millis(100), TimeSpan.millis(400));
 
-  private static final class Root extends Routine {
-    Root(Routine parent) {
+  private static final class RootRoutine extends Routine {
+    RootRoutine(Routine parent) {
       super(parent);
     }
   }
 
-  private final Root root = new Root(null);
+  private final RootRoutine root = new RootRoutine(null);
   private EventLoop loop;
   private HttpServer server;
 
@@ -52,9 +52,9 @@
     loop = new EventLoop();
     EmulatedKeyValueStore store =
         new EmulatedKeyValueStore(new KeyValueLimits(1000, 300, 8, 8), steps -> {}, loop.now());
-    KeyValueServer front =
+    KeyValueServer keyValueServer =
         new KeyValueServer(root, loop, store.core(), () -> store.flush(loop.now()));
-    server = new HttpServer(root, loop, Addresses.parse("127.0.0.1:0"), 64, front::handle);
+    server = new HttpServer(root, loop, Addresses.parse("127.0.0.1:0"), 64, keyValueServer::handle);
     loop.scheduleRepeating(TimeSpan.millis(20), root, () -> store.flush(loop.now()));
   }
 
@@ -69,8 +69,9 @@
     return new KeyValueClient(parent, loop, http, http, 450, 150, new StoreLimits(8, 8, 300));
   }
 
-  /** A controller's process; cancelling its parent is its end. */
-  private ClusterVersionCoordinator process(Routine parent, String host, VersionRange supported) {
+  /** Starts the coordinator of a process, which stops when its parent is cancelled. */
+  private ClusterVersionCoordinator startProcess(
+      Routine parent, String host, VersionRange supported) {
     ClusterVersionCoordinator coordinator =
         new ClusterVersionCoordinator(
             parent,
@@ -84,16 +85,16 @@
     return coordinator;
   }
 
-  private void runUntil(BooleanSupplier reached) throws IOException {
-    for (int i = 0; i < 1000 && !reached.getAsBoolean(); i++) {
+  private void runUntil(BooleanSupplier condition) throws IOException {
+    for (int i = 0; i < 1000 && !condition.getAsBoolean(); i++) {
       loop.schedule(TimeSpan.millis(10), root, loop::pause);
       loop.run();
     }
-    assertTrue(reached.getAsBoolean());
+    assertTrue(condition.getAsBoolean());
   }
 
-  private static ClusterVersionCoordinator.LeaderContext leaderContext(boolean untouched) {
-    return new ClusterVersionCoordinator.LeaderContext(Transaction::new, untouched, () -> null);
+  private static ClusterVersionCoordinator.LeaderContext leaderContext(boolean newCluster) {
+    return new ClusterVersionCoordinator.LeaderContext(Transaction::new, newCluster, () -> null);
   }
 
   private ClusterVersionCodec.RecordedVersions recorded() throws IOException {
@@ -113,56 +114,58 @@
     return all[0];
   }
 
-  /** A lease that expired on a stalled machine is announced anew: read until it is so. */
+  /** Reads repeatedly, because a lease that expired on a stalled machine is announced again. */
   private void assertAnnounced(int hosts) throws IOException {
-    int seen = -1;
-    for (int i = 0; i < 100 && seen != hosts; i++) {
-      seen = recorded().announcements().size();
+    int announced = -1;
+    for (int i = 0; i < 100 && announced != hosts; i++) {
+      announced = recorded().announcements().size();
     }
-    assertEquals(hosts, seen);
+    assertEquals(hosts, announced);
   }
 
-  /** One host still has a build that announces nothing; it gets the new one, and all use it. */
+  /** Guards against the use of features while a host runs a build that announces nothing. */
   @Test
-  void featuresAreUsedOnlyOnceAllBuildsSupportThem() throws IOException {
-    ClusterVersionCoordinator one = process(root, "one", VersionRange.THIS_BUILD);
+  void featuresAreInactiveUntilAllBuildsAnnounceSupport() throws IOException {
+    ClusterVersionCoordinator one = startProcess(root, "one", VersionRange.THIS_BUILD);
     runUntil(one::isServing);
     one.setLeaderContext(leaderContext(false));
-    long looks = loop.now().ms() + 2500;
-    runUntil(() -> loop.now().ms() > looks);
-    assertFalse(one.allows(VersionedFeature.SUBMISSION_BATCHES), "the other has announced nothing");
+    long checksDoneAt = loop.now().ms() + 2500;
+    runUntil(() -> loop.now().ms() > checksDoneAt);
+    assertFalse(
+        one.allows(VersionedFeature.SUBMISSION_BATCHES),
+        "features must stay inactive until the other host announces its build");
     assertEquals(Revision.ABSENT, recorded().state().revision());
-    ClusterVersionCoordinator two = process(root, "two", VersionRange.THIS_BUILD);
+    ClusterVersionCoordinator two = startProcess(root, "two", VersionRange.THIS_BUILD);
     runUntil(
         () ->
             two.allows(VersionedFeature.MACHINE_ADDRESSES)
                 && one.allows(VersionedFeature.SUBMISSION_BATCHES));
     assertEquals(VersionRange.THIS_BUILD.newest(), recorded().state().required());
-    // From here on announcements stay: a lease later both are there, and nobody renews.
-    long later = loop.now().ms() + 1000;
-    runUntil(() -> loop.now().ms() > later);
+    // Announcements are now permanent and must outlast the lease without renewal.
+    long settledAt = loop.now().ms() + 1000;
+    runUntil(() -> loop.now().ms() > settledAt);
     assertAnnounced(2);
   }
 
-  /** An announcement expires with its process, since the next build on the host may be older. */
+  /** Guards against a stale announcement when the next build on the host is older. */
   @Test
   void announcementExpiresWithItsProcess() throws IOException {
-    Root its = new Root(root);
-    ClusterVersionCoordinator one = process(its, "one", VersionRange.THIS_BUILD);
+    RootRoutine processRoutine = new RootRoutine(root);
+    ClusterVersionCoordinator one = startProcess(processRoutine, "one", VersionRange.THIS_BUILD);
     runUntil(one::isServing);
     assertAnnounced(1);
-    its.cancel();
-    long over = loop.now().ms() + 700;
-    runUntil(() -> loop.now().ms() > over);
+    processRoutine.cancel();
+    long expiredAt = loop.now().ms() + 700;
+    runUntil(() -> loop.now().ms() > expiredAt);
     assertAnnounced(0);
   }
 
-  /** A build below the required version serves nothing, and does not hinder the others. */
+  /** Guards against an outdated build that serves or blocks other builds. */
   @Test
-  void incompatibleBuildServesNothing() throws IOException {
-    ClusterVersion high = new ClusterVersion(4);
+  void buildBelowRequiredVersionDoesNotServe() throws IOException {
+    ClusterVersion newVersion = new ClusterVersion(4);
     ClusterVersionState raised =
-        new ClusterVersionState(high, high, ClusterVersion.INITIAL, Revision.ABSENT);
+        new ClusterVersionState(newVersion, newVersion, ClusterVersion.INITIAL, Revision.ABSENT);
     boolean[] done = new boolean[1];
     client(root)
         .commit(
@@ -171,11 +174,11 @@
             TimeSpan.seconds(1),
             response -> done[0] = response.isSuccess());
     runUntil(() -> done[0]);
-    ClusterVersionCoordinator former = process(root, "one", VersionRange.THIS_BUILD);
-    ClusterVersionCoordinator fresh =
-        process(root, "two", new VersionRange(ClusterVersion.INITIAL, high));
-    runUntil(fresh::isServing);
-    assertFalse(former.isServing());
+    ClusterVersionCoordinator outdated = startProcess(root, "one", VersionRange.THIS_BUILD);
+    ClusterVersionCoordinator current =
+        startProcess(root, "two", new VersionRange(ClusterVersion.INITIAL, newVersion));
+    runUntil(current::isServing);
+    assertFalse(outdated.isServing());
     assertAnnounced(1);
     assertEquals(
         "the stored state is of level 4 and this build knows levels 1 to 3: install a build that"
@@ -183,9 +186,9 @@
         raised.incompatibility(VersionRange.THIS_BUILD));
   }
 
-  /** A record that can't be read is not taken for its absence: no process serves on it. */
+  /** Guards against serving on an unreadable state record as if it were absent. */
   @Test
-  void unreadableStateIsNotTreatedAsAbsent() throws IOException {
+  void buildDoesNotServeOnUnreadableState() throws IOException {
     boolean[] done = new boolean[1];
     client(root)
         .commit(
@@ -194,9 +197,9 @@
             TimeSpan.seconds(1),
             response -> done[0] = response.isSuccess());
     runUntil(() -> done[0]);
-    ClusterVersionCoordinator one = process(root, "one", VersionRange.THIS_BUILD);
-    long later = loop.now().ms() + 600;
-    runUntil(() -> loop.now().ms() > later);
+    ClusterVersionCoordinator one = startProcess(root, "one", VersionRange.THIS_BUILD);
+    long settledAt = loop.now().ms() + 600;
+    runUntil(() -> loop.now().ms() > settledAt);
     assertFalse(one.isServing());
   }
 }
--- a/src/test/java/io/saltflow/records/DependentAdmissionTest.java
+++ b/src/test/java/io/saltflow/records/DependentAdmissionTest.java
@@ -28,9 +28,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Submissions that name other jobs, over several nodes and one key-value store: at each stage of a
- * dependency's life, which goes on while the submission is under way, with each message refused,
- * its answer lost, or carried out late.
+ * Guards the admission of dependent jobs on several nodes against dependencies that change their
+ * stage during the submission, and against rejected, delayed and unanswered requests.
  */
 class DependentAdmissionTest {
   private static final JobId DEPENDENCY = new JobId("req-000001");
@@ -39,243 +38,254 @@
   private static final List<List<Stage>> LIFECYCLES =
       List.of(
           List.of(Stage.NONE, Stage.LIVE, Stage.DONE),
-          List.of(Stage.NONE, Stage.BUNDLED, Stage.LIVE, Stage.DONE),
+          List.of(Stage.NONE, Stage.BATCHED, Stage.LIVE, Stage.DONE),
           List.of(Stage.LIVE, Stage.CANCELLED),
-          List.of(Stage.BUNDLED, Stage.LIVE, Stage.CANCELLED),
-          List.of(Stage.BUNDLED, Stage.CANCELLED));
+          List.of(Stage.BATCHED, Stage.LIVE, Stage.CANCELLED),
+          List.of(Stage.BATCHED, Stage.CANCELLED));
 
-  /** The most that a submission without trouble sends, and one more. */
-  private static final int MESSAGE_COUNT = 9;
+  /** One more than the maximum number of requests that a submission without faults sends. */
+  private static final int REQUEST_COUNT = 9;
 
   private static JobId id(int number) {
     return new JobId(String.format("req-%06d", number));
   }
 
   /**
-   * One submission, repeated at other nodes until it is answered.
+   * One submission, which is repeated at alternating nodes until it is answered.
    *
-   * @param start the stage of the dependency's life when the submission comes
-   * @param moveAt the message before which its life goes on
-   * @param moves by how many stages
-   * @param faultAt the message that the fault happens to
+   * @param start index of the dependency's stage at the time of the submission
+   * @param changeAt number of the request before which the dependency's stage changes
+   * @param changes number of stages by which the dependency advances
+   * @param faultAt number of the request into which the fault is injected
    */
-  private record History(
-      List<Stage> stages, int start, int moveAt, int moves, int faultAt, Fault fault) {
-
-    /** What is wrong with what users are told and what is recorded, or null. */
-    String play() throws IOException, InvalidMessageException {
-      try (AdmissionSimulation world = new AdmissionSimulation(8)) {
-        List<JobRepository> nodes = List.of(world.node("a"), world.node("b"), world.node("c"));
+  private record Scenario(
+      List<Stage> stages, int start, int changeAt, int changes, int faultAt, Fault fault) {
+
+    /** Returns a description of the first inconsistency, or {@code null} if there is none. */
+    String run() throws IOException, InvalidMessageException {
+      try (AdmissionSimulation simulation = new AdmissionSimulation(8)) {
+        List<JobRepository> nodes =
+            List.of(simulation.newNode("a"), simulation.newNode("b"), simulation.newNode("c"));
         for (int i = 0; i <= start; i++) {
-          world.moveTo(DEPENDENCY, stages.get(i));
+          simulation.setStage(DEPENDENCY, stages.get(i));
         }
-        int end = Math.min(stages.size() - 1, start + moves);
-        world.before(
-            moveAt,
+        int end = Math.min(stages.size() - 1, start + changes);
+        simulation.runBefore(
+            changeAt,
             () -> {
               for (int i = start + 1; i <= end; i++) {
-                world.moveTo(DEPENDENCY, stages.get(i));
+                simulation.setStage(DEPENDENCY, stages.get(i));
               }
             });
-        world.fault(faultAt, fault);
+        simulation.injectFault(faultAt, fault);
         JobSpec spec = AdmissionSimulation.spec(DEPENDENT, List.of(DEPENDENCY));
         JobOutcome outcome = null;
-        int tries = 0;
+        int attempts = 0;
         while (outcome == null || outcome instanceof JobOutcome.Unknown) {
-          if (tries == 4) {
-            return "no answer in " + tries + " tries";
+          if (attempts == 4) {
+            return "no conclusive outcome after " + attempts + " attempts";
           }
-          outcome = world.admit(nodes.get(tries++ % 2), spec);
+          outcome = simulation.admit(nodes.get(attempts++ % 2), spec);
         }
-        if (fault == null && tries > 1) {
-          return "not answered at once, without any trouble";
+        if (fault == null && attempts > 1) {
+          return "more than one attempt without a fault";
         }
-        Stage now = world.eventRan() ? stages.get(end) : stages.get(start);
-        world.deliverDelayed();
-        String wrong = judge(world, outcome, now);
+        Stage now = simulation.eventRan() ? stages.get(end) : stages.get(start);
+        simulation.deliverDelayed();
+        String inconsistency = findInconsistency(simulation, outcome, now);
         for (JobRepository node : nodes) {
-          wrong = wrong == null ? judgeLater(world, node, outcome) : wrong;
+          inconsistency =
+              inconsistency == null
+                  ? findLaterInconsistency(simulation, node, outcome)
+                  : inconsistency;
         }
-        return wrong;
+        return inconsistency;
       }
     }
 
-    private String judge(AdmissionSimulation world, JobOutcome outcome, Stage now)
+    private String findInconsistency(AdmissionSimulation simulation, JobOutcome outcome, Stage now)
         throws InvalidMessageException {
       Stage before = stages.get(start);
-      boolean cancelled = world.endOf(DEPENDENT) != null;
-      List<JobId> awaits = world.awaitsOf(DEPENDENT);
+      boolean cancelled = simulation.endRecord(DEPENDENT) != null;
+      List<JobId> dependencies = simulation.recordedDependencies(DEPENDENT);
       if (outcome instanceof JobOutcome.NeverAccepted) {
         if (before != Stage.NONE) {
-          return "422 on a stale look: it was " + before + " when the submission came";
+          return "refused by a stale lookup: the dependency was " + before + " at submission";
         }
-        return cancelled || awaits != null ? "refused, and recorded all the same" : null;
+        return cancelled || dependencies != null ? "refused, but recorded" : null;
       }
       if (before == Stage.NONE && now == Stage.NONE) {
-        return "accepted, though its dependency never was: " + outcome;
+        return "accepted, but its dependency was never accepted: " + outcome;
       }
       if (cancelled) {
-        boolean listed = awaits != null && !world.isBatched(DEPENDENT);
-        return now != Stage.CANCELLED || listed ? "cancelled without a cause: " + now : null;
+        boolean listed = dependencies != null && !simulation.isBatched(DEPENDENT);
+        return now != Stage.CANCELLED || listed
+            ? "cancelled without a cancelled dependency or still listed as live: " + now
+            : null;
       }
-      if (awaits == null) {
+      if (dependencies == null) {
         return "accepted, but not recorded: " + outcome;
       }
-      if (awaits.isEmpty() && now != Stage.DONE) {
-        return "may start, though its dependency is " + now;
+      if (dependencies.isEmpty() && now != Stage.DONE) {
+        return "recorded without dependencies, but its dependency is " + now;
       }
       if (before == Stage.CANCELLED) {
-        return "recorded as live, though its dependency was cancelled before";
+        return "recorded as live, but its dependency was cancelled before the submission";
       }
-      return awaits.isEmpty() || awaits.equals(List.of(DEPENDENCY)) ? null : "awaits " + awaits;
+      return dependencies.isEmpty() || dependencies.equals(List.of(DEPENDENCY))
+          ? null
+          : "recorded dependencies " + dependencies;
     }
 
-    /** A repeated submission and a poll, at any node, tell what the first told. */
-    private String judgeLater(AdmissionSimulation world, JobRepository node, JobOutcome outcome)
-        throws IOException {
+    /** Checks that a repeated submission and a lookup at any node agree with the first outcome. */
+    private String findLaterInconsistency(
+        AdmissionSimulation simulation, JobRepository node, JobOutcome outcome) throws IOException {
       if (outcome instanceof JobOutcome.NeverAccepted) {
-        return world.find(node, DEPENDENT) instanceof JobOutcome.Absent
+        return simulation.find(node, DEPENDENT) instanceof JobOutcome.Absent
             ? null
-            : "refused, and found later";
+            : "refused, but found later";
       }
-      boolean ended = world.endOf(DEPENDENT) != null;
+      boolean ended = simulation.endRecord(DEPENDENT) != null;
       JobPhase phase = ended ? JobPhase.CANCELLED : JobPhase.LIVE;
       JobOutcome known = new JobOutcome.Found(new JobStatus(DEPENDENT, phase, 0));
-      // Some of the nodes have not seen the job before.
-      JobOutcome again = world.admit(node, AdmissionSimulation.spec(DEPENDENT, List.of(id(777))));
+      // Some of the nodes have not seen the job.
+      JobOutcome again =
+          simulation.admit(node, AdmissionSimulation.spec(DEPENDENT, List.of(id(777))));
       if (!known.equals(again)) {
-        return "told " + outcome + ", to another submission " + again;
+        return "first outcome " + outcome + ", repeated submission " + again;
       }
-      JobOutcome found = world.find(node, DEPENDENT);
-      return known.equals(found) ? null : "told " + outcome + ", then " + found;
+      JobOutcome found = simulation.find(node, DEPENDENT);
+      return known.equals(found) ? null : "first outcome " + outcome + ", later lookup " + found;
     }
   }
 
-  private static List<String> playAll(List<History> histories)
+  private static List<String> runAll(List<Scenario> scenarios)
       throws IOException, InvalidMessageException {
-    List<String> wrong = new ArrayList<>();
-    for (History each : histories) {
-      String fault = each.play();
+    List<String> inconsistencies = new ArrayList<>();
+    for (Scenario each : scenarios) {
+      String fault = each.run();
       if (fault != null) {
-        wrong.add(fault + ": " + each);
+        inconsistencies.add(fault + ": " + each);
       }
     }
-    return wrong;
+    return inconsistencies;
   }
 
-  /** Whatever the dependency does between two messages of the submission. */
+  /** Guards against decisions on stages that changed between two requests of the submission. */
   @Test
-  void dependencyMovesWhileItIsLookedUp() throws IOException, InvalidMessageException {
-    List<History> histories = new ArrayList<>();
+  void admissionIsConsistentWhenDependencyChangesDuringLookup()
+      throws IOException, InvalidMessageException {
+    List<Scenario> scenarios = new ArrayList<>();
     for (List<Stage> stages : LIFECYCLES) {
       for (int start = 0; start < stages.size(); start++) {
-        histories.add(new History(stages, start, MESSAGE_COUNT, 0, MESSAGE_COUNT, null));
-        for (int moves = 1; start + moves < stages.size(); moves++) {
-          for (int at = 0; at < MESSAGE_COUNT; at++) {
-            histories.add(new History(stages, start, at, moves, MESSAGE_COUNT, null));
+        scenarios.add(new Scenario(stages, start, REQUEST_COUNT, 0, REQUEST_COUNT, null));
+        for (int changes = 1; start + changes < stages.size(); changes++) {
+          for (int at = 0; at < REQUEST_COUNT; at++) {
+            scenarios.add(new Scenario(stages, start, at, changes, REQUEST_COUNT, null));
           }
         }
       }
     }
-    assertEquals(List.of(), playAll(histories));
-    assertEquals(140, histories.size());
+    assertEquals(List.of(), runAll(scenarios));
+    assertEquals(140, scenarios.size());
   }
 
-  /** Each message of the submission in turn meets each kind of trouble. */
+  /** Guards against inconsistent outcomes when any single request of the submission fails. */
   @Test
-  void messagesAreRefusedLostOrLate() throws IOException, InvalidMessageException {
-    List<History> histories = new ArrayList<>();
+  void admissionIsConsistentWhenRequestFails() throws IOException, InvalidMessageException {
+    List<Scenario> scenarios = new ArrayList<>();
     for (List<Stage> stages : LIFECYCLES) {
       for (int start = 0; start < stages.size(); start++) {
         for (Fault fault : Fault.values()) {
-          for (int at = 0; at < MESSAGE_COUNT; at++) {
-            histories.add(new History(stages, start, MESSAGE_COUNT, 0, at, fault));
+          for (int at = 0; at < REQUEST_COUNT; at++) {
+            scenarios.add(new Scenario(stages, start, REQUEST_COUNT, 0, at, fault));
           }
         }
       }
     }
-    assertEquals(504, histories.size());
-    assertEquals(List.of(), playAll(histories));
+    assertEquals(504, scenarios.size());
+    assertEquals(List.of(), runAll(scenarios));
   }
 
-  /** An answer is lost or comes late, and the dependency moves on before the repeated message. */
+  /** Guards against a dependency that changes between an unanswered request and its retry. */
   @Test
-  void dependencyMovesWhileAMessageIsLost() throws IOException, InvalidMessageException {
-    List<History> histories = new ArrayList<>();
+  void admissionIsConsistentWhenDependencyChangesBeforeRetry()
+      throws IOException, InvalidMessageException {
+    List<Scenario> scenarios = new ArrayList<>();
     for (List<Stage> stages : LIFECYCLES) {
       for (int start = 0; start + 1 < stages.size(); start++) {
         for (int at = 0; at < 4; at++) {
-          histories.add(new History(stages, start, at + 1, stages.size(), at, Fault.LOST));
-          histories.add(new History(stages, start, at + 1, stages.size(), at, Fault.LATE));
+          scenarios.add(new Scenario(stages, start, at + 1, stages.size(), at, Fault.ANSWER_LOST));
+          scenarios.add(new Scenario(stages, start, at + 1, stages.size(), at, Fault.DELAYED));
         }
       }
     }
-    assertEquals(List.of(), playAll(histories));
+    assertEquals(List.of(), runAll(scenarios));
   }
 
   /**
-   * A question is on its way when another node accepts the job, and then the next submission comes:
-   * it is not answered by the look that began before it.
+   * Guards against a lookup in flight that answers a later submission, although another node
+   * accepted the dependency in between.
    */
   @Test
-  void aLookThatBeganBeforeTheSubmissionDecidesNothing() throws IOException {
-    for (int message = 0; message < 3; message++) {
-      try (AdmissionSimulation world = new AdmissionSimulation(8)) {
-        JobRepository node = world.node("a");
+  void lookupInFlightIsNotSharedWithLaterSubmission() throws IOException {
+    for (int request = 0; request < 3; request++) {
+      try (AdmissionSimulation simulation = new AdmissionSimulation(8)) {
+        JobRepository node = simulation.newNode("a");
         List<JobOutcome> outcomes = new ArrayList<>();
-        world.after(
-            message,
+        simulation.runAfter(
+            request,
             () -> {
-              world.moveTo(DEPENDENCY, Stage.LIVE);
+              simulation.setStage(DEPENDENCY, Stage.LIVE);
               node.admit(
                   AdmissionSimulation.spec(DEPENDENT, List.of(DEPENDENCY)), 5, outcomes::add);
             });
         node.admit(AdmissionSimulation.spec(id(9), List.of(DEPENDENCY)), 5, outcome -> {});
-        world.runUntil(() -> !outcomes.isEmpty());
+        simulation.runUntil(() -> !outcomes.isEmpty());
         assertEquals(List.of(new JobOutcome.Created(DEPENDENT)), outcomes);
       }
     }
   }
 
-  /** Another node records the job between any two messages of a submission that cancels it. */
+  /** Guards against cancelling a job that another node records during the submission. */
   @Test
-  void aJobThatIsAcceptedElsewhereMeanwhileIsNotCancelledHere() throws IOException {
+  void jobAcceptedByAnotherNodeDuringSubmissionIsNotCancelled() throws IOException {
     int cancelled = 0;
-    for (int message = 0; message < 8; message++) {
-      for (Stage stage : List.of(Stage.BUNDLED, Stage.LIVE)) {
-        try (AdmissionSimulation world = new AdmissionSimulation(8)) {
-          world.moveTo(DEPENDENCY, Stage.LIVE);
-          world.moveTo(DEPENDENCY, Stage.CANCELLED);
+    for (int request = 0; request < 8; request++) {
+      for (Stage stage : List.of(Stage.BATCHED, Stage.LIVE)) {
+        try (AdmissionSimulation simulation = new AdmissionSimulation(8)) {
+          simulation.setStage(DEPENDENCY, Stage.LIVE);
+          simulation.setStage(DEPENDENCY, Stage.CANCELLED);
           boolean[] ended = new boolean[1];
-          world.before(
-              message,
+          simulation.runBefore(
+              request,
               () -> {
-                ended[0] = world.endOf(DEPENDENT) != null;
+                ended[0] = simulation.endRecord(DEPENDENT) != null;
                 if (!ended[0]) {
-                  world.moveTo(DEPENDENT, stage);
+                  simulation.setStage(DEPENDENT, stage);
                 }
               });
           JobSpec spec = AdmissionSimulation.spec(DEPENDENT, List.of(DEPENDENCY));
-          JobOutcome outcome = world.admit(world.node("a"), spec);
-          boolean end = world.endOf(DEPENDENT) != null;
+          JobOutcome outcome = simulation.admit(simulation.newNode("a"), spec);
+          boolean end = simulation.endRecord(DEPENDENT) != null;
           cancelled += end ? 1 : 0;
           JobStatus live = new JobStatus(DEPENDENT, JobPhase.LIVE, 0);
           JobOutcome expected =
               end ? new JobOutcome.CreatedCancelled(DEPENDENT) : new JobOutcome.Found(live);
-          assertEquals(expected, outcome, stage + " before message " + message);
-          // Both guards of the write are on the job's own records: a bundle that comes in between
-          // the last look and it is another submission of the same job, cancelled as rightly.
-          boolean own = stage == Stage.LIVE && world.eventRan();
-          assertFalse(end && own, stage + " before message " + message);
+          assertEquals(expected, outcome, stage + " before request " + request);
+          // The guards cover only the job's own records. A batch written after the last lookup is
+          // another submission of the same job, which may also be cancelled.
+          boolean own = stage == Stage.LIVE && simulation.eventRan();
+          assertFalse(end && own, stage + " before request " + request);
         }
       }
     }
-    assertTrue(cancelled > 0, "never cancelled");
+    assertTrue(cancelled > 0, "no run cancelled the job");
   }
 
-  /** The states of several dependencies: what was never accepted decides, then what isn't known. */
+  /** Guards the precedence of dependency states, absent first and then unknown. */
   @Test
-  void decisionsByTheStatesOfAll() {
+  void decisionFollowsPrecedenceOfDependencyStates() {
     assertEquals(
         new DependentAdmission.AdmissionDecision.Accept(List.of(id(2))),
         decide(DependencyState.DONE, DependencyState.LIVE, DependencyState.DONE));
@@ -305,64 +315,64 @@
     return IntStream.range(from, to).mapToObj(DependentAdmissionTest::id).toList();
   }
 
-  /** As many names as are allowed: a question for each dozen, within the smallest transactions. */
+  /** Guards against one request for each dependency, even with small transactions. */
   @Test
-  void manyDependenciesAreFewRequests() throws IOException, InvalidMessageException {
-    try (AdmissionSimulation world = new AdmissionSimulation(4)) {
-      ids(0, 32).forEach(id -> world.moveTo(id, Stage.LIVE));
-      world.moveTo(id(7), Stage.DONE);
-      JobRepository node = world.node("a");
+  void maximumDependenciesAreLookedUpInFewRequests() throws IOException, InvalidMessageException {
+    try (AdmissionSimulation simulation = new AdmissionSimulation(4)) {
+      ids(0, 32).forEach(id -> simulation.setStage(id, Stage.LIVE));
+      simulation.setStage(id(7), Stage.DONE);
+      JobRepository node = simulation.newNode("a");
       JobSpec spec = AdmissionSimulation.spec(id(100), ids(0, 32));
-      assertEquals(new JobOutcome.Created(id(100)), world.admit(node, spec));
-      assertEquals(31, world.awaitsOf(id(100)).size());
-      assertFalse(world.awaitsOf(id(100)).contains(id(7)));
-      // Four comparisons of eight jobs, the end of one, the record.
-      assertEquals(6, world.requests.size(), world.requests.toString());
+      assertEquals(new JobOutcome.Created(id(100)), simulation.admit(node, spec));
+      assertEquals(31, simulation.recordedDependencies(id(100)).size());
+      assertFalse(simulation.recordedDependencies(id(100)).contains(id(7)));
+      // Four comparisons of eight jobs, one read of an end record, and the write of the record.
+      assertEquals(6, simulation.requests.size(), simulation.requests.toString());
     }
   }
 
-  /** One dependency, which another node accepted: a single request beside that of the record. */
+  /** Guards against more than one lookup request for a dependency that another node accepted. */
   @Test
-  void oneDependencyCostsOneRequest() throws IOException, InvalidMessageException {
-    try (AdmissionSimulation world = new AdmissionSimulation(8)) {
-      world.moveTo(DEPENDENCY, Stage.LIVE);
+  void singleDependencyIsLookedUpInOneRequest() throws IOException, InvalidMessageException {
+    try (AdmissionSimulation simulation = new AdmissionSimulation(8)) {
+      simulation.setStage(DEPENDENCY, Stage.LIVE);
       JobSpec spec = AdmissionSimulation.spec(DEPENDENT, List.of(DEPENDENCY));
-      world.admit(world.node("a"), spec);
-      assertEquals(List.of("POST /multi", "POST /multi"), world.requests);
+      simulation.admit(simulation.newNode("a"), spec);
+      assertEquals(List.of("POST /multi", "POST /multi"), simulation.requests);
     }
   }
 
-  /** Two hundred jobs that need one, submitted in one moment. */
+  /** Guards against a lookup for each of 200 simultaneous submissions with one dependency. */
   @Test
-  void manyDependentsOfOneShareItsLookup() throws IOException, InvalidMessageException {
-    try (AdmissionSimulation world = new AdmissionSimulation(8)) {
-      world.moveTo(id(0), Stage.LIVE);
-      JobRepository node = world.node("a");
+  void simultaneousDependentsShareOneLookup() throws IOException, InvalidMessageException {
+    try (AdmissionSimulation simulation = new AdmissionSimulation(8)) {
+      simulation.setStage(id(0), Stage.LIVE);
+      JobRepository node = simulation.newNode("a");
       List<JobOutcome> outcomes = new ArrayList<>();
       for (JobId each : ids(1, 201)) {
         node.admit(AdmissionSimulation.spec(each, List.of(id(0))), 5, outcomes::add);
       }
-      world.runUntil(() -> outcomes.size() == 200);
+      simulation.runUntil(() -> outcomes.size() == 200);
       assertTrue(outcomes.stream().allMatch(outcome -> outcome instanceof JobOutcome.Created));
-      // One question, some fifteen records of their own, and bundles of some ten jobs.
-      assertTrue(world.requests.size() < 45, world.requests.size() + " requests");
+      // One lookup, about 15 individual records, and batches of about ten jobs.
+      assertTrue(simulation.requests.size() < 45, simulation.requests.size() + " requests");
       for (JobId each : ids(1, 201)) {
-        assertEquals(List.of(id(0)), world.awaitsOf(each));
+        assertEquals(List.of(id(0)), simulation.recordedDependencies(each));
       }
     }
   }
 
-  /** More jobs than are looked up at a time: the others are refused at once, not held. */
+  /** Guards against lookups that queue up without a bound. */
   @Test
-  void tooManyLookupsAreRefusedAtOnce() throws IOException {
-    try (AdmissionSimulation world = new AdmissionSimulation(8)) {
-      JobRepository node = world.node("a");
+  void lookupsBeyondLimitReturnUnknown() throws IOException {
+    try (AdmissionSimulation simulation = new AdmissionSimulation(8)) {
+      JobRepository node = simulation.newNode("a");
       List<JobOutcome> outcomes = new ArrayList<>();
       for (int n = 0; n < 20; n++) {
-        List<JobId> names = ids(1000 + 32 * n, 1032 + 32 * n);
-        node.admit(AdmissionSimulation.spec(id(n), names), 5, outcomes::add);
+        List<JobId> dependencies = ids(1000 + 32 * n, 1032 + 32 * n);
+        node.admit(AdmissionSimulation.spec(id(n), dependencies), 5, outcomes::add);
       }
-      world.runUntil(() -> outcomes.size() == 20);
+      simulation.runUntil(() -> outcomes.size() == 20);
       long unknown =
           outcomes.stream().filter(outcome -> outcome instanceof JobOutcome.Unknown).count();
       assertTrue(unknown >= 12, outcomes.toString());
@@ -372,172 +382,176 @@
     }
   }
 
-  /** What can't be read of a bundle may hold the job: it is not taken for one that never was. */
+  /** Guards against treating a job as absent when an unreadable batch may contain it. */
   @Test
-  void unreadableBundleIsNoProofOfAbsence() throws IOException {
-    try (AdmissionSimulation world = new AdmissionSimulation(8)) {
-      MessageBody torn = MessageBody.of().with("torn", MessageBody.of());
-      world.commit(new Transaction().put(SubmissionBatch.key("torn"), torn));
-      JobRepository node = world.node("a");
+  void dependencyIsUnknownWhileBatchIsUnreadable() throws IOException {
+    try (AdmissionSimulation simulation = new AdmissionSimulation(8)) {
+      MessageBody unreadable = MessageBody.of().with("torn", MessageBody.of());
+      simulation.commit(new Transaction().put(SubmissionBatch.key("torn"), unreadable));
+      JobRepository node = simulation.newNode("a");
       JobSpec spec = AdmissionSimulation.spec(DEPENDENT, List.of(DEPENDENCY));
-      assertEquals(new JobOutcome.Unknown(), world.admit(node, spec));
-      MessageBody waiting = AdmissionSimulation.record(DEPENDENT, List.of(DEPENDENCY));
-      world.commit(new Transaction().put(Keys.liveJob(DEPENDENT), waiting));
-      assertNull(orphans(world, node));
+      assertEquals(new JobOutcome.Unknown(), simulation.admit(node, spec));
+      MessageBody pending = AdmissionSimulation.record(DEPENDENT, List.of(DEPENDENCY));
+      simulation.commit(new Transaction().put(Keys.liveJob(DEPENDENT), pending));
+      assertNull(orphans(simulation, node));
     }
   }
 
   /**
-   * A job that lies in a bundle, as its record of its own is not written yet, is submitted again
-   * and names a cancelled job by now: it was accepted, and only the leader cancels it.
+   * Guards against cancelling a batched job when its repeated submission names a cancelled job. It
+   * is already accepted, and only the leader may cancel it.
    */
   @Test
-  void jobInABundleIsKnownWhateverARepeatedSubmissionNames()
-      throws IOException, InvalidMessageException {
-    try (AdmissionSimulation world = new AdmissionSimulation(8)) {
-      world.moveTo(DEPENDENT, Stage.BUNDLED);
-      world.moveTo(DEPENDENCY, Stage.LIVE);
-      world.moveTo(DEPENDENCY, Stage.CANCELLED);
-      JobRepository node = world.node("a");
+  void batchedJobIsNotCancelledByRepeatedSubmission() throws IOException, InvalidMessageException {
+    try (AdmissionSimulation simulation = new AdmissionSimulation(8)) {
+      simulation.setStage(DEPENDENT, Stage.BATCHED);
+      simulation.setStage(DEPENDENCY, Stage.LIVE);
+      simulation.setStage(DEPENDENCY, Stage.CANCELLED);
+      JobRepository node = simulation.newNode("a");
       JobSpec spec = AdmissionSimulation.spec(DEPENDENT, List.of(DEPENDENCY));
       JobStatus live = new JobStatus(DEPENDENT, JobPhase.LIVE, 0);
-      assertEquals(new JobOutcome.Found(live), world.admit(node, spec));
-      assertNull(world.endOf(DEPENDENT));
+      assertEquals(new JobOutcome.Found(live), simulation.admit(node, spec));
+      assertNull(simulation.endRecord(DEPENDENT));
     }
   }
 
-  /** Cancelled before any task of it could start, by its user: as any other job. */
+  /** Guards against a pending dependent job that its user cannot cancel. */
   @Test
-  void aWaitingJobIsCancelledByItsUser() throws IOException {
-    try (AdmissionSimulation world = new AdmissionSimulation(8)) {
-      world.moveTo(DEPENDENCY, Stage.LIVE);
-      JobRepository node = world.node("a");
-      world.admit(node, AdmissionSimulation.spec(DEPENDENT, List.of(DEPENDENCY)));
+  void pendingDependentJobCanBeCancelledByUser() throws IOException {
+    try (AdmissionSimulation simulation = new AdmissionSimulation(8)) {
+      simulation.setStage(DEPENDENCY, Stage.LIVE);
+      JobRepository node = simulation.newNode("a");
+      simulation.admit(node, AdmissionSimulation.spec(DEPENDENT, List.of(DEPENDENCY)));
       List<JobOutcome> outcomes = new ArrayList<>();
-      world.node("b").cancel(DEPENDENT, outcomes::add);
-      world.runUntil(() -> !outcomes.isEmpty());
+      simulation.newNode("b").cancel(DEPENDENT, outcomes::add);
+      simulation.runUntil(() -> !outcomes.isEmpty());
       JobStatus end = new JobStatus(DEPENDENT, JobPhase.CANCELLED, 0);
       assertEquals(List.of(new JobOutcome.Found(end)), outcomes);
-      assertEquals(new JobOutcome.Found(end), world.find(node, DEPENDENT));
+      assertEquals(new JobOutcome.Found(end), simulation.find(node, DEPENDENT));
     }
   }
 
-  /** The rule by which the version in production reads a record: its field {@code spec}. */
-  private static JobSpec readAsProductionDoes(MessageBody record) throws InvalidMessageException {
+  /** Reads a record as a version without dependencies does, by its field {@code spec}. */
+  private static JobSpec decodeAsEarlierVersion(MessageBody record) throws InvalidMessageException {
     return JobCodec.decode(record.map("spec"));
   }
 
   /**
-   * A leader of the version in production must not start a job whose dependencies it ignores: it
-   * can't read the record, alone, in a bundle, or taken out of one. One whose dependencies are all
-   * over is an ordinary record, which it runs.
+   * Guards against a leader without dependency support that starts a job with open dependencies. A
+   * job whose dependencies are all done has an ordinary record, which such a leader may run.
    */
   @Test
-  void recordsForTheVersionInProduction() throws IOException, InvalidMessageException {
-    try (AdmissionSimulation world = new AdmissionSimulation(8)) {
-      world.moveTo(id(0), Stage.LIVE);
-      JobRepository node = world.node("a");
-      world.admit(node, AdmissionSimulation.spec(DEPENDENT, List.of(id(0))));
-      MessageBody waiting = world.recordOf(DEPENDENT);
+  void recordWithOpenDependenciesIsUnreadableForEarlierVersion()
+      throws IOException, InvalidMessageException {
+    try (AdmissionSimulation simulation = new AdmissionSimulation(8)) {
+      simulation.setStage(id(0), Stage.LIVE);
+      JobRepository node = simulation.newNode("a");
+      simulation.admit(node, AdmissionSimulation.spec(DEPENDENT, List.of(id(0))));
+      MessageBody pending = simulation.liveRecord(DEPENDENT);
       InvalidMessageException refused =
-          assertThrows(InvalidMessageException.class, () -> readAsProductionDoes(waiting));
+          assertThrows(InvalidMessageException.class, () -> decodeAsEarlierVersion(pending));
       assertTrue(refused.getMessage().startsWith("spec"), refused.getMessage());
       MessageBody unpacked =
           AdmissionSimulation.roundTrip(
-              JobRecordCodec.withPosition(waiting, new AdmissionPosition(3, 1)));
-      assertThrows(InvalidMessageException.class, () -> readAsProductionDoes(unpacked));
+              JobRecordCodec.withPosition(pending, new AdmissionPosition(3, 1)));
+      assertThrows(InvalidMessageException.class, () -> decodeAsEarlierVersion(unpacked));
       LiveJobRecord read = JobRecordCodec.decode(unpacked, Revision.ABSENT);
       assertEquals(List.of(id(0)), read.spec().dependencies());
       assertEquals(new AdmissionPosition(3, 1), read.position());
 
-      world.moveTo(id(0), Stage.DONE);
-      world.admit(node, AdmissionSimulation.spec(id(9), List.of(id(0))));
-      JobSpec ordinary = readAsProductionDoes(world.recordOf(id(9)));
+      simulation.setStage(id(0), Stage.DONE);
+      simulation.admit(node, AdmissionSimulation.spec(id(9), List.of(id(0))));
+      JobSpec ordinary = decodeAsEarlierVersion(simulation.liveRecord(id(9)));
       assertEquals(List.of(), ordinary.dependencies());
-      MessageBody spec = world.recordOf(id(9)).map("spec");
-      assertNull(spec.get(Wire.DEPENDENCIES), "as former versions wrote it");
+      MessageBody spec = simulation.liveRecord(id(9)).map("spec");
+      assertNull(
+          spec.get(Wire.DEPENDENCIES),
+          "a record without open dependencies must match the earlier format");
     }
   }
 
-  private static Set<JobId> orphans(AdmissionSimulation world, JobRepository node)
+  private static Set<JobId> orphans(AdmissionSimulation simulation, JobRepository node)
       throws IOException {
-    List<Set<JobId>> told = new ArrayList<>();
-    node.findOrphans(told::add);
-    world.runUntil(() -> !told.isEmpty());
-    return told.get(0);
+    List<Set<JobId>> results = new ArrayList<>();
+    node.findOrphans(results::add);
+    simulation.runUntil(() -> !results.isEmpty());
+    return results.get(0);
   }
 
-  /** Where no leader does it, any node finds what depends on cancelled jobs, and cancels it. */
+  /** Guards against orphans that are missed because they depend indirectly or are in batches. */
   @Test
-  void orphansAreFoundThroughOthersAndInBundles() throws IOException, InvalidMessageException {
-    try (AdmissionSimulation world = new AdmissionSimulation(8)) {
+  void indirectAndBatchedOrphansAreFound() throws IOException, InvalidMessageException {
+    try (AdmissionSimulation simulation = new AdmissionSimulation(8)) {
       for (int n = 0; n < 4; n++) {
-        world.moveTo(id(n), Stage.LIVE);
+        simulation.setStage(id(n), Stage.LIVE);
       }
-      JobRepository node = world.node("a");
-      world.admit(node, AdmissionSimulation.spec(id(10), List.of(id(0), id(1))));
-      world.admit(node, AdmissionSimulation.spec(id(11), List.of(id(10))));
-      world.admit(node, AdmissionSimulation.spec(id(12), List.of(id(2), id(3))));
-      MessageBody waiting = AdmissionSimulation.record(id(13), List.of(id(11)));
-      world.commit(
+      JobRepository node = simulation.newNode("a");
+      simulation.admit(node, AdmissionSimulation.spec(id(10), List.of(id(0), id(1))));
+      simulation.admit(node, AdmissionSimulation.spec(id(11), List.of(id(10))));
+      simulation.admit(node, AdmissionSimulation.spec(id(12), List.of(id(2), id(3))));
+      MessageBody pending = AdmissionSimulation.record(id(13), List.of(id(11)));
+      simulation.commit(
           new Transaction()
-              .put(SubmissionBatch.key("b"), SubmissionBatch.encode(Map.of(id(13), waiting))));
-      assertEquals(Set.of(), orphans(world, node));
-      world.moveTo(id(1), Stage.CANCELLED);
-      world.moveTo(id(2), Stage.DONE);
-      JobRepository other = world.node("b");
-      assertEquals(Set.of(id(10), id(11), id(13)), orphans(world, other));
-      for (JobId orphan : orphans(world, other)) {
+              .put(SubmissionBatch.key("b"), SubmissionBatch.encode(Map.of(id(13), pending))));
+      assertEquals(Set.of(), orphans(simulation, node));
+      simulation.setStage(id(1), Stage.CANCELLED);
+      simulation.setStage(id(2), Stage.DONE);
+      JobRepository other = simulation.newNode("b");
+      assertEquals(Set.of(id(10), id(11), id(13)), orphans(simulation, other));
+      for (JobId orphan : orphans(simulation, other)) {
         other.cancel(orphan, outcome -> {});
       }
-      world.runUntil(() -> world.endOf(id(13)) != null && world.endOf(id(11)) != null);
+      simulation.runUntil(
+          () -> simulation.endRecord(id(13)) != null && simulation.endRecord(id(11)) != null);
       JobStatus end = new JobStatus(id(11), JobPhase.CANCELLED, 0);
-      assertEquals(new JobOutcome.Found(end), world.find(node, id(11)));
+      assertEquals(new JobOutcome.Found(end), simulation.find(node, id(11)));
       JobStatus live = new JobStatus(id(12), JobPhase.LIVE, 0);
-      assertEquals(new JobOutcome.Found(live), world.find(node, id(12)));
+      assertEquals(new JobOutcome.Found(live), simulation.find(node, id(12)));
     }
   }
 
-  /** A dependency that lies in a bundle, where its end does not show. */
+  /** Guards against treating a cancelled dependency as live because a batch still contains it. */
   @Test
-  void aCancelledDependencyInABundleIsNotTakenForLive() throws IOException {
-    try (AdmissionSimulation world = new AdmissionSimulation(8)) {
-      world.moveTo(DEPENDENCY, Stage.BUNDLED);
-      JobRepository node = world.node("a");
-      world.admit(node, AdmissionSimulation.spec(DEPENDENT, List.of(DEPENDENCY)));
-      world.moveTo(DEPENDENCY, Stage.CANCELLED);
-      assertEquals(Set.of(DEPENDENT), orphans(world, node));
+  void dependentOfCancelledBatchedJobIsOrphan() throws IOException {
+    try (AdmissionSimulation simulation = new AdmissionSimulation(8)) {
+      simulation.setStage(DEPENDENCY, Stage.BATCHED);
+      JobRepository node = simulation.newNode("a");
+      simulation.admit(node, AdmissionSimulation.spec(DEPENDENT, List.of(DEPENDENCY)));
+      simulation.setStage(DEPENDENCY, Stage.CANCELLED);
+      assertEquals(Set.of(DEPENDENT), orphans(simulation, node));
     }
   }
 
-  /** What can't be told is not taken for "none". */
+  /** Guards against reporting no orphans when a lookup fails. */
   @Test
-  void orphansThatCannotBeLookedUpAreUnknown() throws IOException {
-    try (AdmissionSimulation world = new AdmissionSimulation(8)) {
-      world.moveTo(DEPENDENCY, Stage.LIVE);
-      world.admit(world.node("a"), AdmissionSimulation.spec(DEPENDENT, List.of(DEPENDENCY)));
-      world.moveTo(DEPENDENCY, Stage.CANCELLED);
-      for (int message = 0; message < 3; message++) {
-        // The list, the comparison and the end in turn.
-        int first = world.requests.size();
-        world.fault(first + message, Fault.REFUSED);
-        assertNull(orphans(world, world.node("n" + message)));
+  void orphansAreUnknownWhenLookupFails() throws IOException {
+    try (AdmissionSimulation simulation = new AdmissionSimulation(8)) {
+      simulation.setStage(DEPENDENCY, Stage.LIVE);
+      simulation.admit(
+          simulation.newNode("a"), AdmissionSimulation.spec(DEPENDENT, List.of(DEPENDENCY)));
+      simulation.setStage(DEPENDENCY, Stage.CANCELLED);
+      for (int request = 0; request < 3; request++) {
+        // Fails the list, the comparison and the read of the end record in turn.
+        int first = simulation.requests.size();
+        simulation.injectFault(first + request, Fault.UNAVAILABLE);
+        assertNull(orphans(simulation, simulation.newNode("n" + request)));
       }
-      assertEquals(Set.of(DEPENDENT), orphans(world, world.node("z")));
+      assertEquals(Set.of(DEPENDENT), orphans(simulation, simulation.newNode("z")));
     }
   }
 
-  /** The most dependencies, with ids as long as they come, in the smallest values known. */
+  /** Guards against a record that exceeds the value limit at the maximum number of dependencies. */
   @Test
-  void mostDependenciesFitIntoTheSmallestValue() throws IOException, InvalidMessageException {
-    try (AdmissionSimulation world = new AdmissionSimulation(4, 2)) {
-      List<JobId> names =
+  void maximumDependenciesFitIntoSmallestValueLimit() throws IOException, InvalidMessageException {
+    try (AdmissionSimulation simulation = new AdmissionSimulation(4, 2)) {
+      List<JobId> dependencies =
           IntStream.range(0, 32).mapToObj(n -> new JobId(String.format("req-%022d", n))).toList();
-      names.forEach(each -> world.moveTo(each, Stage.LIVE));
+      dependencies.forEach(each -> simulation.setStage(each, Stage.LIVE));
       JobId longest = new JobId(String.format("req-%022d", 77));
-      JobSpec spec = AdmissionSimulation.spec(longest, names);
-      assertEquals(new JobOutcome.Created(longest), world.admit(world.node("a"), spec));
-      assertEquals(names, world.awaitsOf(longest));
+      JobSpec spec = AdmissionSimulation.spec(longest, dependencies);
+      assertEquals(
+          new JobOutcome.Created(longest), simulation.admit(simulation.newNode("a"), spec));
+      assertEquals(dependencies, simulation.recordedDependencies(longest));
     }
   }
 }
