--- a/src/main/java/io/saltflow/records/LeaderRepository.java
+++ b/src/main/java/io/saltflow/records/LeaderRepository.java
@@ -33,7 +33,7 @@
   private static final int MAX_IN_FLIGHT = 3;
 
   /** Adding the record of the finished job and deleting its live record. */
-  private static final int WRITES_PER_END = 2;
+  private static final int WRITES_PER_COMPLETION = 2;
 
   /** Largest share of all writes that one page may take while its entries change constantly. */
   private static final double PAGE_WRITE_SHARE = 0.1;
@@ -124,7 +124,7 @@
   public void recordCompletions() {
     List<Job> finished = leader.jobs().toFinish();
     // Read on each call: the limit may have been lowered, and larger transactions would never pass.
-    int perTransaction = Math.max(1, store.limits().maxOperations() / WRITES_PER_END);
+    int perTransaction = Math.max(1, store.limits().maxOperations() / WRITES_PER_COMPLETION);
     for (int i = 0; i < finished.size() && !isBusy(); i += perTransaction) {
       List<Job> batch = finished.subList(i, Math.min(finished.size(), i + perTransaction));
       Transaction txn = guardedTransaction();
@@ -143,7 +143,7 @@
               } else if (answer.isNotExecuted()) {
                 leader.jobs().setFinishing(job, false);
               } else {
-                resolveUnconfirmedEnd(job);
+                resolveUnconfirmedCompletion(job);
               }
             }
           });
@@ -154,7 +154,7 @@
    * Reads the record of a finished job whose write was not confirmed, since a cancellation may have
    * been recorded first. Dependent jobs are released only if the record says that the job is done.
    */
-  private void resolveUnconfirmedEnd(Job job) {
+  private void resolveUnconfirmedCompletion(Job job) {
     store.get(
         KeyValueClient.RequestPriority.BACKGROUND,
         Keys.finishedJob(job.id()),
--- a/src/main/java/io/saltflow/records/PlanRepository.java
+++ b/src/main/java/io/saltflow/records/PlanRepository.java
@@ -40,7 +40,7 @@
    *
    * @param orderInputs inputs of the queue order, or {@code null} if none were recorded
    * @param overrides operators' overrides of the queue order
-   * @param versions revisions of the recorded keys, by key
+   * @param revisions revisions of the recorded keys, by key
    * @param revision revision of the listing, after which changes have to be watched
    */
   public record InheritedPlans(
@@ -48,7 +48,7 @@
       QueueOrderInputs orderInputs,
       List<DailyDeadline> deadlines,
       List<KeyValueClient.KeyValue> overrides,
-      Map<String, Revision> versions,
+      Map<String, Revision> revisions,
       long revision) {}
 
   private final KeyValueClient store;
@@ -74,10 +74,10 @@
     List<RecordedPlan> migrations = new ArrayList<>();
     List<DailyDeadline> deadlines = new ArrayList<>();
     List<KeyValueClient.KeyValue> overrides = new ArrayList<>();
-    Map<String, Revision> versions = new HashMap<>();
+    Map<String, Revision> revisions = new HashMap<>();
     QueueOrderInputs orderInputs = null;
     for (KeyValueClient.KeyValue keyValue : listing.entries()) {
-      versions.put(keyValue.key(), keyValue.revision());
+      revisions.put(keyValue.key(), keyValue.revision());
       try {
         if (keyValue.key().startsWith(Keys.REPLICA_MIGRATIONS)) {
           migrations.add(
@@ -98,13 +98,13 @@
       }
     }
     return new InheritedPlans(
-        migrations, orderInputs, deadlines, overrides, versions, listing.revision());
+        migrations, orderInputs, deadlines, overrides, revisions, listing.revision());
   }
 
   /** Restores the decisions of earlier leaders. */
   void adopt(InheritedPlans plans, RecordedDecisions leaderDecisions) {
     decisions = leaderDecisions;
-    plans.versions().forEach(writes::restore);
+    plans.revisions().forEach(writes::restore);
     decisions.restoreMigrationPlans(plans.migrations(), now.get());
     decisions.restoreOrderInputs(plans.orderInputs());
     decisions.restoreDailyDeadlines(plans.deadlines());
--- a/src/test/java/io/saltflow/records/DoneTasksCodecTest.java
+++ b/src/test/java/io/saltflow/records/DoneTasksCodecTest.java
@@ -11,22 +11,22 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Done tasks in a few characters, in whatever order they end. */
+/** Tests the compact encoding of done tasks, which end in any order. */
 class DoneTasksCodecTest {
-  private static BitSet random(int tasks, double part) {
+  private static BitSet random(int tasks, double share) {
     SplitMix64 random = new SplitMix64(5);
     BitSet set = new BitSet();
     for (int i = 0; i < tasks; i++) {
-      set.set(i, random.nextDouble() < part);
+      set.set(i, random.nextDouble() < share);
     }
     return set;
   }
 
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 63, 64, 600, 1200})
-  void whatIsWrittenIsRead(int tasks) throws InvalidMessageException {
-    for (double part : new double[] {0, 0.1, 0.9, 1}) {
-      BitSet done = random(tasks, part);
+  void encodedSetIsDecodedUnchanged(int tasks) throws InvalidMessageException {
+    for (double share : new double[] {0, 0.1, 0.9, 1}) {
+      BitSet done = random(tasks, share);
       String text = DoneTasksCodec.encode(done, DoneTasksCodec.maxLength(tasks));
       assertEquals(done, DoneTasksCodec.decode(text, tasks));
       assertTrue(text.length() <= DoneTasksCodec.maxLength(tasks), text);
@@ -34,22 +34,22 @@
     assertTrue(DoneTasksCodec.maxLength(1200) < 220);
   }
 
-  /** A set that is too long loses its end: those tasks count as not recorded, never as done. */
+  /** Tasks that do not fit into the encoding must count as not recorded, never as done. */
   @Test
-  void longSetLosesItsEnd() throws InvalidMessageException {
+  void oversizedSetIsTruncatedAtItsEnd() throws InvalidMessageException {
     BitSet done = random(100_000, 0.5);
     String text = DoneTasksCodec.encode(done, 3000);
     assertTrue(text.length() <= 3000, "length " + text.length());
-    BitSet read = DoneTasksCodec.decode(text, 100_000);
-    BitSet more = (BitSet) read.clone();
-    more.andNot(done);
-    assertTrue(more.isEmpty());
-    assertTrue(read.cardinality() > 8000, "kept " + read.cardinality());
+    BitSet decoded = DoneTasksCodec.decode(text, 100_000);
+    BitSet excess = (BitSet) decoded.clone();
+    excess.andNot(done);
+    assertTrue(excess.isEmpty());
+    assertTrue(decoded.cardinality() > 8000, "decoded " + decoded.cardinality());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", "7", "x+", "-1+", "3+/w", "9+", "0+!"})
-  void whatCannotBeReadIsNotGuessed(String text) {
+  void malformedTextIsRejected(String text) {
     assertThrows(InvalidMessageException.class, () -> DoneTasksCodec.decode(text, 8));
   }
 }
--- a/src/test/java/io/saltflow/records/InheritedRecordsTest.java
+++ b/src/test/java/io/saltflow/records/InheritedRecordsTest.java
@@ -9,14 +9,14 @@
 import io.saltflow.protocol.MessagePackCodec;
 import org.junit.jupiter.api.Test;
 
-/** What a leader takes over from the records of earlier builds. */
+/** Tests how a leader interprets records of earlier builds. */
 class InheritedRecordsTest {
   /**
-   * Earlier versions marked a job in its own record. Taken for one that nobody launched, it would
-   * be started while a machine of theirs still runs it.
+   * Earlier builds marked a launched job in its own record. If the mark were ignored, the job would
+   * be launched again while a machine still runs it.
    */
   @Test
-  void recordOfAnEarlierVersionMayHaveBeenStarted() throws InvalidMessageException {
+  void jobMarkedStartedByEarlierBuildMayHaveStarted() throws InvalidMessageException {
     MessageBody spec =
         MessageBody.of()
             .with("id", "req-000001")
@@ -37,14 +37,14 @@
             .with("snapshotS", 0.0)
             .with("flushS", 0.0);
     MessageBody record = MessageBody.of().with("spec", spec).with("at", 5L);
-    InheritedRecords nothing = new InheritedRecords();
-    assertFalse(nothing.maybeStarted(JobRecordCodec.decode(sent(record), Revision.ABSENT)));
+    InheritedRecords inherited = new InheritedRecords();
+    assertFalse(inherited.maybeStarted(JobRecordCodec.decode(roundTrip(record), Revision.ABSENT)));
     assertTrue(
-        nothing.maybeStarted(
-            JobRecordCodec.decode(sent(record.with("started", true)), Revision.ABSENT)));
+        inherited.maybeStarted(
+            JobRecordCodec.decode(roundTrip(record.with("started", true)), Revision.ABSENT)));
   }
 
-  private static MessageBody sent(MessageBody body) throws InvalidMessageException {
+  private static MessageBody roundTrip(MessageBody body) throws InvalidMessageException {
     return MessagePackCodec.decode(MessagePackCodec.encode(body));
   }
 }
--- a/src/test/java/io/saltflow/records/MachineTypesRecordTest.java
+++ b/src/test/java/io/saltflow/records/MachineTypesRecordTest.java
@@ -18,7 +18,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When a leader writes the machine types down. */
+/** Tests when a leader records the machine types. */
 class MachineTypesRecordTest {
   private static final class Root extends Routine {
     Root() {
@@ -26,7 +26,7 @@
     }
   }
 
-  private int written;
+  private int writes;
   private int status = 503;
 
   private static List<MachineType> types(double price, String... zones) {
@@ -42,31 +42,31 @@
   }
 
   @Test
-  void untilTheyAreCertainlyWrittenAndWhenTheyChange() throws IOException {
+  void typesAreRecordedUntilConfirmedAndAgainWhenChanged() throws IOException {
     EventLoop loop = new EventLoop();
-    HttpCaller answers =
+    HttpCaller caller =
         (method, target, body, timeout, then) -> {
-          written++;
-          byte[] told = MessagePackCodec.encode(MessageBody.of().with("epoch", 7L));
-          then.accept(new HttpClient.Answer(status, told, loop.now(), 0));
+          writes++;
+          byte[] responseBody = MessagePackCodec.encode(MessageBody.of().with("epoch", 7L));
+          then.accept(new HttpClient.Answer(status, responseBody, loop.now(), 0));
         };
     Root root = new Root();
-    KeyValueClient state =
-        new KeyValueClient(root, loop, answers, answers, 100, 100, new StoreLimits(8, 8, 100));
+    KeyValueClient client =
+        new KeyValueClient(root, loop, caller, caller, 100, 100, new StoreLimits(8, 8, 100));
     LeaderLease lease = new LeaderLease(TimeSpan.seconds(5), TimeSpan.seconds(10));
-    LeaderRepository repository = new LeaderRepository(root, state, null, lease, loop::now);
+    LeaderRepository repository = new LeaderRepository(root, client, null, lease, loop::now);
 
     repository.recordMachineTypes(types(1, "a"));
-    assertEquals(1, written, "refused");
+    assertEquals(1, writes, "first attempt, rejected");
     status = 0;
     repository.recordMachineTypes(types(1, "a"));
-    assertEquals(2, written, "no answer");
+    assertEquals(2, writes, "retried after the rejection, unanswered");
     status = 200;
     repository.recordMachineTypes(types(1, "a"));
-    assertEquals(3, written);
+    assertEquals(3, writes);
     repository.recordMachineTypes(types(1.2, "a"));
-    assertEquals(3, written, "prices move all the time");
+    assertEquals(3, writes, "a change of prices alone is not recorded");
     repository.recordMachineTypes(types(1.2, "a", "b"));
-    assertEquals(4, written, "what fits has changed");
+    assertEquals(4, writes, "a change of zones is recorded");
   }
 }
--- a/src/test/java/io/saltflow/records/QueueRepositoryTest.java
+++ b/src/test/java/io/saltflow/records/QueueRepositoryTest.java
@@ -48,21 +48,21 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The queues' record before a key-value store that loses answers, refuses and elects others. */
+/** Tests the queue records against answer loss, rejected writes and failover. */
 class QueueRepositoryTest {
   private static final QueueId QUEUE = new QueueId("/", "q");
-  private static final byte[] NOTHING = new byte[0];
+  private static final byte[] EMPTY = new byte[0];
 
-  private static final ResultEncoder FORM =
+  private static final ResultEncoder EMPTY_RESULT_ENCODER =
       new ResultEncoder() {
         @Override
         public byte[] body(String id, Outcome outcome, int attempts, String reason) {
-          return NOTHING;
+          return EMPTY;
         }
 
         @Override
         public byte[] properties(String id) {
-          return NOTHING;
+          return EMPTY;
         }
       };
 
@@ -78,12 +78,12 @@
   private final CompressedValues compressedValues = new CompressedValues(limits);
   private EventLoop loop;
   private EmulatedKeyValueStore store;
-  private KeyValueClient state;
+  private KeyValueClient client;
   private LeaderLease lease;
   private QueueCore core;
   private QueueRepository repository;
-  private int lostAnswers;
-  private int refusals;
+  private int answersToLose;
+  private int writesToReject;
   private int leadershipLosses;
   private int confirmed;
 
@@ -91,7 +91,7 @@
   void start() throws IOException, InvalidMessageException {
     loop = new EventLoop();
     store = new EmulatedKeyValueStore(new KeyValueLimits(1000, 200, 8, 8), steps -> {}, loop.now());
-    KeyValueServer front =
+    KeyValueServer keyValueServer =
         new KeyValueServer(root, loop, store.core(), () -> store.flush(loop.now()));
     HttpServer server =
         new HttpServer(
@@ -101,18 +101,18 @@
             64,
             (method, target, body, answer) -> {
               boolean write = target.startsWith("/multi");
-              if (write && refusals > 0) {
-                refusals--;
+              if (write && writesToReject > 0) {
+                writesToReject--;
                 answer.accept(HttpResponse.empty(503));
                 return;
               }
-              boolean lose = write && lostAnswers > 0 && lostAnswers-- > 0;
-              front.handle(method, target, body, lose ? reply -> {} : answer);
+              boolean loseAnswer = write && answersToLose > 0 && answersToLose-- > 0;
+              keyValueServer.handle(method, target, body, loseAnswer ? reply -> {} : answer);
             });
     HttpClient http =
         new HttpClient(root, loop, Addresses.parse("127.0.0.1:" + server.port()), 8, 64);
-    state = new KeyValueClient(root, loop, http, http, 1000, 200, limits);
-    lead(1);
+    client = new KeyValueClient(root, loop, http, http, 1000, 200, limits);
+    electLeader(1);
   }
 
   @AfterEach
@@ -120,11 +120,14 @@
     root.cancel();
   }
 
-  /** Another leader: its key is new, and it reads what the former one recorded. */
-  private void lead(long term) throws InvalidMessageException, IOException {
+  /**
+   * Elects another leader, which writes a new leader key and reads the records of the former
+   * leader.
+   */
+  private void electLeader(long term) throws InvalidMessageException, IOException {
     MessageBody txn =
         new Transaction().put(Keys.LEADER, MessageBody.of().with("term", term)).encode();
-    Revision stamp =
+    Revision leaderKeyRevision =
         new Revision(
             (Long)
                 store
@@ -132,7 +135,7 @@
                     .body()
                     .get("epoch"));
     lease = new LeaderLease(TimeSpan.seconds(5), TimeSpan.seconds(5));
-    lease.onElected(new Term(term), stamp, loop.now());
+    lease.onElected(new Term(term), leaderKeyRevision, loop.now());
     core =
         new QueueCore(
             List.of(
@@ -156,25 +159,25 @@
                 100 << 20, 32 * 1024, 10_000, TimeSpan.seconds(60), TimeSpan.millis(0)),
             (queue, arrived) -> true,
             (queue, id, body) -> null,
-            FORM,
+            EMPTY_RESULT_ENCODER,
             new Term(term));
     repository =
         new QueueRepository(
             root,
-            new LeaderContext(loop, state, lease, () -> leadershipLosses++),
+            new LeaderContext(loop, client, lease, () -> leadershipLosses++),
             core,
             compressedValues,
             200,
             () -> 1_000_000,
             () -> {
-              effects(effect -> {});
+              handleEffects(effect -> {});
               repository.flush();
             });
     loop.scheduleRepeating(TimeSpan.millis(5), root, repository::flush);
-    QueueRepository.ReplayResult[] read = new QueueRepository.ReplayResult[1];
-    repository.readInherited(result -> read[0] = result);
-    await(() -> read[0] != null);
-    assertEquals(QueueRepository.ReplayResult.REPLAYED, read[0]);
+    QueueRepository.ReplayResult[] results = new QueueRepository.ReplayResult[1];
+    repository.readInherited(result -> results[0] = result);
+    await(() -> results[0] != null);
+    assertEquals(QueueRepository.ReplayResult.REPLAYED, results[0]);
     core.begin(loop.now(), 1_000_000);
   }
 
@@ -186,7 +189,7 @@
     assertTrue(done.getAsBoolean());
   }
 
-  private void effects(Consumer<Effect> then) {
+  private void handleEffects(Consumer<Effect> then) {
     for (Effect effect : core.effects()) {
       if (effect instanceof Effect.Confirm) {
         confirmed++;
@@ -203,77 +206,77 @@
       random.nextBytes(body);
       PendingPublish publish = new PendingPublish(1, 1, i);
       core.publish(
-          publish, new PublishRequest(QUEUE, "m-" + i, -1, NOTHING, body), loop.now(), 1_000_000);
+          publish, new PublishRequest(QUEUE, "m-" + i, -1, EMPTY, body), loop.now(), 1_000_000);
     }
     repository.flush();
   }
 
   @Test
-  void whatWasConfirmedIsReadByTheNextLeaderWhateverItsSize() throws Exception {
+  void confirmedMessagesOfAnySizeAreReadByNextLeader() throws Exception {
     publish(0, 300, 100);
     publish(300, 310, 16 * 1024);
     publish(310, 312, 32 * 1024);
     await(() -> confirmed == 312);
     long bytes = core.bytes();
-    lead(2);
+    electLeader(2);
     assertEquals(312, core.size());
     assertEquals(bytes, core.bytes());
     core.publish(
         new PendingPublish(1, 1, 1),
-        new PublishRequest(QUEUE, "m-311", -1, NOTHING, new byte[1]),
+        new PublishRequest(QUEUE, "m-311", -1, EMPTY, new byte[1]),
         loop.now(),
         1_000_000);
-    effects(effect -> {});
-    assertEquals(313, confirmed, "known, though another took it");
+    handleEffects(effect -> {});
+    assertEquals(313, confirmed, "a message confirmed by the former leader is known");
     assertEquals(312, core.size());
   }
 
-  /** Many small messages share a change: the key-value store counts changes, not bytes. */
+  /** The key-value store limits writes, not bytes, so many small messages must share a write. */
   @Test
-  void confirmsAreNotBoundToOneChangeEach() throws IOException {
+  void confirmedMessagesShareWrites() throws IOException {
     publish(0, 2000, 100);
     long before = store.revision();
     await(() -> confirmed == 2000);
-    assertTrue(store.revision() - before < 60, "batches: " + (store.revision() - before));
+    assertTrue(store.revision() - before < 60, "revisions: " + (store.revision() - before));
   }
 
   @Test
-  void lostAnswersAndRefusalsChangeNothing() throws Exception {
-    refusals = 3;
+  void messagesAreConfirmedDespiteLostAnswersAndRejectedWrites() throws Exception {
+    writesToReject = 3;
     publish(0, 10, 50);
     await(() -> confirmed == 10);
-    lostAnswers = 1;
+    answersToLose = 1;
     publish(10, 20, 50);
     await(() -> confirmed == 20);
-    lead(2);
+    electLeader(2);
     assertEquals(20, core.size());
   }
 
-  /** The keys are used over again, and what is alive moves on: the record stays short. */
+  /** Keys must be reused as messages are settled, or the records grow without bound. */
   @Test
-  void theRecordStaysShortWhileMessagesComeAndGo() throws Exception {
+  void keysAreReusedWhileMessagesAreSettled() throws Exception {
     publish(0, 20, 500);
     await(() -> confirmed == 20);
     ConsumerId id = new ConsumerId(1, 1, "c");
     core.consume(id, QUEUE, false, 100, loop.now(), 1_000_000);
     for (int i = 1; i <= 40; i++) {
-      int all = 20 + i * 50;
-      publish(all - 50, all, 500);
-      await(() -> confirmed == all);
+      int published = 20 + i * 50;
+      publish(published - 50, published, 500);
+      await(() -> confirmed == published);
     }
     await(() -> core.size() == 0);
     int keys = ((List<?>) store.list(Keys.QUEUES, "", 1000).body().get("pairs")).size();
     assertTrue(keys < 120, "2,020 messages of 500 bytes went through " + keys + " keys");
-    lead(2);
+    electLeader(2);
     assertEquals(0, core.size());
   }
 
   /**
-   * Less is taken at once than was said. Batches get smaller, what is in the record is read as
-   * before, and a message that is too large now holds up no other.
+   * When the limits are lowered, batches must get smaller, older batches stay readable, and a
+   * message that has become too large must not block others.
    */
   @Test
-  void batchesGetSmallerWhenLessIsTaken() throws Exception {
+  void batchesShrinkWhenLimitsAreLowered() throws Exception {
     publish(0, 300, 100);
     publish(300, 304, 16 * 1024);
     await(() -> confirmed == 304);
@@ -285,21 +288,24 @@
     publish(600, 601, 16 * 1024);
     publish(601, 700, 100);
     await(() -> confirmed == 699);
-    lead(2);
+    electLeader(2);
     assertEquals(699, core.size());
   }
 
-  /** A leader whose key is gone writes nothing more, and knows it at once. */
+  /**
+   * A leader whose key was replaced must not record anything, and must learn that it lost
+   * leadership.
+   */
   @Test
-  void aDeposedLeaderRecordsNothing() throws Exception {
+  void replacedLeaderRecordsNothing() throws Exception {
     publish(0, 5, 50);
     await(() -> confirmed == 5);
     QueueCore former = core;
     QueueRepository formerRepository = repository;
-    lead(2);
+    electLeader(2);
     former.publish(
         new PendingPublish(1, 1, 9),
-        new PublishRequest(QUEUE, "late", -1, NOTHING, NOTHING),
+        new PublishRequest(QUEUE, "late", -1, EMPTY, EMPTY),
         loop.now(),
         1_000_000);
     formerRepository.flush();
@@ -307,46 +313,46 @@
     assertEquals(5, confirmed);
     publish(5, 6, 50);
     await(() -> confirmed == 6);
-    lead(3);
+    electLeader(3);
     assertEquals(6, core.size());
   }
 
-  /** What can't be read is never taken for absence. */
+  /** A batch that cannot be read must not be treated as absent. */
   @Test
-  void aDamagedRecordIsNotServed() throws Exception {
+  void damagedRecordIsUnreadable() throws Exception {
     publish(0, 200, 400);
     await(() -> confirmed == 200);
-    KeyValueStore.Value first = store.value(Keys.QUEUES + "000001");
+    KeyValueStore.Value overwritten = store.value(Keys.QUEUES + "000001");
     MessageBody txn =
         new Transaction()
             .put(Keys.QUEUES + "000001", MessageBody.of().with("b", 99999L).with("i", 0L))
             .encode();
     store.commit(MessagePackCodec.decode(MessagePackCodec.encode(txn)));
-    assertTrue(first != null);
-    List<QueueRepository.ReplayResult> read = new ArrayList<>();
-    QueueCore fresh = core;
-    QueueRepository next =
+    assertTrue(overwritten != null);
+    List<QueueRepository.ReplayResult> results = new ArrayList<>();
+    QueueCore leaderCore = core;
+    QueueRepository otherRepository =
         new QueueRepository(
             root,
-            new LeaderContext(loop, state, lease, () -> {}),
-            fresh,
+            new LeaderContext(loop, client, lease, () -> {}),
+            leaderCore,
             compressedValues,
             200,
             () -> 0,
             () -> {});
-    next.readInherited(read::add);
-    await(() -> !read.isEmpty());
-    assertEquals(List.of(QueueRepository.ReplayResult.UNREADABLE), read);
+    otherRepository.readInherited(results::add);
+    await(() -> !results.isEmpty());
+    assertEquals(List.of(QueueRepository.ReplayResult.UNREADABLE), results);
   }
 
   @Test
-  void whatIsPackedIsReadAgainOrRefused() throws InvalidMessageException {
+  void compressedValuesAreDecompressedOrRejected() throws InvalidMessageException {
     byte[] bytes = new byte[30_000];
     random.nextBytes(bytes);
     List<String> parts = compressedValues.compress(bytes);
     assertTrue(Arrays.equals(bytes, compressedValues.decompress(parts)));
-    List<String> cut = parts.subList(0, parts.size() - 1);
-    assertThrows(InvalidMessageException.class, () -> compressedValues.decompress(cut));
+    List<String> incomplete = parts.subList(0, parts.size() - 1);
+    assertThrows(InvalidMessageException.class, () -> compressedValues.decompress(incomplete));
     assertThrows(
         InvalidMessageException.class, () -> compressedValues.decompress(List.of("no base64!")));
   }
--- a/src/test/java/io/saltflow/records/RecordLimitsTest.java
+++ b/src/test/java/io/saltflow/records/RecordLimitsTest.java
@@ -26,13 +26,13 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** What fits of the larger records into small limits of the key-value store, and what is cut. */
+/** Tests how large records are truncated or left out under small limits of the key-value store. */
 class RecordLimitsTest {
   private static final StoreLimits SMALL = new StoreLimits(4, 2, 18);
-  private static final StoreLimits FLOOR =
+  private static final StoreLimits MINIMUM =
       new StoreLimits(StoreLimits.MIN_OPERATIONS, StoreLimits.MIN_VALUE_BYTES / 1024.0, 18);
 
-  private static MessageBody sent(MessageBody body) throws InvalidMessageException {
+  private static MessageBody roundTrip(MessageBody body) throws InvalidMessageException {
     return MessagePackCodec.decode(MessagePackCodec.encode(body));
   }
 
@@ -49,64 +49,73 @@
         "12-3", new JobId("req-654321"), new MachineId("vm-1"), moves, 1L << 41, null);
   }
 
-  /** A plan is whole or not at all: at the floor the longest ones are left out. */
+  /**
+   * A migration plan must never be truncated; at the smallest limits the longest plans do not fit.
+   */
   @Test
-  void migrationPlansAreWholeOrLeftOut() {
+  void migrationPlansFitOrAreLeftOut() {
     assertTrue(SMALL.fits(MigrationPlanCodec.encode(plan(16))));
-    assertFalse(FLOOR.fits(MigrationPlanCodec.encode(plan(16))));
-    assertTrue(FLOOR.fits(MigrationPlanCodec.encode(plan(8))));
+    assertFalse(MINIMUM.fits(MigrationPlanCodec.encode(plan(16))));
+    assertTrue(MINIMUM.fits(MigrationPlanCodec.encode(plan(8))));
   }
 
-  /** What can be found out again is cut short: what says least first. */
+  /** The least significant corrections, which can be learned again, must be dropped first. */
   @Test
   void queueOrderInputsAreTruncated() throws InvalidMessageException {
     Map<String, Double> corrections = new TreeMap<>();
     for (int i = 0; i < 64; i++) {
       corrections.put(String.format("some-class-%04d", i), Math.exp((i - 20) * 0.1));
     }
-    QueueOrderInputs basis = new QueueOrderInputs(900, corrections, Set.of("some-class-0001"));
-    for (StoreLimits limits : List.of(SMALL, FLOOR)) {
-      MessageBody written = QueueOrderCodec.encode(basis, limits);
-      assertTrue(limits.fits(written));
-      QueueOrderInputs read = QueueOrderCodec.decode(sent(written));
-      assertTrue(read.estimateCorrections().size() >= 20, "" + read.estimateCorrections().size());
+    QueueOrderInputs inputs = new QueueOrderInputs(900, corrections, Set.of("some-class-0001"));
+    for (StoreLimits limits : List.of(SMALL, MINIMUM)) {
+      MessageBody encoded = QueueOrderCodec.encode(inputs, limits);
+      assertTrue(limits.fits(encoded));
+      QueueOrderInputs decoded = QueueOrderCodec.decode(roundTrip(encoded));
       assertTrue(
-          read.estimateCorrections().containsKey("some-class-0063"), "the largest says most");
-      assertFalse(read.estimateCorrections().containsKey("some-class-0020"), "1 says nothing");
+          decoded.estimateCorrections().size() >= 20, "" + decoded.estimateCorrections().size());
+      assertTrue(
+          decoded.estimateCorrections().containsKey("some-class-0063"),
+          "the largest correction is kept");
+      assertFalse(
+          decoded.estimateCorrections().containsKey("some-class-0020"),
+          "a correction of 1 is dropped");
     }
     StoreLimits large = new StoreLimits(8, 8, 25);
     assertEquals(
-        basis,
-        QueueOrderCodec.decode(sent(QueueOrderCodec.encode(basis, large))),
-        "whole where it fits");
+        inputs,
+        QueueOrderCodec.decode(roundTrip(QueueOrderCodec.encode(inputs, large))),
+        "not truncated within larger limits");
   }
 
   @Test
   void dailyDeadlinesAreTruncated() throws InvalidMessageException {
-    List<JobId> push = new ArrayList<>();
+    List<JobId> boosted = new ArrayList<>();
     List<DailyDeadline.LateJob> late = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
-      push.add(new JobId(String.format("req-%06d", i)));
+      boosted.add(new JobId(String.format("req-%06d", i)));
     }
     for (int i = 0; i < 20; i++) {
       late.add(
-          new DailyDeadline.LateJob(push.get(i), 1L << 41, "the work before it takes too long"));
+          new DailyDeadline.LateJob(boosted.get(i), 1L << 41, "the work before it takes too long"));
     }
     DailyDeadline dailyDeadline =
-        new DailyDeadline("q", "2026-12-02", 1, 2, 0.9, 3, 4, 5, 6, 7, push, late, null);
-    for (StoreLimits limits : List.of(SMALL, FLOOR)) {
-      MessageBody written =
+        new DailyDeadline("q", "2026-12-02", 1, 2, 0.9, 3, 4, 5, 6, 7, boosted, late, null);
+    for (StoreLimits limits : List.of(SMALL, MINIMUM)) {
+      MessageBody encoded =
           limits.truncated(
               DailyDeadlineCodec.encode(dailyDeadline), DailyDeadlineCodec.truncatable());
-      assertTrue(limits.fits(written));
-      DailyDeadline read =
-          DailyDeadlineCodec.decode(Keys.DAILY_DEADLINES + "q/2026-12-02", sent(written));
-      assertTrue(read.boosted().size() >= 40, "" + read.boosted().size());
-      assertEquals(push.subList(0, read.boosted().size()), read.boosted(), "what goes first stays");
+      assertTrue(limits.fits(encoded));
+      DailyDeadline decoded =
+          DailyDeadlineCodec.decode(Keys.DAILY_DEADLINES + "q/2026-12-02", roundTrip(encoded));
+      assertTrue(decoded.boosted().size() >= 40, "" + decoded.boosted().size());
+      assertEquals(
+          boosted.subList(0, decoded.boosted().size()),
+          decoded.boosted(),
+          "the first boosted jobs are kept");
     }
   }
 
-  /** A record that is too large for itself lets all others pass. */
+  /** A single record that is too large must not block the other jobs of its batch. */
   @Test
   void oversizedRecordDoesNotBlockItsBatch() throws InvalidMessageException {
     Map<JobId, MessageBody> records = new LinkedHashMap<>();
@@ -115,18 +124,18 @@
           MessageBody.of().with("at", 5L).with("x", "x".repeat(i == 2 ? 3000 : 300));
       records.put(new JobId(String.format("req-%06d", i)), record);
     }
-    BatchUnpacker unpacking = new BatchUnpacker();
-    unpacking.found(
-        SubmissionBatch.key("former"), sent(SubmissionBatch.encode(records)), new Revision(7));
+    BatchUnpacker unpacker = new BatchUnpacker();
+    unpacker.found(
+        SubmissionBatch.key("former"), roundTrip(SubmissionBatch.encode(records)), new Revision(7));
     int unpacked = 0;
     for (int i = 0; i < 10; i++) {
-      BatchUnpacker.UnpackStep step = unpacking.next(FLOOR);
-      assertTrue(step.addTo(new Transaction()).operationCost() <= FLOOR.maxOperations());
+      BatchUnpacker.UnpackStep step = unpacker.next(MINIMUM);
+      assertTrue(step.addTo(new Transaction()).operationCost() <= MINIMUM.maxOperations());
       unpacked += step.jobs().size();
-      unpacking.onCommitted(step);
+      unpacker.onCommitted(step);
     }
     assertEquals(5, unpacked);
-    assertFalse(unpacking.isEmpty(), "it stays until larger values are taken");
-    assertEquals(1, unpacking.next(new StoreLimits(8, 8, 25)).jobs().size());
+    assertFalse(unpacker.isEmpty(), "the oversized record remains until the limits are raised");
+    assertEquals(1, unpacker.next(new StoreLimits(8, 8, 25)).jobs().size());
   }
 }
--- a/src/test/java/io/saltflow/records/RecordSizesTest.java
+++ b/src/test/java/io/saltflow/records/RecordSizesTest.java
@@ -39,23 +39,23 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Bytes, requests and changes that the records cost the key-value store, as functions of machines,
- * jobs and tasks. docs/CAPACITY.md is worked out from these lines: a change here changes that page.
+ * Checks how bytes, requests and writes to the key-value store grow with machines, jobs and tasks.
+ * docs/CAPACITY.md is derived from these lines; update it when one of them changes.
  */
 class RecordSizesTest {
   private static final int[] MACHINES = {125, 250, 500, 1000, 2000};
   private static final int[] JOBS = {500, 1000, 2000, 4000};
   private static final int[] TASKS = {27, 81, 243, 729, 2187};
   private static final int[] JOBS_PER_S = {8, 16, 32, 64};
-  private static final int[] FEW_JOBS_PER_S = {1, 2, 4};
+  private static final int[] LOW_JOBS_PER_S = {1, 2, 4};
   private static final int[] JOBS_PER_BATCH = {2, 4, 8, 16, 32};
   private static final int[] BATCH_COUNTS = {2, 4, 8, 16};
   private static final int[] JOBS_PER_PAGE = {100, 200, 400, 800};
-  private static final int SETTLE_INTERVAL = 50;
+  private static final int JOBS_PER_SETTLE = 50;
   private static final int MAX_BATCH_SIZE = 32;
   private static final long WALL_MS = 1_796_189_000_000L;
-  private static final Revision STAMP = new Revision(9);
-  private static final double CHANGES_PER_S = 1000;
+  private static final Revision BATCH_REVISION = new Revision(9);
+  private static final double WRITES_PER_S = 1000;
   private static final int SECONDS = 20;
   private static final int TICKS_PER_S = 5;
   private static final int TICKS_PER_RECORD = 10;
@@ -130,7 +130,7 @@
     return new LeaderCore(policy(), new Term(1), InheritedState.empty(List.of(TYPE)), now, 0);
   }
 
-  /** A machine whose tasks are done by the time of its next report. */
+  /** A machine whose tasks are done by the time of its next heartbeat. */
   private static final class Worker {
     private final MachineId id;
     private final Map<TaskId, Attempt> exited = new LinkedHashMap<>();
@@ -140,7 +140,7 @@
       id = new MachineId("vm-" + (100_000 + number));
     }
 
-    int report(LeaderCore leader, MonotonicTime now) {
+    int sendHeartbeat(LeaderCore leader, MonotonicTime now) {
       List<WorkerHeartbeat.TaskStatus> tasks = new ArrayList<>();
       exited.forEach(
           (task, attempt) ->
@@ -151,17 +151,17 @@
                       WorkerHeartbeat.TaskState.EXITED,
                       WorkerHeartbeat.ExitCause.DONE,
                       false)));
-      WorkerHeartbeat report =
+      WorkerHeartbeat heartbeat =
           new WorkerHeartbeat(
               id, "10.1.0.1:1", "c96", "zone-a", false, 1, ++sequence, new Term(1), null, tasks);
-      List<WorkerCommand> orders = leader.onHeartbeat(report, true, now);
+      List<WorkerCommand> commands = leader.onHeartbeat(heartbeat, true, now);
       int launches = 0;
-      for (WorkerCommand order : orders == null ? List.<WorkerCommand>of() : orders) {
-        if (order instanceof WorkerCommand.Launch) {
-          exited.put(order.task(), order.attempt());
+      for (WorkerCommand command : commands == null ? List.<WorkerCommand>of() : commands) {
+        if (command instanceof WorkerCommand.Launch) {
+          exited.put(command.task(), command.attempt());
           launches++;
-        } else if (order instanceof WorkerCommand.Clear) {
-          exited.remove(order.task());
+        } else if (command instanceof WorkerCommand.Clear) {
+          exited.remove(command.task());
         }
       }
       return launches;
@@ -184,14 +184,14 @@
   }
 
   @Test
-  void theLedgerGrowsWithTheMachines() throws IOException, InvalidMessageException {
+  void ledgerBytesAreLinearInMachines() throws IOException, InvalidMessageException {
     LinearFit fit = new LinearFit("ledger, bytes by machines");
     for (int count : MACHINES) {
-      try (RequestCountingStore store = new RequestCountingStore(CHANGES_PER_S)) {
+      try (RequestCountingStore store = new RequestCountingStore(WRITES_PER_S)) {
         LeaderCore leader = leader(store.loop.now());
         store.repository.setLeader(leader);
         for (int i = 0; i < count; i++) {
-          new Worker(i).report(leader, store.loop.now());
+          new Worker(i).sendHeartbeat(leader, store.loop.now());
         }
         for (int i = 0; i < TICKS_PER_S; i++) {
           store.repository.recordMachines();
@@ -204,17 +204,18 @@
   }
 
   @Test
-  void recordsOfLiveJobsGrowWithTheJobs() throws IOException, InvalidMessageException {
+  void liveJobBytesAndFailoverRequestsAreLinearInJobs()
+      throws IOException, InvalidMessageException {
     LinearFit live = new LinearFit("live records, bytes by jobs");
-    LinearFit progress = new LinearFit("progress of begun jobs, bytes by jobs");
-    LinearFit reads = new LinearFit("reads of a takeover by jobs");
+    LinearFit progress = new LinearFit("progress of launched jobs, bytes by jobs");
+    LinearFit reads = new LinearFit("requests of a failover by jobs");
     for (int count : JOBS) {
-      try (RequestCountingStore store = new RequestCountingStore(CHANGES_PER_S)) {
+      try (RequestCountingStore store = new RequestCountingStore(WRITES_PER_S)) {
         LeaderCore leader = leader(store.loop.now());
         store.repository.setLeader(leader);
         for (int i = 0; i < count; i++) {
           admit(store, leader, spec(i, 100));
-          if (i % SETTLE_INTERVAL == 0) {
+          if (i % JOBS_PER_SETTLE == 0) {
             store.settle();
           }
         }
@@ -225,7 +226,7 @@
           store.advance(TICK);
         }
         progress.add(count, (double) store.valueBytes(Keys.JOB_PROGRESS));
-        reads.add(count, (double) takeoverReads(store));
+        reads.add(count, (double) failoverRequests(store));
       }
     }
     live.check(329, 0.1, 0, 1, 1);
@@ -233,8 +234,11 @@
     reads.check(0.002, 0.0001, 3, 0.1, 0.1);
   }
 
-  /** Requests by which a successor reads the ledger, progress, plans and live jobs. */
-  private static long takeoverReads(RequestCountingStore store) throws IOException {
+  /**
+   * Returns the number of requests with which the next leader reads the ledger, progress, plans and
+   * live jobs.
+   */
+  private static long failoverRequests(RequestCountingStore store) throws IOException {
     long before = store.requests();
     store.repository.readInherited(found -> assertNotNull(found));
     store.jobs.listLive(found -> assertNotNull(found));
@@ -243,17 +247,17 @@
   }
 
   @Test
-  void endsGrowWithTheJobsAndProgressWithTheTasks() {
-    LinearFit over = new LinearFit("records of ended jobs, bytes by jobs");
+  void finishedJobBytesAreLinearInJobsAndProgressInTasks() {
+    LinearFit bytes = new LinearFit("records of finished jobs, bytes by jobs");
     for (int count : JOBS) {
       MessageBody all = MessageBody.of();
       for (int i = 0; i < count; i++) {
         JobStatus end = new JobStatus(id(i), JobPhase.DONE, 100);
         all.with(id(i).text(), JobRecordCodec.encodeEnd(end).with("endedAt", WALL_MS));
       }
-      over.add(count, all.fields().values().stream().mapToInt(JsonSize::of).sum());
+      bytes.add(count, all.fields().values().stream().mapToInt(JsonSize::of).sum());
     }
-    over.check(48, 0.1, 0, 1, 1);
+    bytes.check(48, 0.1, 0, 1, 1);
     LinearFit progress = new LinearFit("progress of one job, every second task done, by tasks");
     for (int count : TASKS) {
       BitSet done = new BitSet();
@@ -266,48 +270,51 @@
   }
 
   @Test
-  void requestsAndChangesGrowWithTheJobsASecond() throws IOException {
-    LinearFit requests = new LinearFit("requests a second by jobs a second, one task each");
-    LinearFit changes = new LinearFit("changes a second by jobs a second, one task each");
-    LinearFit bytes = new LinearFit("bytes a second to the state service by jobs a second");
+  void requestsAndWritesAreLinearInJobRate() throws IOException {
+    LinearFit requests = new LinearFit("requests per second by jobs per second, one task each");
+    LinearFit writes = new LinearFit("writes per second by jobs per second, one task each");
+    LinearFit bytes = new LinearFit("bytes per second to the key-value store by jobs per second");
     for (int rate : JOBS_PER_S) {
-      try (RequestCountingStore store = new RequestCountingStore(CHANGES_PER_S)) {
+      try (RequestCountingStore store = new RequestCountingStore(WRITES_PER_S)) {
         LeaderCore leader = leader(store.loop.now());
         store.repository.setLeader(leader);
         int launches = run(store, leader, rate);
         requests.add(rate, store.requests() / (double) SECONDS);
-        changes.add(rate, store.changes() / (double) SECONDS);
+        writes.add(rate, store.writes() / (double) SECONDS);
         bytes.add(rate, store.bytes() / (double) SECONDS);
         assertEquals(rate * SECONDS, launches);
       }
     }
     requests.check(1, 0.02, 10, 0.5, 0.5);
-    changes.check(3, 0.02, 5, 0.5, 0.5);
+    writes.check(3, 0.02, 5, 0.5, 0.5);
     bytes.check(613, 10, 623, 60, 50);
   }
 
-  /** Below five jobs a second each has a write of its page for itself, four changes in all. */
+  /** At low rates the progress page is written once per job, so a job takes four writes in all. */
   @Test
-  void atFewJobsASecondEachTakesFourChanges() throws IOException {
-    for (int rate : FEW_JOBS_PER_S) {
-      try (RequestCountingStore store = new RequestCountingStore(CHANGES_PER_S)) {
+  void jobTakesFourWritesAtLowRates() throws IOException {
+    for (int rate : LOW_JOBS_PER_S) {
+      try (RequestCountingStore store = new RequestCountingStore(WRITES_PER_S)) {
         LeaderCore leader = leader(store.loop.now());
         store.repository.setLeader(leader);
         run(store, leader, rate);
-        assertEquals(4.0 * rate, store.changes() / (double) SECONDS, 0.5);
+        assertEquals(4.0 * rate, store.writes() / (double) SECONDS, 0.5);
       }
     }
   }
 
-  /** Jobs arrive evenly and are run at once by two machines; all are ended. */
+  /**
+   * Submits jobs at an even rate, which two machines run at once, until all have ended. Returns the
+   * number of launches.
+   */
   private static int run(RequestCountingStore store, LeaderCore leader, int rate)
       throws IOException {
     List<Worker> workers = List.of(new Worker(1), new Worker(2));
     int launches = 0;
     int admitted = 0;
     for (int tick = 0; tick < (SECONDS + 3) * TICKS_PER_S; tick++) {
-      int due = Math.min(rate * SECONDS, rate * (tick + 1) / TICKS_PER_S);
-      for (; admitted < due; admitted++) {
+      int target = Math.min(rate * SECONDS, rate * (tick + 1) / TICKS_PER_S);
+      for (; admitted < target; admitted++) {
         admit(store, leader, spec(admitted, 1));
       }
       store.settle();
@@ -320,7 +327,7 @@
         store.repository.recordProgress();
       }
       for (Worker worker : workers) {
-        launches += worker.report(leader, now);
+        launches += worker.sendHeartbeat(leader, now);
       }
       store.advance(TICK);
     }
@@ -328,32 +335,33 @@
   }
 
   @Test
-  void bundlesGrowWithTheirJobsAndAreTakenApartInFewRequests() throws InvalidMessageException {
-    LinearFit bytes = new LinearFit("bundle, bytes by jobs");
+  void batchBytesAndUnpackingWritesAreLinearInJobs() throws InvalidMessageException {
+    LinearFit bytes = new LinearFit("submission batch, bytes by jobs");
     for (int count : JOBS_PER_BATCH) {
       bytes.add(count, JsonSize.of(batch(0, count)));
     }
     bytes.check(343, 0.1, 1, 1, 1);
-    LinearFit changes = new LinearFit("changes of unpacking, by bundled jobs");
-    LinearFit requests = new LinearFit("requests of unpacking, by bundled jobs");
-    for (int bundles : BATCH_COUNTS) {
-      BatchUnpacker unpacking = new BatchUnpacker();
-      for (int i = 0; i < bundles; i++) {
-        MessageBody read = AdmissionSimulation.roundTrip(batch(i * MAX_BATCH_SIZE, MAX_BATCH_SIZE));
-        unpacking.found(SubmissionBatch.key("node-" + i), read, STAMP);
+    LinearFit writesByJobs = new LinearFit("writes of unpacking, by jobs in batches");
+    LinearFit requestsByJobs = new LinearFit("requests of unpacking, by jobs in batches");
+    for (int batches : BATCH_COUNTS) {
+      BatchUnpacker unpacker = new BatchUnpacker();
+      for (int i = 0; i < batches; i++) {
+        MessageBody decoded =
+            AdmissionSimulation.roundTrip(batch(i * MAX_BATCH_SIZE, MAX_BATCH_SIZE));
+        unpacker.found(SubmissionBatch.key("node-" + i), decoded, BATCH_REVISION);
       }
       int steps = 0;
       int writes = 0;
-      for (; !unpacking.isEmpty(); steps++) {
-        BatchUnpacker.UnpackStep step = unpacking.next(new StoreLimits(32, 64, CHANGES_PER_S));
+      for (; !unpacker.isEmpty(); steps++) {
+        BatchUnpacker.UnpackStep step = unpacker.next(new StoreLimits(32, 64, WRITES_PER_S));
         writes += step.writes();
-        unpacking.onCommitted(step);
+        unpacker.onCommitted(step);
       }
-      changes.add(bundles * MAX_BATCH_SIZE, writes);
-      requests.add(bundles * MAX_BATCH_SIZE, steps);
+      writesByJobs.add(batches * MAX_BATCH_SIZE, writes);
+      requestsByJobs.add(batches * MAX_BATCH_SIZE, steps);
     }
-    changes.check(1.03125, 0.001, 0, 1, 1);
-    requests.check(0.03125, 0.0005, 1, 0.1, 0.1);
+    writesByJobs.check(1.03125, 0.001, 0, 1, 1);
+    requestsByJobs.check(0.03125, 0.0005, 1, 0.1, 0.1);
   }
 
   private static MessageBody batch(int first, int jobs) {
@@ -366,12 +374,14 @@
     return SubmissionBatch.encode(records);
   }
 
-  /** A page is written whole, so one more job costs the bytes of all that are on it. */
+  /**
+   * Each write of a page contains all its jobs, so the cost of marking a job grows with the page.
+   */
   @Test
-  void theBytesOfAMarkGrowWithTheJobsOnItsPage() throws IOException {
-    LinearFit fit = new LinearFit("bytes of marking one job, by begun jobs on the page");
+  void markBytesAreLinearInJobsOnPage() throws IOException {
+    LinearFit fit = new LinearFit("bytes of marking one job, by launched jobs on the page");
     for (int count : JOBS_PER_PAGE) {
-      try (RequestCountingStore store = new RequestCountingStore(CHANGES_PER_S)) {
+      try (RequestCountingStore store = new RequestCountingStore(WRITES_PER_S)) {
         LeaderCore leader = leader(store.loop.now());
         store.repository.setLeader(leader);
         for (int i = 0; i <= count; i++) {
--- a/src/test/java/io/saltflow/records/RepositoryForms.java
+++ b/src/test/java/io/saltflow/records/RepositoryForms.java
@@ -26,7 +26,10 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Records that leaders keep beside the jobs' own: plans, deadlines, order, levels and batches. */
+/**
+ * Stored forms of records other than job records: plans, deadlines, queue order, cluster versions,
+ * done tasks and submission batches.
+ */
 public final class RepositoryForms {
   private static final long WALL_MS = 1_796_189_000_000L;
   private static final Revision VERSION = new Revision(9);
@@ -36,18 +39,18 @@
 
   private RepositoryForms() {}
 
-  /** The forms of the records. */
+  /** Returns the stored forms of these records. */
   public static List<StoredForm> all() {
     List<StoredForm> forms = new ArrayList<>();
-    addMovePlans(forms);
+    addMigrationPlans(forms);
     addDailyDeadlines(forms);
-    addOrder(forms);
+    addQueueOrder(forms);
     addVersions(forms);
-    addJobs(forms);
+    addJobProgressAndBatches(forms);
     return forms;
   }
 
-  private static void addMovePlans(List<StoredForm> forms) {
+  private static void addMigrationPlans(List<StoredForm> forms) {
     StoredForm.Codec codec =
         b ->
             MessagePackCodec.encode(
@@ -110,7 +113,7 @@
             codec));
   }
 
-  private static void addOrder(List<StoredForm> forms) {
+  private static void addQueueOrder(List<StoredForm> forms) {
     StoredForm.Codec override =
         b ->
             MessagePackCodec.encode(
@@ -126,7 +129,7 @@
             "operator override, front",
             MessagePackCodec.encode(QueueOrderCodec.encode((Lane) null)),
             override));
-    QueueOrderInputs basis =
+    QueueOrderInputs inputs =
         new QueueOrderInputs(
             96.5,
             new TreeMap<>(Map.of("train", 1.2, "pages", 0.833)),
@@ -134,13 +137,13 @@
     forms.add(
         StoredForm.current(
             "queue order inputs",
-            MessagePackCodec.encode(QueueOrderCodec.encode(basis)),
+            MessagePackCodec.encode(QueueOrderCodec.encode(inputs)),
             b ->
                 MessagePackCodec.encode(
                     QueueOrderCodec.encode(QueueOrderCodec.decode(MessagePackCodec.decode(b))))));
   }
 
-  private static ClusterVersionCodec.RecordedVersions listed(String key, byte[] bytes)
+  private static ClusterVersionCodec.RecordedVersions decodeVersion(String key, byte[] bytes)
       throws InvalidMessageException {
     KeyValueClient.KeyValue entry =
         new KeyValueClient.KeyValue(key, MessagePackCodec.decode(bytes), VERSION);
@@ -158,7 +161,7 @@
             MessagePackCodec.encode(ClusterVersionCodec.encode(active)),
             b ->
                 MessagePackCodec.encode(
-                    ClusterVersionCodec.encode(listed("level/active", b).state()))));
+                    ClusterVersionCodec.encode(decodeVersion("level/active", b).state()))));
     VersionRange build = new VersionRange(new ClusterVersion(1), new ClusterVersion(3));
     forms.add(
         StoredForm.current(
@@ -166,26 +169,26 @@
             MessagePackCodec.encode(ClusterVersionCodec.encode(build, "saltbox-0-17")),
             bytes -> {
               VersionRange range =
-                  listed("level/on/saltbox-0", bytes).announcements().get(0).supported();
+                  decodeVersion("level/on/saltbox-0", bytes).announcements().get(0).supported();
               String process = MessagePackCodec.decode(bytes).text("process");
               return MessagePackCodec.encode(ClusterVersionCodec.encode(range, process));
             }));
   }
 
-  private static void addJobs(List<StoredForm> forms) {
+  private static void addJobProgressAndBatches(List<StoredForm> forms) {
     BitSet done = new BitSet();
     done.set(0, 3);
     done.set(5);
     done.set(TASKS - 1);
-    int most = DoneTasksCodec.maxLength(TASKS);
+    int maxLength = DoneTasksCodec.maxLength(TASKS);
     forms.add(
         StoredForm.current(
             "done tasks of a job",
-            DoneTasksCodec.encode(done, most).getBytes(StandardCharsets.US_ASCII),
+            DoneTasksCodec.encode(done, maxLength).getBytes(StandardCharsets.US_ASCII),
             bytes -> {
               String text = new String(bytes, StandardCharsets.US_ASCII);
               BitSet read = DoneTasksCodec.decode(text, TASKS);
-              return DoneTasksCodec.encode(read, most).getBytes(StandardCharsets.US_ASCII);
+              return DoneTasksCodec.encode(read, maxLength).getBytes(StandardCharsets.US_ASCII);
             }));
     Map<JobId, MessageBody> records = new LinkedHashMap<>();
     records.put(new JobId("req-9"), MessageBody.of().with("at", 5L));
--- a/src/test/java/io/saltflow/records/RequestCountingStore.java
+++ b/src/test/java/io/saltflow/records/RequestCountingStore.java
@@ -29,16 +29,16 @@
 import java.util.function.Consumer;
 
 /**
- * A leader's records before a key-value store in memory, which counts requests and changes.
- * Requests are answered in order by {@link #settle}; the clock moves by {@link #advance} alone, and
- * only when nothing is under way, so what is counted doesn't depend on how busy the machine is.
+ * A leader's repositories with an in-memory key-value store that counts requests and writes.
+ * Requests are answered in order by {@link #settle}. The clock moves only in {@link #advance},
+ * while no request is in flight, so the counts do not depend on the load of the machine.
  */
 final class RequestCountingStore implements AutoCloseable {
-  private static final double VALUE_KB = 64;
-  private static final int TXN_OPS = 32;
-  private static final double RATE = 1e6;
+  private static final double MAX_VALUE_KB = 64;
+  private static final int MAX_OPERATIONS = 32;
+  private static final double UNLIMITED_RATE = 1e6;
   private static final long NANOS_PER_MS = 1_000_000;
-  private static final int LIST_LIMIT = 1000;
+  private static final int PAGE_SIZE = 1000;
 
   private static final class Root extends Routine {
     Root() {
@@ -52,27 +52,33 @@
   final LeaderLease lease = new LeaderLease(TimeSpan.seconds(5), TimeSpan.seconds(10));
   private final Root root = new Root();
   private final EmulatedKeyValueStore store;
-  private final KeyValueServer front;
+  private final KeyValueServer keyValueServer;
   private final Deque<Runnable> unanswered = new ArrayDeque<>();
   private long clockMs;
   private long requests;
-  private long changes;
+  private long writes;
   private long bytes;
 
   /**
-   * @param changesPerS what the service is said to take, by which pages pause between their writes
+   * Creates a store.
+   *
+   * @param writesPerS write rate assumed of the store, which determines the interval between writes
+   *     of a page
    */
-  RequestCountingStore(double changesPerS) throws IOException {
+  RequestCountingStore(double writesPerS) throws IOException {
     loop = new EventLoop(() -> clockMs * NANOS_PER_MS, System::currentTimeMillis);
     store =
         new EmulatedKeyValueStore(
-            new KeyValueLimits(RATE, RATE, VALUE_KB, TXN_OPS), steps -> {}, loop.now());
-    front = new KeyValueServer(root, loop, store.core(), () -> store.flush(loop.now()));
-    StoreLimits limits = new StoreLimits(TXN_OPS, VALUE_KB, changesPerS);
-    KeyValueClient state =
-        new KeyValueClient(root, loop, this::call, this::call, RATE, RATE, limits);
-    jobs = new JobRepository(root, loop, state, "node", LaneRules.NONE);
-    repository = new LeaderRepository(root, state, jobs, lease, loop::now);
+            new KeyValueLimits(UNLIMITED_RATE, UNLIMITED_RATE, MAX_VALUE_KB, MAX_OPERATIONS),
+            steps -> {},
+            loop.now());
+    keyValueServer = new KeyValueServer(root, loop, store.core(), () -> store.flush(loop.now()));
+    StoreLimits limits = new StoreLimits(MAX_OPERATIONS, MAX_VALUE_KB, writesPerS);
+    KeyValueClient client =
+        new KeyValueClient(
+            root, loop, this::call, this::call, UNLIMITED_RATE, UNLIMITED_RATE, limits);
+    jobs = new JobRepository(root, loop, client, "node", LaneRules.NONE);
+    repository = new LeaderRepository(root, client, jobs, lease, loop::now);
     elect();
   }
 
@@ -87,7 +93,7 @@
       byte[] body,
       TimeSpan timeout,
       Consumer<HttpClient.Answer> then) {
-    MonotonicTime sent = loop.now();
+    MonotonicTime sentAt = loop.now();
     unanswered.add(
         () ->
             handle(
@@ -97,7 +103,7 @@
                 response ->
                     then.accept(
                         new HttpClient.Answer(
-                            response.status(), response.body(), sent, response.retryAfterS()))));
+                            response.status(), response.body(), sentAt, response.retryAfterS()))));
   }
 
   private void handle(String method, String target, byte[] body, Consumer<HttpResponse> answer) {
@@ -105,48 +111,48 @@
     bytes += body.length;
     if (target.equals(Wire.PATH_TRANSACTION)) {
       try {
-        changes += EmulatedKeyValueStore.writeCount(MessagePackCodec.decode(body));
+        writes += EmulatedKeyValueStore.writeCount(MessagePackCodec.decode(body));
       } catch (InvalidMessageException exception) {
         throw new IllegalStateException(exception);
       }
     }
-    front.handle(method, target, body, answer);
+    keyValueServer.handle(method, target, body, answer);
   }
 
   long requests() {
     return requests;
   }
 
-  /** Puts and deletes. */
-  long changes() {
-    return changes;
+  /** Returns the number of puts and deletes. */
+  long writes() {
+    return writes;
   }
 
-  /** Bytes of the requests' bodies. */
+  /** Returns the total size of request bodies, in bytes. */
   long bytes() {
     return bytes;
   }
 
-  /** Writes beside the books. */
+  /** Commits a transaction that is not counted. */
   void commit(Transaction txn) {
     try {
       if (store.commit(MessagePackCodec.decode(MessagePackCodec.encode(txn.encode()))).status()
           != 200) {
-        throw new IllegalStateException("refused");
+        throw new IllegalStateException("transaction was rejected");
       }
     } catch (InvalidMessageException exception) {
       throw new IllegalStateException(exception);
     }
   }
 
-  /** Time passes once all that was asked is answered. */
+  /** Answers all requests, moves the clock, and runs what has become due. */
   void advance(TimeSpan span) throws IOException {
     settle();
     clockMs += span.ms();
     settle();
   }
 
-  /** Answers what was asked, and what is asked upon that, and lets happen what is due. */
+  /** Answers all requests, including those that follow from answers, and runs due timers. */
   void settle() throws IOException {
     do {
       while (!unanswered.isEmpty()) {
@@ -157,21 +163,21 @@
     } while (!unanswered.isEmpty());
   }
 
-  /** Bytes of the values under a prefix, in the form that limits count. */
+  /** Returns the total size of the values under a prefix, in bytes as counted by the limits. */
   long valueBytes(String prefix) throws InvalidMessageException {
-    long sum = 0;
+    long totalBytes = 0;
     String after = "";
     while (true) {
       MessageBody page =
           MessagePackCodec.decode(
-              MessagePackCodec.encode(store.list(prefix, after, LIST_LIMIT).body()));
+              MessagePackCodec.encode(store.list(prefix, after, PAGE_SIZE).body()));
       List<MessageBody> pairs = page.maps(Wire.ITEMS);
       for (MessageBody pair : pairs) {
-        sum += JsonSize.of(pair.map(Wire.VALUE));
+        totalBytes += JsonSize.of(pair.map(Wire.VALUE));
         after = pair.text(Wire.KEY);
       }
       if (pairs.isEmpty() || !page.flagOr(Wire.TRUNCATED, false)) {
-        return sum;
+        return totalBytes;
       }
     }
   }
--- a/src/test/java/io/saltflow/records/ServiceRepositoryTest.java
+++ b/src/test/java/io/saltflow/records/ServiceRepositoryTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Services' records before a key-value store that loses answers and elects others. */
+/** Tests the service records against answer loss and failover. */
 class ServiceRepositoryTest {
   private static final class Root extends Routine {
     Root() {
@@ -39,15 +39,15 @@
   private final Root root = new Root();
   private EventLoop loop;
   private EmulatedKeyValueStore store;
-  private KeyValueClient state;
-  private int lostAnswers;
+  private KeyValueClient client;
+  private int answersToLose;
   private int leadershipLosses;
 
   @BeforeEach
   void start() throws IOException {
     loop = new EventLoop();
     store = new EmulatedKeyValueStore(new KeyValueLimits(100, 100, 8, 8), steps -> {}, loop.now());
-    KeyValueServer front =
+    KeyValueServer keyValueServer =
         new KeyValueServer(root, loop, store.core(), () -> store.flush(loop.now()));
     HttpServer server =
         new HttpServer(
@@ -56,12 +56,13 @@
             Addresses.parse("127.0.0.1:0"),
             8,
             (method, target, body, answer) -> {
-              boolean lose = target.startsWith("/multi") && lostAnswers > 0 && lostAnswers-- > 0;
-              front.handle(method, target, body, lose ? reply -> {} : answer);
+              boolean loseAnswer =
+                  target.startsWith("/multi") && answersToLose > 0 && answersToLose-- > 0;
+              keyValueServer.handle(method, target, body, loseAnswer ? reply -> {} : answer);
             });
     HttpClient http =
         new HttpClient(root, loop, Addresses.parse("127.0.0.1:" + server.port()), 4, 16);
-    state = new KeyValueClient(root, loop, http, http, 100, 100, new StoreLimits(8, 8, 100));
+    client = new KeyValueClient(root, loop, http, http, 100, 100, new StoreLimits(8, 8, 100));
   }
 
   @AfterEach
@@ -69,39 +70,40 @@
     root.cancel();
   }
 
-  /** Another leader, whose key is new. */
-  private ServiceRepository lead(long term) throws InvalidMessageException {
+  /** Elects another leader, which writes a new leader key. */
+  private ServiceRepository electLeader(long term) throws InvalidMessageException {
     MessageBody txn =
         new Transaction().put(Keys.LEADER, MessageBody.of().with("term", term)).encode();
-    Object epoch =
+    Object revision =
         store.commit(MessagePackCodec.decode(MessagePackCodec.encode(txn))).body().get("epoch");
-    LeaderLease authority = new LeaderLease(TimeSpan.seconds(5), TimeSpan.seconds(5));
-    authority.onElected(new Term(term), new Revision((Long) epoch), loop.now());
+    LeaderLease lease = new LeaderLease(TimeSpan.seconds(5), TimeSpan.seconds(5));
+    lease.onElected(new Term(term), new Revision((Long) revision), loop.now());
     return new ServiceRepository(
-        root, new LeaderContext(loop, state, authority, () -> leadershipLosses++));
+        root, new LeaderContext(loop, client, lease, () -> leadershipLosses++));
   }
 
-  private void await(Object[] box) throws IOException {
-    for (int i = 0; i < 10_000 && box[0] == null; i++) {
+  private void await(Object[] result) throws IOException {
+    for (int i = 0; i < 10_000 && result[0] == null; i++) {
       loop.schedule(TimeSpan.millis(1), root, loop::pause);
       loop.run();
     }
-    assertTrue(box[0] != null);
+    assertTrue(result[0] != null);
   }
 
   private ServiceRepository.WriteResult write(ServiceRepository repository, String value)
       throws IOException {
-    Object[] box = new Object[1];
-    repository.write("thumbs", MessageBody.of().with("is", value), true, result -> box[0] = result);
-    await(box);
-    return (ServiceRepository.WriteResult) box[0];
+    Object[] result = new Object[1];
+    repository.write(
+        "thumbs", MessageBody.of().with("is", value), true, written -> result[0] = written);
+    await(result);
+    return (ServiceRepository.WriteResult) result[0];
   }
 
   private Map<?, ?> read(ServiceRepository repository) throws IOException {
-    Object[] box = new Object[1];
-    repository.readInherited(records -> box[0] = records);
-    await(box);
-    return (Map<?, ?>) box[0];
+    Object[] result = new Object[1];
+    repository.readInherited(records -> result[0] = records);
+    await(result);
+    return (Map<?, ?>) result[0];
   }
 
   private Object recorded() {
@@ -109,34 +111,36 @@
   }
 
   @Test
-  void twoLeadersCannotBothMove() throws Exception {
-    ServiceRepository first = lead(1);
+  void replacedLeaderCannotWrite() throws Exception {
+    ServiceRepository first = electLeader(1);
     assertEquals(ServiceRepository.WriteResult.RECORDED, write(first, "step 1"));
-    ServiceRepository second = lead(2);
+    ServiceRepository second = electLeader(2);
     assertEquals(1, read(second).size());
     assertEquals(ServiceRepository.WriteResult.NOT_WRITTEN, write(first, "step 2 of the first"));
-    assertEquals(1, leadershipLosses, "and it knows why");
+    assertEquals(1, leadershipLosses, "the former leader learns that it lost leadership");
     assertEquals("step 1", recorded());
     assertEquals(ServiceRepository.WriteResult.RECORDED, write(second, "step 2"));
     assertEquals("step 2", recorded());
   }
 
-  /** The write was carried out and its answer lost: it is not carried out again, nor given up. */
+  /** A write whose answer was lost must neither be carried out twice nor be reported as failed. */
   @Test
-  void aLostAnswerIsCleared() throws Exception {
-    ServiceRepository repository = lead(1);
+  void writeWithLostAnswerIsRecordedOnce() throws Exception {
+    ServiceRepository repository = electLeader(1);
     assertEquals(ServiceRepository.WriteResult.RECORDED, write(repository, "one"));
-    lostAnswers = 1;
+    answersToLose = 1;
     long before = store.revision();
     assertEquals(ServiceRepository.WriteResult.RECORDED, write(repository, "two"));
-    assertEquals(before + 1, store.revision(), "once");
+    assertEquals(before + 1, store.revision(), "the write is carried out once");
     assertEquals(
-        ServiceRepository.WriteResult.RECORDED, write(repository, "three"), "the version is known");
+        ServiceRepository.WriteResult.RECORDED,
+        write(repository, "three"),
+        "the revision of the second write is known");
     assertEquals("three", recorded());
   }
 
   @Test
-  void whatIsTooLargeIsSaidBeforeItIsSent() throws Exception {
-    assertEquals(ServiceRepository.WriteResult.TOO_LARGE, write(lead(1), "x".repeat(7200)));
+  void oversizedRecordIsRejected() throws Exception {
+    assertEquals(ServiceRepository.WriteResult.TOO_LARGE, write(electLeader(1), "x".repeat(7200)));
   }
 }
--- a/src/test/java/io/saltflow/records/SubmissionBatchTest.java
+++ b/src/test/java/io/saltflow/records/SubmissionBatchTest.java
@@ -37,9 +37,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Jobs that are admitted with one change for many, before a key-value store with its limits. */
+/** Tests batched admission and batched polls under the limits of the key-value store. */
 class SubmissionBatchTest {
-  private static final int TXN_OPS = 8;
+  private static final int MAX_OPERATIONS = 8;
 
   private static final class Root extends Routine {
     Root() {
@@ -51,8 +51,8 @@
   private final Map<JobId, JobOutcome> outcomes = new LinkedHashMap<>();
   private final List<String> requests = new ArrayList<>();
 
-  /** What happens while the next answer is on its way. */
-  private Runnable onNext = () -> {};
+  /** Action run once after the next request has been handled, before its answer arrives. */
+  private Runnable afterNextRequest = () -> {};
 
   private EventLoop loop;
   private EmulatedKeyValueStore store;
@@ -63,8 +63,8 @@
     loop = new EventLoop();
     store =
         new EmulatedKeyValueStore(
-            new KeyValueLimits(1000, 30, 8, TXN_OPS), steps -> {}, loop.now());
-    KeyValueServer front =
+            new KeyValueLimits(1000, 30, 8, MAX_OPERATIONS), steps -> {}, loop.now());
+    KeyValueServer keyValueServer =
         new KeyValueServer(root, loop, store.core(), () -> store.flush(loop.now()));
     server =
         new HttpServer(
@@ -74,9 +74,9 @@
             64,
             (method, target, body, answer) -> {
               requests.add(method + " " + target);
-              front.handle(method, target, body, answer);
-              onNext.run();
-              onNext = () -> {};
+              keyValueServer.handle(method, target, body, answer);
+              afterNextRequest.run();
+              afterNextRequest = () -> {};
             });
   }
 
@@ -91,17 +91,17 @@
     return new JobRepository(
         root,
         loop,
-        new KeyValueClient(root, loop, http, http, 450, 15, new StoreLimits(TXN_OPS, 8, 30)),
+        new KeyValueClient(root, loop, http, http, 450, 15, new StoreLimits(MAX_OPERATIONS, 8, 30)),
         process,
         LaneRules.NONE);
   }
 
-  private void runUntil(BooleanSupplier reached) throws IOException {
-    for (int i = 0; i < 600 && !reached.getAsBoolean(); i++) {
+  private void runUntil(BooleanSupplier condition) throws IOException {
+    for (int i = 0; i < 600 && !condition.getAsBoolean(); i++) {
       loop.schedule(TimeSpan.millis(10), root, loop::pause);
       loop.run();
     }
-    assertTrue(reached.getAsBoolean());
+    assertTrue(condition.getAsBoolean());
   }
 
   private static JobId id(int number) {
@@ -151,11 +151,11 @@
   }
 
   /**
-   * A wall of polls of jobs that this node has not seen: a few requests for all of them. With up to
-   * three each, 2,000 small jobs used the whole rate for minutes, and the leader lost its lease.
+   * Separate requests for each poll of an unseen job would use up the request rate, until the
+   * leader loses its lease.
    */
   @Test
-  void manyFirstPollsAreAnsweredByOneList() throws IOException {
+  void firstPollsOfManyJobsShareListing() throws IOException {
     admit(node("one"), 0, 60);
     JobRepository other = node("other");
     requests.clear();
@@ -172,9 +172,9 @@
     assertTrue(requests.size() < 16, requests.size() + " requests: " + requests);
   }
 
-  /** A list that is a moment old takes back no end that this node recorded meanwhile. */
+  /** An outdated listing must not overwrite the end of a job that this node recorded meanwhile. */
   @Test
-  void anEndThatIsRecordedWhileTheListIsOnItsWayStands() throws IOException {
+  void endRecordedDuringListingIsKept() throws IOException {
     JobRepository node = node("one");
     for (int number = 0; number < 20; number++) {
       admit(node, number, number + 1);
@@ -182,7 +182,7 @@
     JobRepository other = node("other");
     outcomes.clear();
     requests.clear();
-    onNext = () -> other.cacheDone(id(3), 16);
+    afterNextRequest = () -> other.cacheDone(id(3), 16);
     for (int number = 0; number < 20; number++) {
       JobId jobId = id(number);
       other.poll(jobId, outcome -> outcomes.put(jobId, outcome));
@@ -194,17 +194,16 @@
     assertEquals(live(id(4)), outcomes.get(id(4)));
   }
 
-  private long changesAsked() {
+  private long transactionsSent() {
     return requests.stream().filter(a -> a.equals("POST /multi")).count();
   }
 
   /**
-   * Users repeat some of their submissions at another node within a burst: the bundle that holds
-   * such a one is refused for it, and the others go together again. Each for itself they used up
-   * two seconds of the node's share of the changes, and who came behind them was refused.
+   * A submission that another node has already recorded fails the guard of its batch. The other
+   * jobs must be batched again; one write each would use up the write rate of the node.
    */
   @Test
-  void oneThatIsKnownAlreadyDoesNotBreakItsBundleUp() throws IOException {
+  void knownJobDoesNotSplitItsBatch() throws IOException {
     admit(node("one"), 20, 22);
     JobRepository other = node("other");
     requests.clear();
@@ -219,12 +218,12 @@
       assertEquals(
           known ? live(id(number)) : new JobOutcome.Created(id(number)), outcomes.get(id(number)));
     }
-    assertTrue(changesAsked() < 30, changesAsked() + " transactions");
+    assertTrue(transactionsSent() < 30, transactionsSent() + " transactions");
   }
 
-  /** A repeated submission of what this node knows is compared, which costs no change. */
+  /** A repeated submission of a job that this node knows must be answered without a write. */
   @Test
-  void repeatedSubmissionsCostNoChanges() throws IOException {
+  void repeatedSubmissionsTakeNoWrites() throws IOException {
     JobRepository node = node("one");
     admit(node, 0, 20);
     requests.clear();
@@ -240,44 +239,44 @@
     assertTrue(requests.size() <= 3, requests.toString());
   }
 
-  private static MessageBody txn(Transaction txn) throws InvalidMessageException {
-    return MessagePackCodec.decode(MessagePackCodec.encode(txn.encode()));
+  private static MessageBody encode(Transaction transaction) throws InvalidMessageException {
+    return MessagePackCodec.decode(MessagePackCodec.encode(transaction.encode()));
   }
 
-  /** Plays the leader until all is unpacked; how many changes were refused. */
-  private int unpack(BatchUnpacker unpacking) throws InvalidMessageException {
-    return unpack(unpacking, TXN_OPS);
+  /** Unpacks all batches as the leader does. Returns the number of rejected transactions. */
+  private int unpack(BatchUnpacker unpacker) throws InvalidMessageException {
+    return unpack(unpacker, MAX_OPERATIONS);
   }
 
-  private int unpack(BatchUnpacker unpacking, int operations) throws InvalidMessageException {
-    int refused = 0;
-    for (int i = 0; i < 500 && !unpacking.isEmpty(); i++) {
-      BatchUnpacker.UnpackStep step = unpacking.next(new StoreLimits(operations, 8, 30));
+  private int unpack(BatchUnpacker unpacker, int operations) throws InvalidMessageException {
+    int rejected = 0;
+    for (int i = 0; i < 500 && !unpacker.isEmpty(); i++) {
+      BatchUnpacker.UnpackStep step = unpacker.next(new StoreLimits(operations, 8, 30));
       assertTrue(step.writes() > 0 && step.writes() <= operations);
-      var reply = store.commit(txn(step.addTo(new Transaction())));
+      var reply = store.commit(encode(step.addTo(new Transaction())));
       if (reply.status() == 200) {
-        unpacking.onCommitted(step);
+        unpacker.onCommitted(step);
       } else {
-        refused++;
+        rejected++;
         MessageBody body = MessagePackCodec.decode(MessagePackCodec.encode(reply.body()));
-        unpacking.onRefused(
+        unpacker.onRefused(
             step, new KeyValueClient.StoreResponse(reply.status(), body, loop.now()));
       }
     }
-    assertTrue(unpacking.isEmpty());
-    return refused;
+    assertTrue(unpacker.isEmpty());
+    return rejected;
   }
 
-  private BatchUnpacker found() {
-    BatchUnpacker unpacking = new BatchUnpacker();
-    for (MessageBody pair : pairs()) {
-      long version = (Long) pair.get(Wire.VERSION);
-      unpacking.found((String) pair.get(Wire.KEY), asBody(pair), new Revision(version));
+  private BatchUnpacker foundBatches() {
+    BatchUnpacker unpacker = new BatchUnpacker();
+    for (MessageBody entry : batchEntries()) {
+      long version = (Long) entry.get(Wire.VERSION);
+      unpacker.found((String) entry.get(Wire.KEY), batchOf(entry), new Revision(version));
     }
-    return unpacking;
+    return unpacker;
   }
 
-  private List<MessageBody> pairs() {
+  private List<MessageBody> batchEntries() {
     try {
       MessageBody listed =
           MessagePackCodec.decode(
@@ -288,33 +287,32 @@
     }
   }
 
-  private static MessageBody asBody(MessageBody pair) {
+  private static MessageBody batchOf(MessageBody entry) {
     try {
-      return pair.map(Wire.VALUE);
+      return entry.map(Wire.VALUE);
     } catch (InvalidMessageException exception) {
       throw new IllegalStateException(exception);
     }
   }
 
   /**
-   * A hundred submissions in one moment, at 30 changes a second of which a node has half: with a
-   * change each they would take longer than their users wait. Every node then knows each of them,
-   * and knows what was never submitted.
+   * A burst of submissions must share writes, since one write each would take longer than users
+   * wait. Every node must find each of the jobs and no others.
    */
   @Test
-  void burstIsAdmittedWithOneChangeForMany() throws IOException, InvalidMessageException {
+  void burstOfSubmissionsSharesWrites() throws IOException, InvalidMessageException {
     JobRepository one = node("one");
     JobRepository other = node("other");
     admit(one, 0, 100);
-    assertTrue(store.revision() < 40, store.revision() + " changes");
-    assertTrue(pairs().size() >= 5);
+    assertTrue(store.revision() < 40, store.revision() + " revisions");
+    assertTrue(batchEntries().size() >= 5);
     for (int number = 0; number < 100; number += 9) {
       assertEquals(live(id(number)), find(other, id(number)));
     }
     assertEquals(new JobOutcome.Absent(), find(other, id(500)));
 
-    assertEquals(0, unpack(found()));
-    assertEquals(0, pairs().size());
+    assertEquals(0, unpack(foundBatches()));
+    assertEquals(0, batchEntries().size());
     for (int number = 0; number < 100; number++) {
       assertNotNull(store.value(Keys.liveJob(id(number))));
     }
@@ -326,16 +324,22 @@
     return new JobOutcome.Found(new JobStatus(id, JobPhase.LIVE, 0));
   }
 
-  /** One whose answer was lost may lie in two bundles; one that is over must not come back. */
+  /**
+   * After answer loss a job may be in two batches; unpacking must not duplicate it or revive an
+   * ended job.
+   */
   @Test
-  void jobInTwoBundlesIsOneJobAndOneThatEndedStaysOver()
+  void jobInTwoBatchesIsUnpackedOnceAndEndedJobStaysEnded()
       throws IOException, InvalidMessageException {
     JobRepository node = node("one");
     admit(node, 0, 40);
-    MessageBody again = asBody(pairs().get(0));
+    MessageBody duplicate = batchOf(batchEntries().get(0));
     assertEquals(
-        200, store.commit(txn(new Transaction().put(SubmissionBatch.key("late"), again))).status());
-    JobId cancelled = SubmissionBatch.decode(again).keySet().iterator().next();
+        200,
+        store
+            .commit(encode(new Transaction().put(SubmissionBatch.key("late"), duplicate)))
+            .status());
+    JobId cancelled = SubmissionBatch.decode(duplicate).keySet().iterator().next();
     outcomes.clear();
     node.cancel(cancelled, outcome -> outcomes.put(cancelled, outcome));
     runUntil(() -> outcomes.containsKey(cancelled));
@@ -343,8 +347,8 @@
         new JobOutcome.Found(new JobStatus(cancelled, JobPhase.CANCELLED, 0)),
         outcomes.get(cancelled));
 
-    assertTrue(unpack(found()) > 0);
-    assertEquals(0, pairs().size());
+    assertTrue(unpack(foundBatches()) > 0);
+    assertEquals(0, batchEntries().size());
     assertNull(store.value(Keys.liveJob(cancelled)));
     for (int number = 0; number < 40; number++) {
       assertEquals(id(number).equals(cancelled), store.value(Keys.liveJob(id(number))) == null);
@@ -352,20 +356,20 @@
     assertEquals(outcomes.get(cancelled), find(node("other"), cancelled));
   }
 
-  /** Urgent jobs can be started first, whatever the order of their submissions. */
+  /** Urgent jobs must not wait for others that were submitted earlier. */
   @Test
   void urgentJobsAreUnpackedFirst() throws InvalidMessageException {
-    BatchUnpacker unpacking = new BatchUnpacker();
+    BatchUnpacker unpacker = new BatchUnpacker();
     Map<JobId, MessageBody> records = new LinkedHashMap<>();
     for (int number = 1; number <= 6; number++) {
       records.put(
           id(number), MessageBody.of().with("spec", JobCodec.encode(spec(number))).with("at", 5L));
     }
-    MessageBody sent =
+    MessageBody encoded =
         MessagePackCodec.decode(MessagePackCodec.encode(SubmissionBatch.encode(records)));
-    unpacking.found(SubmissionBatch.key("b"), sent, new Revision(7));
+    unpacker.found(SubmissionBatch.key("b"), encoded, new Revision(7));
     List<JobId> order = new ArrayList<>();
-    unpacking.next(new StoreLimits(6, 8, 30)).jobs().forEach(i -> order.add(i.id()));
+    unpacker.next(new StoreLimits(6, 8, 30)).jobs().forEach(job -> order.add(job.id()));
     assertEquals(List.of(id(2), id(4), id(6), id(1), id(3), id(5)), order);
   }
 
@@ -373,18 +377,18 @@
     Transaction end = new Transaction();
     node.writeDone(end, id, 16, 0);
     try {
-      assertEquals(200, store.commit(txn(end)).status());
+      assertEquals(200, store.commit(encode(end)).status());
     } catch (InvalidMessageException exception) {
       throw new IllegalStateException(exception);
     }
   }
 
-  /** Polls of many live jobs are one request; what ended meanwhile is read, the rest is not. */
+  /** Polls of many live jobs must share a request, and only the records of ended jobs are read. */
   @Test
-  void pollsAreComparedTogether() throws IOException, InvalidMessageException {
+  void pollsOfLiveJobsShareTransaction() throws IOException, InvalidMessageException {
     JobRepository node = node("one");
     admit(node, 0, 20);
-    assertEquals(0, unpack(found()));
+    assertEquals(0, unpack(foundBatches()));
     for (int number = 0; number < 20; number++) {
       assertEquals(live(id(number)), find(node, id(number)));
     }
@@ -400,20 +404,19 @@
       JobStatus known = ((JobOutcome.Found) outcomes.get(id(number))).status();
       assertEquals(number == 7 ? JobPhase.DONE : JobPhase.LIVE, known.phase());
     }
-    // The first poll goes at once, the others together; the one that is over is read twice.
+    // The first poll is sent at once, the others together; the ended job takes two reads.
     assertTrue(requests.size() <= 6, requests.toString());
   }
 
   /**
-   * One has ended when polls are compared, and the end of another is recorded here before the
-   * answer comes: each poll is answered all the same. Unanswered they counted as under way for
-   * ever.
+   * A poll must be answered even if this node records the end of the job before the answer arrives;
+   * otherwise it would stay in flight forever.
    */
   @Test
-  void pollOfAJobThatEndsHereMeanwhileIsAnswered() throws IOException, InvalidMessageException {
+  void pollIsAnsweredWhenJobEndsMeanwhile() throws IOException, InvalidMessageException {
     JobRepository node = node("one");
     admit(node, 0, 20);
-    assertEquals(0, unpack(found()));
+    assertEquals(0, unpack(foundBatches()));
     for (int number = 0; number < 3; number++) {
       assertEquals(live(id(number)), find(node, id(number)));
     }
@@ -421,7 +424,7 @@
     outcomes.clear();
     node.find(id(0), outcome -> outcomes.put(id(0), outcome));
     runUntil(() -> !outcomes.isEmpty());
-    onNext =
+    afterNextRequest =
         () -> {
           recordEnd(node, id(2));
           node.cacheDone(id(2), 16);
@@ -440,16 +443,16 @@
     }
   }
 
-  private void lowerTo(double valueKb, int operations) {
+  private void lowerLimits(double valueKb, int operations) {
     store.core().setLimits(new KeyValueLimits(1000, 30, valueKb, operations), loop.now());
   }
 
-  /** A burst of submissions, and polls of all of them, when less is taken than was said. */
+  /** Submissions and polls must adapt when the store lowers its limits. */
   @Test
-  void burstsAndPollsGoOnWhenLimitsAreLowered() throws IOException, InvalidMessageException {
+  void burstsAndPollsAdaptToLoweredLimits() throws IOException, InvalidMessageException {
     JobRepository node = node("one");
     admit(node, 0, 60);
-    lowerTo(2, 4);
+    lowerLimits(2, 4);
     admit(node, 60, 120);
     outcomes.clear();
     for (int number = 0; number < 120; number++) {
@@ -460,31 +463,32 @@
     for (int number = 0; number < 120; number++) {
       assertEquals(live(id(number)), outcomes.get(id(number)));
     }
-    assertEquals(0, unpack(found(), 4));
+    assertEquals(0, unpack(foundBatches(), 4));
     for (int number = 0; number < 120; number++) {
       assertTrue(store.value(Keys.liveJob(id(number))) != null);
     }
   }
 
-  private static JobSpec large(int number) throws InvalidMessageException {
+  private static JobSpec oversizedSpec(int number) throws InvalidMessageException {
     return JobCodec.decode(
         MessagePackCodec.decode(
             MessagePackCodec.encode(
                 JobCodec.encode(spec(number)).with("bundle", "i".repeat(3000)))));
   }
 
-  /** Refused, and said so, rather than tried for ever; but not one that was accepted before. */
+  /**
+   * An oversized job must be rejected rather than retried forever, unless it was accepted before.
+   */
   @Test
-  void aDescriptionThatIsTooLargeNowIsRefusedUnlessItIsKnown()
-      throws IOException, InvalidMessageException {
+  void oversizedJobIsRejectedUnlessKnown() throws IOException, InvalidMessageException {
     JobRepository node = node("one");
-    node.admit(large(1), 5, outcome -> outcomes.put(id(1), outcome));
+    node.admit(oversizedSpec(1), 5, outcome -> outcomes.put(id(1), outcome));
     runUntil(() -> outcomes.size() == 1);
     assertEquals(new JobOutcome.Created(id(1)), outcomes.get(id(1)));
-    lowerTo(2, 4);
+    lowerLimits(2, 4);
     outcomes.clear();
-    node.admit(large(1), 5, outcome -> outcomes.put(id(1), outcome));
-    node.admit(large(2), 5, outcome -> outcomes.put(id(2), outcome));
+    node.admit(oversizedSpec(1), 5, outcome -> outcomes.put(id(1), outcome));
+    node.admit(oversizedSpec(2), 5, outcome -> outcomes.put(id(2), outcome));
     node.admit(spec(3), 5, outcome -> outcomes.put(id(3), outcome));
     runUntil(() -> outcomes.size() == 3);
     assertEquals(live(id(1)), outcomes.get(id(1)));
@@ -492,16 +496,18 @@
     assertEquals(new JobOutcome.Created(id(3)), outcomes.get(id(3)));
   }
 
-  /** A guard that was never seen proves nothing: an unknown job is read, not taken for live. */
+  /**
+   * A job whose record has another revision than the cached one must be read, not presumed live.
+   */
   @Test
-  void recordThatWasReplacedIsReadAgain() throws IOException, InvalidMessageException {
+  void replacedRecordIsReadAgain() throws IOException, InvalidMessageException {
     JobRepository node = node("one");
     admit(node, 1, 2);
     assertEquals(live(id(1)), find(node, id(1)));
     Revision before = new Revision(store.value(Keys.liveJob(id(1))).modRevision());
     MessageBody record = MessageBody.of().with("spec", JobCodec.encode(spec(1))).with("at", 6L);
     assertEquals(
-        200, store.commit(txn(new Transaction().put(Keys.liveJob(id(1)), record))).status());
+        200, store.commit(encode(new Transaction().put(Keys.liveJob(id(1)), record))).status());
     assertTrue(store.value(Keys.liveJob(id(1))).modRevision() > before.number());
     requests.clear();
     assertEquals(live(id(1)), find(node, id(1)));
