--- a/src/main/java/io/saltflow/cluster/CoreTimeUsage.java
+++ b/src/main/java/io/saltflow/cluster/CoreTimeUsage.java
@@ -3,18 +3,18 @@
 import io.saltflow.model.MonotonicTime;
 import java.util.Collection;
 
-/** Sums up in core seconds what billed machines were used for, which explains the price. */
+/** Accounts for the billed core time, in core seconds, by what it was used for. */
 public final class CoreTimeUsage {
   private double booting;
   private double idle;
   private double idleOnEmptyMachines;
   private double fetching;
   private double running;
-  private double saving;
+  private double checkpointing;
   private double wastedRunning;
   private MonotonicTime lastSampleAt;
 
-  /** Attributes the time since the last sample to the present state of each machine and task. */
+  /** Attributes the time since the last sample to the current state of each machine and task. */
   public void sample(Collection<Machine> machines, MonotonicTime now) {
     double elapsedS = lastSampleAt == null ? 0 : now.since(lastSampleAt).toSeconds();
     lastSampleAt = now;
@@ -33,7 +33,7 @@
         idleCoreSeconds -= taskCoreSeconds;
         switch (placement.state()) {
           case RUNNING -> running += taskCoreSeconds;
-          case SAVING -> saving += taskCoreSeconds;
+          case SAVING -> checkpointing += taskCoreSeconds;
           default -> fetching += taskCoreSeconds;
         }
       }
@@ -42,21 +42,21 @@
     }
   }
 
-  /** Counts run time of a task that has to be repeated, in seconds. */
+  /** Adds run time of a task that has to be repeated, in seconds. */
   public void recordWasted(TaskPlacement placement, double seconds) {
     wastedRunning += placement.job.spec.size().cores() * seconds;
   }
 
-  /** The parts of the billed core time, for the status line. */
+  /** Returns the shares of the billed core time for the status line. */
   public String summary() {
-    double total = Math.max(1e-9, booting + idle + fetching + running + saving);
+    double total = Math.max(1e-9, booting + idle + fetching + running + checkpointing);
     return String.format(
-        "of rented cores %.0f%% ran (%.0f%% in vain), %.0f%% fetched, %.0f%% saved, %.0f%% idled"
-            + " (%.0f%% on empty machines), %.0f%% booted",
+        "billed core time: %.0f%% running (%.0f%% wasted), %.0f%% fetching, %.0f%% checkpointing,"
+            + " %.0f%% idle (%.0f%% on empty machines), %.0f%% booting",
         100 * running / total,
         100 * wastedRunning / total,
         100 * fetching / total,
-        100 * saving / total,
+        100 * checkpointing / total,
         100 * idle / total,
         100 * idleOnEmptyMachines / total,
         100 * booting / total);
--- a/src/main/java/io/saltflow/cluster/DisruptionBudget.java
+++ b/src/main/java/io/saltflow/cluster/DisruptionBudget.java
@@ -1,24 +1,27 @@
 package io.saltflow.cluster;
 
 /**
- * The budget for voluntary disruptions of a service, which all its versions share: how many ready
- * replicas it can do without. Preemption, migration and the scale-in of faulty machines draw on it;
- * a machine that the cloud reclaims or that fails leaves less to draw.
+ * The number of ready replicas that a service can lose to voluntary disruptions, shared by all its
+ * versions. Preemption, migration and the scale-in of faulty machines consume it. Machines that
+ * fail or are reclaimed by the cloud reduce what remains.
  */
 public final class DisruptionBudget {
   private int remaining;
 
-  /** Sets how many ready replicas are beyond the minimum; negative: so many are missing. */
+  /**
+   * Sets the number of ready replicas beyond the minimum. A negative number means that replicas are
+   * missing.
+   */
   public void setRemaining(int spare) {
     remaining = spare;
   }
 
-  /** Whether that many ready replicas may be stopped. */
+  /** Returns whether this many ready replicas may be stopped. */
   public boolean allows(int replicas) {
     return remaining >= replicas;
   }
 
-  /** Takes that many replicas from the budget. */
+  /** Deducts this many replicas from the budget. */
   public void consume(int replicas) {
     remaining -= replicas;
   }
--- a/src/main/java/io/saltflow/cluster/EventSummary.java
+++ b/src/main/java/io/saltflow/cluster/EventSummary.java
@@ -14,22 +14,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Summarizes events for the log. Events that hit many machines or tasks become one line with their
- * count, not one a machine; a persistent condition is logged when it begins and when it is over,
- * with its duration and its peak. Single names are logged at debug level.
+ * Summarizes events for the log. Events that affect many machines or tasks are logged as one line
+ * with their count. A persistent condition is logged when it begins and when it ends, with its
+ * duration and peak. Individual subjects are logged at debug level.
  */
 public final class EventSummary {
   private static final Logger LOG = LoggerFactory.getLogger(EventSummary.class);
 
-  /** Events within this interval are logged together. */
+  /** Interval whose events are logged together. */
   private static final TimeSpan FLUSH_INTERVAL = TimeSpan.seconds(5);
 
-  /** A condition that is back within this delay was never over. */
+  /** Delay after which a condition that has not recurred is considered over. */
   private static final TimeSpan CLEAR_DELAY = TimeSpan.seconds(10);
 
   private static final int MAX_EXAMPLES = 3;
 
-  /** A condition that may last; its text follows a count. */
+  /** A condition that may last. Its text follows a count in the log line. */
   public enum PersistentCondition {
     SILENT_MACHINES("machines have fallen silent"),
     ANSWERS_LOST("machines report and hear no answer"),
@@ -52,7 +52,7 @@
     final List<String> examples = new ArrayList<>();
   }
 
-  /** A condition of one class or team, or of the whole cluster: then the name is empty. */
+  /** A condition of one class or team. The name is empty for a condition of the whole cluster. */
   private record ConditionKey(PersistentCondition condition, String name) {
     @Override
     public String toString() {
@@ -86,15 +86,15 @@
   }
 
   /**
-   * Counts an event that hits one of many subjects.
+   * Counts an event that affects one subject.
    *
-   * @param event what happens, a text that follows a count
+   * @param event the text of the event, which follows a count in the log line
    */
   public void countEvent(String event, Object subject) {
     countEvent(event, 1, subject);
   }
 
-  /** Counts an event that hits several subjects at once. */
+  /** Counts an event that affects several subjects at once. */
   public void countEvent(String event, int count, Object subject) {
     LOG.debug("{}: {}", event, subject);
     EventCount eventCount = eventCounts.computeIfAbsent(event, key -> new EventCount());
@@ -108,15 +108,16 @@
   /**
    * Updates a condition of the whole cluster.
    *
-   * @param count how many it concerns now; 0: it is over, if it stays so
-   * @param note what follows from it, for operators
+   * @param count the number of subjects affected now; the condition ends once this stays 0 for a
+   *     while
+   * @param note a consequence to show to operators, or an empty string
    */
   public void updateCondition(
       PersistentCondition condition, int count, String note, MonotonicTime now) {
     updateCondition(condition, "", count, note, now);
   }
 
-  /** Updates a condition of one class or team, by its name. */
+  /** Updates a condition of the class or team with this name. */
   public void updateCondition(
       PersistentCondition condition, String name, int count, String note, MonotonicTime now) {
     ConditionKey key = new ConditionKey(condition, name);
@@ -135,7 +136,7 @@
     }
     current.lastSeen = now;
     current.peak = Math.max(current.peak, count);
-    // Logged when it begins, and again only when the count has doubled.
+    // Logged when the condition begins, and again only when the count has doubled.
     if (count >= 2 * current.reported) {
       current.reported = count;
       String prefix = name.isEmpty() ? "" : name + ": ";
@@ -143,7 +144,7 @@
     }
   }
 
-  /** The classes and teams for which the condition is active. */
+  /** Returns the names of the classes and teams for which the condition is active. */
   public Set<String> active(PersistentCondition condition) {
     Set<String> names = new LinkedHashSet<>();
     for (ConditionKey key : active.keySet()) {
@@ -154,7 +155,7 @@
     return names;
   }
 
-  /** Logs the events counted since the last flush, once the interval is over. */
+  /** Logs the events counted since the last flush if the flush interval has passed. */
   public void flush(MonotonicTime now) {
     if (now.since(lastFlush).compareTo(FLUSH_INTERVAL) < 0) {
       return;
--- a/src/main/java/io/saltflow/cluster/ExcessReplicas.java
+++ b/src/main/java/io/saltflow/cluster/ExcessReplicas.java
@@ -9,14 +9,15 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Selects the replicas of a service that are stopped when there are more than desired. */
+/** Selects the replicas to stop when a service has more than desired. */
 final class ExcessReplicas {
   private ExcessReplicas() {}
 
   /**
-   * The excess replicas: first those that don't run yet, then those in zones to be vacated, then
-   * those that share a zone or a machine with most others, then the youngest. Replicas on departing
-   * machines end with these, unless none is desired.
+   * Returns the excess replicas. Replicas that are not running yet are selected first, then those
+   * in zones to be vacated, then those that share a zone or a machine with the most other replicas,
+   * then the youngest. Replicas on departing machines are not counted, because they end with their
+   * machine, unless the desired number is 0.
    *
    * @param vacateFirstZones zones in which replicas are stopped first
    */
--- a/src/main/java/io/saltflow/cluster/HeartbeatState.java
+++ b/src/main/java/io/saltflow/cluster/HeartbeatState.java
@@ -5,8 +5,9 @@
 import io.saltflow.reachability.AnswerLossDetector;
 
 /**
- * The state of one machine's worker by its heartbeats: its agent epoch, the newest sequence number,
- * when it was last heard and answered, and whether answers reach it.
+ * The state of one machine's worker according to its heartbeats: its agent epoch, the newest
+ * sequence number, the times of the last heartbeat and the last answer, and whether answers reach
+ * it.
  */
 public final class HeartbeatState {
   private String address = "";
@@ -16,7 +17,7 @@
   private MonotonicTime lastAnsweredAt = MonotonicTime.LONG_AGO;
   private AnswerLossDetector answerLossDetector;
 
-  /** Takes over what a newer heartbeat says of its worker. */
+  /** Updates the state from a newer heartbeat. */
   public void onHeartbeat(WorkerHeartbeat heartbeat, MonotonicTime now) {
     agentEpoch = heartbeat.agentEpoch();
     sequence = heartbeat.sequence();
@@ -24,37 +25,40 @@
     address = heartbeat.address();
   }
 
-  /** Address of the worker as it reports it; empty: not reported. */
+  /** Returns the address that the worker reported, or an empty string if it reported none. */
   public String address() {
     return address;
   }
 
-  /** The agent epoch by the newest heartbeat; 0: there was none. */
+  /** Returns the agent epoch of the newest heartbeat, or 0 if there was none. */
   public long agentEpoch() {
     return agentEpoch;
   }
 
-  /** The sequence number of the newest heartbeat in that epoch. */
+  /** Returns the sequence number of the newest heartbeat within its agent epoch. */
   public long sequence() {
     return sequence;
   }
 
-  /** When the last heartbeat arrived. */
+  /** Returns the arrival time of the last heartbeat. */
   public MonotonicTime lastHeartbeatAt() {
     return lastHeartbeatAt;
   }
 
-  /** When the last answered heartbeat arrived: the worker's lease is counted from then. */
+  /**
+   * Returns the arrival time of the last answered heartbeat, from which the worker's lease is
+   * counted.
+   */
   public MonotonicTime lastAnsweredAt() {
     return lastAnsweredAt;
   }
 
-  /** Sets when the last answered heartbeat arrived. */
+  /** Sets the arrival time of the last answered heartbeat. */
   public void setLastAnsweredAt(MonotonicTime time) {
     lastAnsweredAt = time;
   }
 
-  /** Detects whether answers reach the worker; null until the first heartbeat. */
+  /** Returns the detector of lost answers, or {@code null} before the first heartbeat. */
   public AnswerLossDetector answerLossDetector() {
     return answerLossDetector;
   }
@@ -64,12 +68,12 @@
     answerLossDetector = detector;
   }
 
-  /** Whether heartbeats arrive while the answers to them are lost. */
+  /** Returns whether heartbeats arrive while the answers to them are lost. */
   public boolean answersLost() {
     return answerLossDetector != null && answerLossDetector.answersLost();
   }
 
-  /** When the worker was last known to be reachable in both directions. */
+  /** Returns the time at which the worker was last known to be reachable in both directions. */
   public MonotonicTime lastHealthyAt() {
     return answersLost()
         ? MonotonicTime.earlier(lastHeartbeatAt, answerLossDetector.lossSince())
--- a/src/main/java/io/saltflow/cluster/Job.java
+++ b/src/main/java/io/saltflow/cluster/Job.java
@@ -16,12 +16,12 @@
 import java.util.TreeMap;
 
 /**
- * A live job as the leader knows it: which of its tasks are done, placed or pending, and what the
- * store holds of that. {@link QueueState} says where it queues, {@link ServiceReplicas} how many
- * replicas it should have. Used by the leader's thread only.
+ * A live job as the leader knows it. It tracks which tasks are done, placed or pending, and how
+ * much of that is recorded in the store. {@link QueueState} holds its queue position, {@link
+ * ServiceReplicas} its desired number of replicas. Used by the leader's thread only.
  */
 public final class Job {
-  /** A service's job that failed on so many machines, with no task done, fails everywhere. */
+  /** Number of failed machines at which a service without completed tasks counts as defective. */
   private static final int SERVICE_FAILURE_MACHINES = 3;
 
   public final JobSpec spec;
@@ -31,25 +31,25 @@
   public final BitSet done;
   public final TreeMap<Integer, TaskPlacement> placements = new TreeMap<>();
 
-  /** When a task that failed or was refused may be started again, by its index. */
+  /** Earliest restart times of tasks that failed or were refused, by task index. */
   public final TreeMap<Integer, MonotonicTime> notBefore = new TreeMap<>();
 
-  /** Run time that checkpoints hold, by the index of the task. */
+  /** Run time saved in checkpoints, by task index. */
   public final TreeMap<Integer, TimeSpan> checkpointedRunTime = new TreeMap<>();
 
   public final Set<MachineId> failedOnMachines = new HashSet<>();
 
-  /** Zones of the tasks that the last round assigned and that are not launched yet. */
+  /** Zones of the tasks that the last round assigned and that have not been launched. */
   public final List<String> assignedZones = new ArrayList<>();
 
-  /** An earlier term may have launched tasks, so that all machines have to be reconciled first. */
+  /** Whether an earlier term may have launched tasks, so that starts await full reconciliation. */
   public final boolean mayHaveStartedInEarlierTerm;
 
   private final QueueState queueState;
   private final ServiceReplicas replicas;
   private final RetryBackoff retryBackoff = new RetryBackoff();
 
-  /** Tasks that need no machine now: done, placed, or assigned by the last round. */
+  /** Tasks that need no machine because they are done, placed or assigned by the last round. */
   private final BitSet notPending;
 
   private BitSet recordedTasks;
@@ -57,7 +57,7 @@
   private boolean startRecorded;
   private boolean startRecordRequested;
 
-  /** Whether a task was seen to run, in this term or, by a recorded result, in an earlier one. */
+  /** Whether a task has run, either observed in this term or recorded as done by an earlier one. */
   private boolean hasStarted;
 
   private int failures;
@@ -70,9 +70,9 @@
   /**
    * Creates a live job.
    *
-   * @param arrivedWallMs when it was admitted, in wall-clock milliseconds
-   * @param done the tasks that are recorded as done; becomes the job's own
-   * @param maybeStarted whether an earlier term may have launched tasks of it
+   * @param arrivedWallMs the admission time in wall-clock milliseconds
+   * @param done the tasks that are recorded as done; the job takes ownership of the set
+   * @param maybeStarted whether an earlier term may have launched tasks of the job
    */
   public Job(JobSpec spec, long arrivedWallMs, BitSet done, boolean maybeStarted) {
     this.mayHaveStartedInEarlierTerm = maybeStarted;
@@ -89,27 +89,28 @@
     this.hasStarted = !done.isEmpty();
   }
 
-  /** The id of the job. */
+  /** Returns the id of the job. */
   public JobId id() {
     return spec.id();
   }
 
-  /** Sets whether all dependencies are recorded as done: a progress record exists only then. */
+  /** Sets whether all dependencies are recorded as done, as a progress record implies. */
   public Job dependenciesMet(boolean met) {
     dependenciesMet = met;
     return this;
   }
 
-  /** Whether an earlier term recorded that all dependencies were done. */
+  /** Returns whether an earlier term recorded that all dependencies were done. */
   public boolean dependenciesMet() {
     return dependenciesMet;
   }
 
   /**
-   * The key that the queue is ordered by, as of what is recorded. A job that depended on others
-   * keeps the position of its admission; its time to start counts from its release.
+   * Returns the queue order key, computed from recorded progress. A job that depended on others
+   * keeps its admission position, while its start target counts from the end of its last
+   * dependency.
    *
-   * @param guaranteed whether it lies within its team's guaranteed quota
+   * @param guaranteed whether the job is within its team's guaranteed quota
    * @param estimateS the owner's estimate of one task's run time, in seconds
    */
   public OrderKey orderKey(boolean guaranteed, double estimateS) {
@@ -129,44 +130,44 @@
         spec.daemon());
   }
 
-  /** Where the job queues and by when it is due. */
+  /** Returns the queue position and the due times of the job. */
   public QueueState queueState() {
     return queueState;
   }
 
-  /** The desired and observed replicas, of a service's job. */
+  /** Returns the desired and observed replicas. They are meaningful only for a service. */
   public ServiceReplicas replicas() {
     return replicas;
   }
 
-  /** The specification as it was submitted. */
+  /** Returns the specification as submitted. */
   public JobSpec spec() {
     return spec;
   }
 
-  /** When the job was admitted, in wall-clock milliseconds. */
+  /** Returns the admission time in wall-clock milliseconds. */
   public long arrivedWallMs() {
     return arrivedWallMs;
   }
 
-  /** Whether the given tasks include all that are recorded as done. */
+  /** Returns whether the given tasks include all that are recorded as done. */
   public boolean recordedWithin(BitSet tasks) {
     BitSet missing = (BitSet) recordedTasks.clone();
     missing.andNot(tasks);
     return missing.isEmpty();
   }
 
-  /** The tasks that are done, recorded or not. */
+  /** Returns the tasks that are done, whether recorded or not. */
   public BitSet doneTasks() {
     return done;
   }
 
-  /** How many tasks are done. */
+  /** Returns the number of tasks that are done. */
   public int doneCount() {
     return done.cardinality();
   }
 
-  /** How many tasks were seen to run. */
+  /** Returns the number of placed tasks whose last known state is running. */
   public int runningCount() {
     int count = 0;
     for (TaskPlacement placement : placements.values()) {
@@ -177,100 +178,100 @@
     return count;
   }
 
-  /** How often its tasks have failed in this term. */
+  /** Returns the number of task failures in this term. */
   public int failureCount() {
     return failures;
   }
 
-  /** Whether it is a version of a service, whose number of tasks its record sets. */
+  /** Returns whether the job is a service version, whose number of tasks is set by its record. */
   public boolean isService() {
     return spec.jobClass().startsWith(Wire.SERVICE_CLASS);
   }
 
-  /** Notes that a task runs; whether it is the first that is known of. */
+  /** Records that a task is running and returns whether it is the first one known to run. */
   public boolean markStarted() {
     boolean first = !hasStarted;
     hasStarted = true;
     return first;
   }
 
-  /** Whether none of its tasks has run, is placed or is assigned. */
+  /** Returns whether none of the tasks has run, is placed or is assigned. */
   public boolean neverStarted() {
     return !hasStarted && placements.isEmpty() && assignedCount() == 0;
   }
 
-  /** Whether every task is done; never of a job that runs until it is stopped. */
+  /** Returns whether every task is done, which never holds for a job that runs until stopped. */
   public boolean allDone() {
     return !spec.daemon() && done.cardinality() == spec.tasks();
   }
 
-  /** Whether the job is taken to be defective: it fails on machine after machine. */
+  /** Returns whether the job is considered defective because it fails on machine after machine. */
   public boolean failsEverywhere() {
     return isService()
         ? failedOnMachines.size() >= SERVICE_FAILURE_MACHINES && doneCount() == 0
         : retryBackoff.isActive();
   }
 
-  /** Sets whether the job is taken to be defective, which starts or ends the retry backoff. */
+  /** Sets whether the job is considered defective, which starts or ends the retry backoff. */
   public void setDefective(boolean defective, MonotonicTime now) {
     retryBackoff.setActive(defective, now);
   }
 
-  /** A task of the job failed: the next retry of a defective job waits for longer. */
+  /** Handles a task failure. The delay before the next retry of a defective job grows. */
   public void onRetryFailed(MonotonicTime now) {
     retryBackoff.onFailure(now);
   }
 
-  /** Retries of a defective job run one at a time, so that they hold no resources. */
+  /** Returns whether a task may start. To save resources, a defective job retries one at a time. */
   private boolean retryAllowed(MonotonicTime now) {
     return !retryBackoff.isActive() || (assignedCount() == 0 && retryBackoff.isDue(now));
   }
 
-  /** How many tasks the job should have in all: of a service as many as its record says. */
+  /** Returns the total number of tasks the job should have, which a service's record sets. */
   public int desiredTasks() {
     return replicas.desiredTasks();
   }
 
-  /** How many tasks are neither done nor placed. */
+  /** Returns the number of desired tasks that are neither done nor placed. */
   public int pendingCount() {
     return Math.max(0, desiredTasks() - done.cardinality() - placements.size());
   }
 
-  /** How many pending tasks resources are wanted for: of a defective job for one. */
+  /** Returns how many pending tasks to provide resources for, at most 1 for a defective job. */
   public int demandedTasks() {
     return failsEverywhere() ? Math.min(1, pendingCount()) : pendingCount();
   }
 
-  /** Adds the placement of one of its tasks. */
+  /** Adds the placement of a task of this job. */
   public void addPlacement(TaskPlacement placement) {
     placements.put(placement.index, placement);
     notPending.set(placement.index);
   }
 
-  /** Removes a placement; the task is pending again unless it is done. */
+  /** Removes a placement. The task becomes pending again unless it is done. */
   public void removePlacement(TaskPlacement placement) {
     if (placements.remove(placement.index, placement)) {
       markUnassigned(placement.index);
     }
   }
 
-  /** Notes that a task is done. */
+  /** Marks a task as done. */
   public void markDone(int index) {
     done.set(index);
     notPending.set(index);
   }
 
-  /** A round assigned the task to a machine; the answer to its next heartbeat launches it. */
+  /** Marks a task as assigned to a machine, to be launched by the answer to its next heartbeat. */
   public void markAssigned(int index) {
     notPending.set(index);
   }
 
-  /** The task is no longer assigned or placed. */
+  /** Marks a task as no longer assigned. It becomes pending unless it is done or placed. */
   public void markUnassigned(int index) {
     notPending.set(index, done.get(index) || placements.containsKey(index));
   }
 
-  /** The next task to start from the given index on, or -1; tasks that await a retry are passed. */
+  /** Returns the next pending task at or after the index whose retry is not delayed, or -1. */
   public int nextPending(int from, MonotonicTime now) {
     if (!retryAllowed(now) || (isService() && notPending.cardinality() >= desiredTasks())) {
       return -1;
@@ -286,12 +287,12 @@
     return -1;
   }
 
-  /** How many tasks are placed or assigned. */
+  /** Returns the number of tasks that are placed or assigned. */
   public int assignedCount() {
     return notPending.cardinality() - done.cardinality();
   }
 
-  /** How many tasks could start from the given index on, counted up to {@code atMost}. */
+  /** Returns how many tasks at or after the index could start, counted up to {@code atMost}. */
   public int countPending(int from, int atMost, MonotonicTime now) {
     int limit = isService() ? Math.min(atMost, desiredTasks() - notPending.cardinality()) : atMost;
     if (retryBackoff.isActive()) {
@@ -311,52 +312,52 @@
     return count;
   }
 
-  /** Whether the job record says that tasks may be launched, so that a successor looks for them. */
+  /** Returns whether the job record tells the next leader that tasks may have been launched. */
   public boolean isStartRecorded() {
     return startRecorded;
   }
 
-  /** Notes that the job record says that tasks may be launched. */
+  /** Sets whether the job record tells the next leader that tasks may have been launched. */
   public void setStartRecorded(boolean startRecorded) {
     this.startRecorded = startRecorded;
   }
 
-  /** Whether the write that allows launches was requested. */
+  /** Returns whether the write that must precede the first launch was requested. */
   public boolean isStartRecordRequested() {
     return startRecordRequested;
   }
 
-  /** Notes that the write that allows launches was requested. */
+  /** Sets whether the write that must precede the first launch was requested. */
   public void setStartRecordRequested(boolean startRecordRequested) {
     this.startRecordRequested = startRecordRequested;
   }
 
-  /** Counts the failure of a task. */
+  /** Increments the number of task failures. */
   public void countFailure() {
     failures++;
   }
 
-  /** Adds run time that a preemption cost, in seconds. */
+  /** Adds run time lost to a preemption, in seconds. */
   public void addPreemptionLoss(double seconds) {
     lostToPreemptionS += seconds;
   }
 
-  /** Run time lost to preemption in this term, in seconds. */
+  /** Returns the run time lost to preemption in this term, in seconds. */
   public double lostToPreemptionS() {
     return lostToPreemptionS;
   }
 
-  /** Whether no cheap machine that is up may take any task, as of the last round. */
+  /** Returns whether no usable inexpensive machine accepted its pending tasks in the last round. */
   public boolean needsExpensiveMachine() {
     return needsExpensiveMachine;
   }
 
-  /** Sets whether no cheap machine that is up may take any task. */
+  /** Sets whether there are pending tasks that no usable inexpensive machine accepts. */
   public void setNeedsExpensiveMachine(boolean needsExpensiveMachine) {
     this.needsExpensiveMachine = needsExpensiveMachine;
   }
 
-  /** Whether the job is cancelled; its tasks are being stopped. */
+  /** Returns whether the job is cancelled and its tasks are being stopped. */
   public boolean isCancelled() {
     return cancelled;
   }
@@ -366,7 +367,7 @@
     this.cancelled = cancelled;
   }
 
-  /** Whether the write of the job's completion is in flight. */
+  /** Returns whether the write of the job's completion is in flight. */
   public boolean isFinishing() {
     return finishing;
   }
@@ -376,22 +377,22 @@
     this.finishing = finishing;
   }
 
-  /** Whether tasks are done that the store does not hold as done. */
+  /** Returns whether completed tasks still have to be written to the store. */
   public boolean hasUnrecordedProgress() {
     return unrecordedProgress;
   }
 
-  /** Sets whether tasks are done that the store does not hold as done. */
+  /** Sets whether completed tasks still have to be written to the store. */
   public void setUnrecordedProgress(boolean unrecordedProgress) {
     this.unrecordedProgress = unrecordedProgress;
   }
 
-  /** The tasks that the store holds as done. */
+  /** Returns the tasks that the store records as done. */
   public BitSet recordedTasks() {
     return recordedTasks;
   }
 
-  /** Sets the tasks that the store holds as done. */
+  /** Sets the tasks that the store records as done. */
   public void setRecordedTasks(BitSet recordedTasks) {
     this.recordedTasks = recordedTasks;
   }
--- a/src/main/java/io/saltflow/cluster/Machine.java
+++ b/src/main/java/io/saltflow/cluster/Machine.java
@@ -13,16 +13,16 @@
 import java.util.Map;
 
 /**
- * A machine of the cluster: its life cycle, its resources, and the tasks that are or may be on it.
- * Used by the leader's thread only.
+ * A machine of the cluster, with its life cycle, its resources, and the tasks that are or may be on
+ * it. Used by the leader's thread only.
  */
 public final class Machine {
   private static final int MAX_CACHED_IMAGES = 6;
 
-  /** Boots take 0.6 to 1.5 times what the cloud says, by the protocol. */
+  /** Factor above which a boot is slow. The protocol allows 0.6 to 1.5 times the stated time. */
   private static final double SLOW_BOOT_FACTOR = 1.6;
 
-  /** A task that the last round assigned; the answer to the next heartbeat launches it. */
+  /** A task that the last round assigned and that the answer to the next heartbeat launches. */
   public record Assignment(Job job, int taskIndex, boolean backfilled) {}
 
   public final MachineId id;
@@ -30,16 +30,16 @@
   public final String zone;
   public final boolean spot;
 
-  /** When it was requested; of an earlier term's machine: when this leader came to know of it. */
+  /** Time of the request or, for a machine of an earlier term, when it became known. */
   public final MonotonicTime provisionedAt;
 
   public final Map<TaskId, TaskPlacement> placements = new LinkedHashMap<>();
   public final List<Assignment> assignments = new ArrayList<>();
 
-  /** Resources that migrations hold here, for one task of each of these jobs. */
+  /** Resources that migrations hold on this machine, for one task of each of these jobs. */
   public final Map<JobId, Resources> migrationHolds = new LinkedHashMap<>();
 
-  /** Images that the machine holds, the one used longest ago first. */
+  /** Cached images, the least recently used first. */
   public final LinkedHashSet<String> cachedImages = new LinkedHashSet<>();
 
   private final HeartbeatState heartbeats = new HeartbeatState();
@@ -67,8 +67,8 @@
   /**
    * Creates a machine that is not known to be up.
    *
-   * @param type null: the type is not known yet
-   * @param provisionedAt when it was requested or became known
+   * @param type the machine type, or {@code null} if it is not known yet
+   * @param provisionedAt the time at which the machine was requested or became known
    */
   public Machine(
       MachineId id,
@@ -87,22 +87,22 @@
     this.idleSince = provisionedAt;
   }
 
-  /** The id of the machine. */
+  /** Returns the id of the machine. */
   public MachineId id() {
     return id;
   }
 
-  /** The state of its worker by the heartbeats. */
+  /** Returns the state of the worker according to its heartbeats. */
   public HeartbeatState heartbeats() {
     return heartbeats;
   }
 
-  /** Whether heartbeats arrive while the answers to them are lost. */
+  /** Returns whether heartbeats arrive while the answers to them are lost. */
   public boolean answersLost() {
     return heartbeats.answersLost();
   }
 
-  /** Whether new tasks may be placed here. */
+  /** Returns whether new tasks may be placed on the machine. */
   public boolean schedulable() {
     return up
         && !unresponsive
@@ -114,12 +114,12 @@
         && type != null;
   }
 
-  /** Whether tasks here will be gone soon: reclaimed, faulty or being scaled in. */
+  /** Returns whether the machine will be gone soon: it is reclaimed, faulty or being scaled in. */
   public boolean departing() {
     return reclaimAt != null || faulty || scalingIn;
   }
 
-  /** Marks the machine as faulty since now, unless it already is. */
+  /** Marks the machine as faulty from now on, unless it already is. */
   public void markFaulty(MonotonicTime now) {
     if (!faulty) {
       faulty = true;
@@ -127,32 +127,32 @@
     }
   }
 
-  /** Whether the machine is still booting, as far as is known. */
+  /** Returns whether the machine is not known to be up and is still expected to boot. */
   public boolean booting() {
     return !up && !scalingIn && type != null;
   }
 
-  /** Whether it has been booting for longer than nearly all machines take. */
+  /** Returns whether the machine has been booting for longer than boots normally take. */
   public boolean bootOverdue(MonotonicTime now) {
     return booting() && now.after(provisionedAt.plus(type.boot().times(SLOW_BOOT_FACTOR)));
   }
 
-  /** The resources of the tasks that are or may be on it. */
+  /** Returns the resources of the tasks that are or may be on the machine. */
   public Resources used() {
     return used;
   }
 
-  /** The resources that no placed task takes. */
+  /** Returns the resources that are not used by placed tasks. */
   public Resources free() {
     return type.size().minus(used);
   }
 
-  /** Holds resources for a task of the job that a migration plan moves here. */
+  /** Holds resources for a task of the job that a migration plan moves to this machine. */
   public void holdForMigration(JobId job, Resources size) {
     migrationHolds.put(job, size);
   }
 
-  /** The resources that migrations hold here in all. */
+  /** Returns the total resources that migrations hold on the machine. */
   public Resources totalMigrationHold() {
     Resources sum = Resources.ZERO;
     for (Resources held : migrationHolds.values()) {
@@ -161,7 +161,7 @@
     return sum;
   }
 
-  /** The resources that a task of the job may take: without what is held for other jobs. */
+  /** Returns the resources available to the job, excluding holds for migrations of other jobs. */
   public Resources availableFor(Job job) {
     return migrationHolds.isEmpty()
         ? available
@@ -172,7 +172,7 @@
     return migrationHolds.getOrDefault(job.id(), Resources.ZERO);
   }
 
-  /** Adds a placement, which takes its resources. */
+  /** Adds a placement and deducts its resources. */
   public void addPlacement(TaskPlacement placement) {
     TaskPlacement previous = placements.put(placement.taskId(), placement);
     used =
@@ -189,7 +189,7 @@
     }
   }
 
-  /** Notes that the machine holds an image; the one used longest ago is taken to be dropped. */
+  /** Records a cached image; the least recently used one is assumed evicted from a full cache. */
   public void addCachedImage(String image) {
     cachedImages.remove(image);
     cachedImages.add(image);
@@ -198,39 +198,37 @@
     }
   }
 
-  /** Price of a core for an hour. */
+  /** Returns the hourly price per core. */
   public double pricePerCore() {
     return type.hourly(spot) / Math.max(0.1, type.size().cores());
   }
 
-  /** Type, zone and market in one word, for logs and for grouping. */
+  /** Returns the type, zone and market in one word, for logs and grouping. */
   public String kind() {
     return typeName + "/" + zone + (spot ? "/spot" : "/ordinary");
   }
 
-  /**
-   * Since when the machine is billed: before it became known once the cloud's list tells its age.
-   */
+  /** Returns when billing began, which the cloud's list may move before the provisioning time. */
   public MonotonicTime billedFrom() {
     return billedFrom;
   }
 
-  /** Sets since when the machine is billed. */
+  /** Sets when billing began. */
   public void setBilledFrom(MonotonicTime billedFrom) {
     this.billedFrom = billedFrom;
   }
 
-  /** The machine type; null: not known yet. */
+  /** Returns the machine type, or {@code null} if it is not known yet. */
   public MachineType type() {
     return type;
   }
 
-  /** Sets the machine type; null: not known yet. */
+  /** Sets the machine type, or {@code null} if it is not known yet. */
   public void setType(MachineType type) {
     this.type = type;
   }
 
-  /** Whether the worker has sent a heartbeat. */
+  /** Returns whether the worker has sent a heartbeat. */
   public boolean isUp() {
     return up;
   }
@@ -241,8 +239,8 @@
   }
 
   /**
-   * Whether a heartbeat carried this term's fencing token: its list holds all that earlier terms
-   * launched.
+   * Returns whether a heartbeat carried this term's fencing token. Its task list then includes all
+   * tasks that earlier terms launched.
    */
   public boolean isReconciled() {
     return reconciled;
@@ -253,7 +251,7 @@
     this.reconciled = reconciled;
   }
 
-  /** Whether tasks that an earlier term launched may still be on the machine. */
+  /** Returns whether tasks that an earlier term launched may still be on the machine. */
   public boolean mayRunEarlierTermTasks() {
     return mayRunEarlierTermTasks;
   }
@@ -264,19 +262,19 @@
   }
 
   /**
-   * What the machine counts for while unreconciled: its size, or more than any limit if that is
-   * unknown.
+   * Returns the resources that the machine counts for while unreconciled. This is its size, or more
+   * than any limit if its type is unknown.
    */
   public Resources unreconciledSize() {
     return unreconciledSize;
   }
 
-  /** Sets what the machine counts for while unreconciled. */
+  /** Sets the resources that the machine counts for while unreconciled. */
   public void setUnreconciledSize(Resources unreconciledSize) {
     this.unreconciledSize = unreconciledSize;
   }
 
-  /** Whether heartbeats are overdue or answers are lost: nothing new is placed here. */
+  /** Returns whether heartbeats are overdue or answers are lost, which precludes new tasks. */
   public boolean isUnresponsive() {
     return unresponsive;
   }
@@ -286,7 +284,7 @@
     this.unresponsive = unresponsive;
   }
 
-  /** Whether the cloud's last list lacked the machine: no proof, but reason not to wait long. */
+  /** Returns whether the cloud's last list lacked the machine, which hints that it may be gone. */
   public boolean isMissingFromCloudList() {
     return missingFromCloudList;
   }
@@ -296,17 +294,17 @@
     this.missingFromCloudList = missingFromCloudList;
   }
 
-  /** Whether the machine ledger in the store holds the machine. */
+  /** Returns whether the machine ledger in the store contains the machine. */
   public boolean isInLedger() {
     return inLedger;
   }
 
-  /** Sets whether the machine ledger in the store holds the machine. */
+  /** Sets whether the machine ledger in the store contains the machine. */
   public void setInLedger(boolean inLedger) {
     this.inLedger = inLedger;
   }
 
-  /** Whether the write to the machine ledger was requested. */
+  /** Returns whether the write to the machine ledger was requested. */
   public boolean isLedgerWriteRequested() {
     return ledgerWriteRequested;
   }
@@ -316,7 +314,7 @@
     this.ledgerWriteRequested = ledgerWriteRequested;
   }
 
-  /** Whether the machine is expensive and no longer needed: no new tasks, scaled in once empty. */
+  /** Returns whether the machine gets no new tasks and is scaled in once empty. */
   public boolean isCordoned() {
     return cordoned;
   }
@@ -326,72 +324,72 @@
     this.cordoned = cordoned;
   }
 
-  /** Whether the machine is being scaled in: its deletion was requested. */
+  /** Returns whether the deletion of the machine was requested. */
   public boolean isScalingIn() {
     return scalingIn;
   }
 
-  /** Notes that the deletion of the machine was requested. */
+  /** Sets whether the deletion of the machine was requested. */
   public void setScalingIn(boolean scalingIn) {
     this.scalingIn = scalingIn;
   }
 
-  /** When the cloud reclaims the machine; null: no notice. */
+  /** Returns the time at which the cloud reclaims the machine, or {@code null} without a notice. */
   public MonotonicTime reclaimAt() {
     return reclaimAt;
   }
 
-  /** Sets when the cloud reclaims the machine; null: no notice. */
+  /** Sets the time at which the cloud reclaims the machine, or {@code null} without a notice. */
   public void setReclaimAt(MonotonicTime reclaimAt) {
     this.reclaimAt = reclaimAt;
   }
 
-  /** Since when the machine is empty; null: it is not. */
+  /** Returns the time since which the machine is empty, or {@code null} if it is not empty. */
   public MonotonicTime idleSince() {
     return idleSince;
   }
 
-  /** Sets since when the machine is empty; null: it is not. */
+  /** Sets the time since which the machine is empty, or {@code null} if it is not empty. */
   public void setIdleSince(MonotonicTime idleSince) {
     this.idleSince = idleSince;
   }
 
-  /** Failures since the last success that count against the machine. */
+  /** Returns the number of failures since the last success that count against the machine. */
   public int failureWeight() {
     return failureWeight;
   }
 
-  /** Sets the failures that count against the machine. */
+  /** Sets the number of failures that count against the machine. */
   public void setFailureWeight(int failureWeight) {
     this.failureWeight = failureWeight;
   }
 
-  /** Whether the machine fails what it is given. */
+  /** Returns whether the machine is considered faulty. */
   public boolean isFaulty() {
     return faulty;
   }
 
-  /** Since when the machine is known to be faulty. */
+  /** Returns the time since which the machine is known to be faulty. */
   public MonotonicTime faultySince() {
     return faultySince;
   }
 
-  /** Free resources that neither the last round nor later assignments took. */
+  /** Returns the free resources that are not taken by assignments. */
   public Resources available() {
     return available;
   }
 
-  /** Sets the free resources that no assignment took. */
+  /** Sets the free resources that are not taken by assignments. */
   public void setAvailable(Resources available) {
     this.available = available;
   }
 
-  /** The reservation on the machine; null: none. */
+  /** Returns the reservation on the machine, or {@code null} if there is none. */
   public MachineReservation reservation() {
     return reservation;
   }
 
-  /** Sets the reservation on the machine; null: none. */
+  /** Sets the reservation on the machine, or {@code null} for none. */
   public void setReservation(MachineReservation reservation) {
     this.reservation = reservation;
   }
--- a/src/main/java/io/saltflow/cluster/MachineReservation.java
+++ b/src/main/java/io/saltflow/cluster/MachineReservation.java
@@ -3,18 +3,24 @@
 import io.saltflow.model.MonotonicTime;
 import io.saltflow.model.Resources;
 
-/** A reservation on a machine: from when its resources are available, and what it leaves. */
+/** A reservation of resources on a machine from a given time on. */
 public final class MachineReservation {
   public final MonotonicTime availableAt;
 
   /**
-   * Whether it is for the minimum share of a class or team; else it is for the head of the queue.
+   * Whether the reservation is for the minimum share of a class or team rather than for the head of
+   * the queue.
    */
   public final boolean forMinimumShare;
 
   private Resources leftover;
 
-  /** Creates a reservation that begins at that time and leaves these resources beside it. */
+  /**
+   * Creates a reservation.
+   *
+   * @param availableAt the time at which the reserved resources become available
+   * @param leftover the resources that remain beside the reservation
+   */
   public MachineReservation(
       MonotonicTime availableAt, boolean forMinimumShare, Resources leftover) {
     this.availableAt = availableAt;
@@ -22,12 +28,12 @@
     this.leftover = leftover;
   }
 
-  /** What the reservation leaves beside it. */
+  /** Returns the resources that remain beside the reservation. */
   public Resources leftover() {
     return leftover;
   }
 
-  /** Sets what the reservation leaves beside it. */
+  /** Sets the resources that remain beside the reservation. */
   public void setLeftover(Resources leftover) {
     this.leftover = leftover;
   }
--- a/src/main/java/io/saltflow/cluster/Policy.java
+++ b/src/main/java/io/saltflow/cluster/Policy.java
@@ -8,32 +8,38 @@
 import java.util.Map;
 
 /**
- * The settings of the platform and of the operators that the leader's core decides by.
+ * The platform and operator settings that govern the leader's decisions.
  *
- * @param cpuShare the part of one core that the controller may use
- * @param heartbeatInterval how often workers send heartbeats
- * @param workerLease how long a worker keeps its tasks after an answered heartbeat
- * @param leaseRenewalWindow how long after its last confirmed read a leader may renew leases
+ * @param cpuShare the fraction of one core that the controller may use
+ * @param heartbeatInterval the interval at which workers send heartbeats
+ * @param workerLease the time for which a worker keeps its tasks after an answered heartbeat
+ * @param leaseRenewalWindow the time after its last confirmed read during which a leader may renew
+ *     leases
  * @param teams the teams' quotas, by name
- * @param completionTargetByClass in what time jobs of a class should be complete
- * @param startTargetByClass in what time jobs of a class should start
- * @param guaranteeStartTarget in what time work within a guarantee should start
- * @param estimateScaleFactor what long estimates of work with checkpoints are scaled by
- * @param estimateScaleThreshold from which estimate on that is done
+ * @param completionTargetByClass the time within which jobs of a class should be complete
+ * @param startTargetByClass the time within which jobs of a class should start
+ * @param guaranteeStartTarget the time within which jobs within a guaranteed quota should start
+ * @param estimateScaleFactor the factor by which long estimates of jobs with checkpoints are scaled
+ * @param estimateScaleThreshold the shortest estimate that is scaled
  * @param preemptingPriority the lowest priority that preempts
- * @param preemptionLookahead tasks that end within this are not preempted
- * @param deadlineSlack with less time to spare a job queues above its own priority
- * @param lengthWeight how much the queue prefers short jobs
- * @param firstStartTarget in what time each job should have started its first task
- * @param expensivePriceFactor so many times the cheapest price per core is expensive
- * @param maxMachinePriceShare the part of the cluster's price that one machine may cost
- * @param scaleOutHorizon in what time the backlog is to be worked off
- * @param onDemandHorizon a backlog that takes longer justifies expensive machines
- * @param idleTimeoutBootFactor idle machines are kept for so many boot times
- * @param minimumBilledTime what the cloud bills at least
- * @param silenceTimeout a machine that is silent for longer is scaled in
- * @param bootTimeoutFactor a machine that boots for so many boot times is given up
- * @param faultyThreshold so many attributed failures make a machine faulty
+ * @param preemptionLookahead the remaining run time within which a task is not preempted
+ * @param deadlineSlack the time to spare below which a job queues above its own priority
+ * @param lengthWeight the weight of job length in the queue order; a higher weight favors short
+ *     jobs
+ * @param fairShare the rules of fair sharing between classes and teams
+ * @param firstStartTarget the time within which each job should have started its first task
+ * @param expensivePriceFactor the multiple of the cheapest price per core above which a machine is
+ *     expensive
+ * @param maxMachinePriceShare the fraction of the cluster's price that one machine may cost
+ * @param scaleOutHorizon the time within which the backlog should be processed
+ * @param onDemandHorizon the backlog duration above which expensive machines are justified
+ * @param idleTimeoutBootFactor the time for which idle machines are kept, as a multiple of the boot
+ *     time
+ * @param minimumBilledTime the minimum time that the cloud bills for a machine
+ * @param silenceTimeout the time without heartbeats after which a machine is scaled in
+ * @param bootTimeoutFactor the time after which a booting machine is given up, as a multiple of the
+ *     boot time
+ * @param faultyThreshold the number of attributed failures at which a machine is faulty
  * @param deadlineRules the daily deadlines of queues
  */
 public record Policy(
@@ -64,7 +70,7 @@
     int faultyThreshold,
     List<DeadlineRule> deadlineRules) {
 
-  /** A team's guaranteed quota and its limit; 0: none. */
+  /** A team's guaranteed quota and limit. A value of 0 means that there is none. */
   public record TeamQuota(
       String name,
       double guaranteedCores,
@@ -73,22 +79,28 @@
       double gpuLimit) {}
 
   /**
-   * How much of one core a round costs for each job, machine and task that it looks at, in
-   * milliseconds, times what keeps rounds to a small part of the processor.
+   * Round interval to keep per job, machine and task examined, in milliseconds on a full core. It
+   * exceeds the processing time, so that rounds take only a small share of the processor.
    */
-  private static final double ROUND_COST_PER_ITEM_MS = 0.02;
+  private static final double ROUND_INTERVAL_PER_ITEM_MS = 0.02;
 
-  /** The least time between two whole rounds over so many jobs, machines and tasks. */
+  /**
+   * Returns the minimum time between two full rounds that examine this many jobs, machines and
+   * tasks.
+   */
   public TimeSpan minRoundInterval(int items) {
-    return TimeSpan.millis((long) (items * ROUND_COST_PER_ITEM_MS / cpuShare));
+    return TimeSpan.millis((long) (items * ROUND_INTERVAL_PER_ITEM_MS / cpuShare));
   }
 
-  /** After this a heartbeat is overdue. */
+  /** Returns the time after which a heartbeat is overdue. */
   public TimeSpan heartbeatTimeout() {
     return heartbeatInterval.times(1.25).plus(TimeSpan.seconds(1));
   }
 
-  /** After this a worker that was last answered now has certainly dropped its tasks. */
+  /**
+   * Returns the time after the last answered heartbeat by which a worker has certainly stopped its
+   * tasks.
+   */
   public TimeSpan leaseExpiryBound() {
     return workerLease.maximumOnRemoteClock().plus(TimeSpan.millis(500));
   }
--- a/src/main/java/io/saltflow/cluster/QueueDemand.java
+++ b/src/main/java/io/saltflow/cluster/QueueDemand.java
@@ -4,13 +4,13 @@
 import io.saltflow.model.Resources;
 
 /**
- * What the messages of one work queue use of their team's quota.
+ * The quota usage and demand of the messages of one work queue.
  *
- * @param team the team whose quota they count against
+ * @param team the team whose quota the messages count against
  * @param priority the priority of the queue's messages
- * @param held what messages that are being worked on use
- * @param wanted what messages that wait and could be worked on would use
- * @param arrivedWallMs when the first of the waiting ones arrived, in milliseconds of wall time
+ * @param held the resources used by messages that are being processed
+ * @param wanted the resources that waiting messages would use if they were processed
+ * @param arrivedWallMs the arrival time of the first waiting message, in wall-clock milliseconds
  */
 public record QueueDemand(
     String team, Priority priority, Resources held, Resources wanted, long arrivedWallMs) {}
--- a/src/main/java/io/saltflow/cluster/QueueState.java
+++ b/src/main/java/io/saltflow/cluster/QueueState.java
@@ -8,15 +8,16 @@
 import io.saltflow.priority.OperatorOverride;
 
 /**
- * Where a job queues and by when it should start and be complete: its recorded lane and admission
- * position, its own times, and what it inherits from jobs that depend on it.
+ * The queue position and the due times of a job. They derive from its recorded lane and admission
+ * position, its own deadlines, and the urgency that it inherits from the jobs that depend on it.
  */
 public final class QueueState {
   /**
-   * What the jobs that depend on a job pass back to it.
+   * The urgency that a job inherits from the jobs that depend on it.
    *
-   * @param priority the highest of theirs and its own
-   * @param latestEnd when it has to be complete for them to be in time; null: no such time
+   * @param priority the highest priority among the job and its dependents
+   * @param latestEnd the time by which the job must be complete for its dependents to meet their
+   *     deadlines, or {@code null} if there is none
    */
   public record InheritedUrgency(Priority priority, MonotonicTime latestEnd) {}
 
@@ -39,45 +40,54 @@
     this.eligibleWallMs = arrivedWallMs;
   }
 
-  /** Sets the lane and the position in it, as they were recorded at admission. */
+  /** Sets the lane and the position in it that were recorded at admission. */
   public void setOrderKey(Lane recordedLane, AdmissionPosition recordedPosition) {
     lane = recordedLane;
     admissionPosition = recordedPosition;
   }
 
-  /** The position that was recorded at admission. */
+  /** Returns the position that was recorded at admission. */
   public AdmissionPosition admissionPosition() {
     return admissionPosition;
   }
 
-  /** Sets what the jobs that depend on it pass back; null: nothing. */
+  /** Sets the urgency inherited from dependents, or {@code null} if there is none. */
   public void setInheritedUrgency(InheritedUrgency urgency) {
     inheritedUrgency = urgency;
   }
 
-  /** The job's own priority, or the highest of the jobs that depend on it. */
+  /** Returns the inherited priority if there is one, else the job's own priority. */
   public Priority priority() {
     return inheritedUrgency == null ? spec.priority() : inheritedUrgency.priority;
   }
 
-  /** The priority that the job queues by: low priority rises while little time is left. */
+  /**
+   * Returns the priority used for queueing. Low priority is raised to normal while the slack is
+   * low.
+   */
   public Priority effectivePriority() {
     return lowSlack && priority() == Priority.LOW ? Priority.NORMAL : priority();
   }
 
-  /** When the job should be complete, by its own time or by that of its dependents; null: never. */
+  /**
+   * Returns the earlier of the job's own due time and the inherited one, or {@code null} if it has
+   * neither.
+   */
   public MonotonicTime completeBy() {
     return earlier(dueAt, inheritedUrgency == null ? null : inheritedUrgency.latestEnd);
   }
 
-  /** Whether a user set a deadline for the job or for one that depends on it. */
+  /** Returns whether a user set a deadline for the job or for a job that depends on it. */
   public boolean hasDeadline() {
     boolean ownDeadline = dueAt != null && spec.deadline() != null;
     boolean inheritedDeadline = inheritedUrgency != null && inheritedUrgency.latestEnd != null;
     return ownDeadline || inheritedDeadline;
   }
 
-  /** When the job has to be complete as a step of a pipeline; null: it is none, or none is due. */
+  /**
+   * Returns the time by which the job must be complete as a step of a pipeline, or {@code null} if
+   * it is not part of one or the pipeline has no deadline.
+   */
   public MonotonicTime pipelineDeadline() {
     if (inheritedUrgency != null) {
       return inheritedUrgency.latestEnd;
@@ -85,12 +95,18 @@
     return spec.dependencies().isEmpty() || spec.deadline() == null ? null : dueAt;
   }
 
-  /** When the job should be complete, by the daily deadline that it is boosted for too. */
+  /**
+   * Returns the earlier of {@link #completeBy} and the daily deadline that the job is boosted for,
+   * or {@code null} if it has neither.
+   */
   public MonotonicTime earliestDueAt() {
     return earlier(completeBy(), boostDueAt);
   }
 
-  /** How long the job is past its own deadline, in seconds; 0: it is not, or has none. */
+  /**
+   * Returns the time since the job's own deadline passed, in seconds, or 0 if it has not passed or
+   * the job has none.
+   */
   public double overdueS(MonotonicTime now) {
     boolean hasOwnDeadline = spec.deadline() != null && dueAt != null;
     return hasOwnDeadline ? Math.max(0, now.since(dueAt).toSeconds()) : 0;
@@ -101,15 +117,15 @@
   }
 
   /**
-   * The lane that was recorded, or that of the inherited priority. Lanes that operators named don't
-   * follow priorities: in such a lane the job stays.
+   * Returns the recorded lane, or the lane of the inherited priority if that ranks higher. A job in
+   * a lane named by an operator stays there, because such lanes are independent of priorities.
    */
   Lane lane() {
-    Lane urgency = Lane.of(priority());
-    return lane.name().isEmpty() && urgency.rank() < lane.rank() ? urgency : lane;
+    Lane priorityLane = Lane.of(priority());
+    return lane.name().isEmpty() && priorityLane.rank() < lane.rank() ? priorityLane : lane;
   }
 
-  /** The lane that the job queues in now, an operator's override included. */
+  /** Returns the lane that the job currently queues in, including an operator's override. */
   public Lane effectiveLane() {
     return operatorOverride == null || operatorOverride.lane() == null
         ? lane()
@@ -117,49 +133,61 @@
   }
 
   /**
-   * Since when the job could start, in wall-clock milliseconds: its admission or the end of its
-   * last dependency.
+   * Returns the time since which the job has been eligible to start, in wall-clock milliseconds.
+   * This is its admission or the end of its last dependency.
    */
   public long eligibleWallMs() {
     return eligibleWallMs;
   }
 
-  /** Sets since when the job could start, in wall-clock milliseconds. */
+  /** Sets the time since which the job has been eligible to start, in wall-clock milliseconds. */
   public void setEligibleWallMs(long eligibleWallMs) {
     this.eligibleWallMs = eligibleWallMs;
   }
 
-  /** The same instant by this leader's monotonic clock, off by the skew of both clocks. */
+  /**
+   * Returns the eligible time on this leader's monotonic clock. It is inexact by the skew between
+   * the two clocks.
+   */
   public MonotonicTime eligibleAt() {
     return eligibleAt;
   }
 
-  /** Sets the eligible time by this leader's monotonic clock. */
+  /** Sets the eligible time on this leader's monotonic clock. */
   public void setEligibleAt(MonotonicTime eligibleAt) {
     this.eligibleAt = eligibleAt;
   }
 
-  /** When the job should be complete, by its deadline or its class target; null: no target. */
+  /**
+   * Returns the time by which the job should be complete according to its deadline or its class
+   * target, or {@code null} if it has neither.
+   */
   public MonotonicTime dueAt() {
     return dueAt;
   }
 
-  /** Sets when the job should be complete; null: no target. */
+  /** Sets the time by which the job should be complete, or {@code null} for no target. */
   public void setDueAt(MonotonicTime dueAt) {
     this.dueAt = dueAt;
   }
 
-  /** When the first tasks should have started, by the class target; null: no target. */
+  /**
+   * Returns the time by which the first tasks should have started according to the class target, or
+   * {@code null} if there is no target.
+   */
   public MonotonicTime startBy() {
     return startBy;
   }
 
-  /** Sets when the first tasks should have started; null: no target. */
+  /** Sets the time by which the first tasks should have started, or {@code null} for no target. */
   public void setStartBy(MonotonicTime startBy) {
     this.startBy = startBy;
   }
 
-  /** Rank among the jobs boosted for a daily deadline; {@link Integer#MAX_VALUE}: not boosted. */
+  /**
+   * Returns the rank among the jobs boosted for a daily deadline, or {@link Integer#MAX_VALUE} if
+   * the job is not boosted.
+   */
   public int boostRank() {
     return boostRank;
   }
@@ -169,28 +197,29 @@
     this.boostRank = boostRank;
   }
 
-  /** The daily deadline that the job is boosted for; null: none. */
+  /** Returns the daily deadline that the job is boosted for, or {@code null} if there is none. */
   public MonotonicTime boostDueAt() {
     return boostDueAt;
   }
 
-  /** Sets the daily deadline that the job is boosted for; null: none. */
+  /** Sets the daily deadline that the job is boosted for, or {@code null} for none. */
   public void setBoostDueAt(MonotonicTime boostDueAt) {
     this.boostDueAt = boostDueAt;
   }
 
-  /** The queue position that an operator set; null: none. */
+  /** Returns the queue position that an operator set, or {@code null} if there is none. */
   public OperatorOverride operatorOverride() {
     return operatorOverride;
   }
 
-  /** Sets the queue position that an operator chose; null: none. */
+  /** Sets the queue position that an operator chose, or {@code null} for none. */
   public void setOperatorOverride(OperatorOverride operatorOverride) {
     this.operatorOverride = operatorOverride;
   }
 
   /**
-   * Whether little time is left before the deadline, so that the job queues above its own priority.
+   * Returns whether so little time is left before the deadline that the job queues above its own
+   * priority.
    */
   public boolean hasLowSlack() {
     return lowSlack;
--- a/src/main/java/io/saltflow/cluster/QuotaReservation.java
+++ b/src/main/java/io/saltflow/cluster/QuotaReservation.java
@@ -4,9 +4,9 @@
 import io.saltflow.model.Resources;
 
 /**
- * A reservation within a team's limit for the first task of a job that has waited for long. Work of
- * the same team may start if it doesn't delay that task: it ends before the limit is predicted to
- * have room, or fits beside it then.
+ * A reservation within a team's limit for the first task of a job that has waited for a long time.
+ * Other tasks of the team may start if they do not delay it: they end before the limit is predicted
+ * to have room for it, or fit beside it at that time.
  */
 public final class QuotaReservation {
   private final Job firstJob;
@@ -18,8 +18,8 @@
   /**
    * Creates a reservation.
    *
-   * @param availableAt when the limit should have room for the first task
-   * @param leftover what it has beside that task then
+   * @param availableAt the time at which the limit is predicted to have room for the first task
+   * @param leftover the resources within the limit that remain beside that task at that time
    */
   public QuotaReservation(
       Job firstJob,
@@ -34,13 +34,19 @@
     this.reservedAt = reservedAt;
   }
 
-  /** What has to stay free within the limit when one more task of the job starts. */
+  /**
+   * Returns the resources that must stay free within the limit when one more task of the job
+   * starts.
+   */
   Resources reservedFrom(Job job) {
     boolean notDelayed = job == firstJob || !firstJob.neverStarted() || endsBefore(job);
     return notDelayed || job.spec.size().fitsIn(leftover) ? Resources.ZERO : firstJob.spec.size();
   }
 
-  /** A task of the job was assigned. */
+  /**
+   * Deducts an assigned task from the leftover resources, unless it belongs to the first job or is
+   * predicted to end before the limit has room for that job.
+   */
   void onTaskAssigned(Job job) {
     if (job != firstJob && !endsBefore(job)) {
       leftover = leftover.minus(job.spec.size());
--- a/src/main/java/io/saltflow/cluster/QuotaUsage.java
+++ b/src/main/java/io/saltflow/cluster/QuotaUsage.java
@@ -7,69 +7,75 @@
 import java.util.Map;
 
 /**
- * What each team uses of its quota: placed tasks, assigned tasks, messages at consumers, and an
- * upper bound for machines that are not reconciled. Kept up to date as tasks come and go, as a sum
- * over all machines at each launch would cost the more the larger the cluster is.
+ * Tracks each team's quota usage by placed tasks, assigned tasks and messages held by consumers,
+ * with an upper bound for unreconciled machines. The usage is updated incrementally, because
+ * summing over all machines at each launch would grow with the cluster.
  */
 public final class QuotaUsage {
   private final Map<String, Policy.TeamQuota> quotas;
-  private final UsageByGroup placed = new UsageByGroup();
-  private final UsageByGroup assigned = new UsageByGroup();
-  private Resources unreconciled = Resources.ZERO;
-  private List<QueueDemand> messageDemands = List.of();
+  private final UsageByGroup placedUsage = new UsageByGroup();
+  private final UsageByGroup assignedUsage = new UsageByGroup();
+  private Resources unreconciledUsage = Resources.ZERO;
+  private List<QueueDemand> queueDemands = List.of();
 
-  /** Rounding errors of summed amounts stay below this. */
+  /** Upper bound of rounding errors in summed amounts. */
   private static final double TOLERANCE = 1e-6;
 
-  /** Beyond any limit: what a limit of 0 stands for. */
+  /** Amount beyond any limit, used where a limit of 0 means that there is none. */
   private static final double UNLIMITED = 1e9;
 
-  /** One reservation at most within each team's limit, by the team's name. */
+  /** Reservations within team limits, at most one for each team, by team name. */
   private final Map<String, QuotaReservation> reservations = new HashMap<>();
 
-  /** Creates the usage of teams with these quotas, by their names. */
+  /** Creates an empty usage for teams with these quotas, by team name. */
   public QuotaUsage(Map<String, Policy.TeamQuota> quotas) {
     this.quotas = quotas;
   }
 
-  /** Counts a task of the job that was placed. */
+  /** Adds a placed task of the job. */
   public void placed(Job job) {
-    placed.add(job);
+    placedUsage.add(job);
   }
 
-  /** A placement of a task of the job ended. */
+  /** Removes a task of the job whose placement ended. */
   public void removed(Job job) {
-    placed.remove(job);
+    placedUsage.remove(job);
   }
 
-  /** A round assigned a task of the job; no answer has launched it yet. */
+  /** Adds a task of the job that was assigned but has not been launched. */
   public void assigned(Job job) {
-    assigned.add(job);
+    assignedUsage.add(job);
     QuotaReservation reservation = reservations.get(job.spec.team());
     if (reservation != null) {
       reservation.onTaskAssigned(job);
     }
   }
 
-  /** An assignment was launched or taken back. */
+  /** Removes an assigned task of the job that was launched or whose assignment was withdrawn. */
   public void unassigned(Job job) {
-    assigned.remove(job);
+    assignedUsage.remove(job);
   }
 
-  /** Sets what unreconciled machines may hold: it counts against every team. */
+  /**
+   * Sets the upper bound of resources in use on unreconciled machines. It counts against every
+   * team.
+   */
   public void unreconciled(Resources upperBound) {
-    unreconciled = upperBound;
+    unreconciledUsage = upperBound;
   }
 
-  /** Sets what messages at consumers hold, and what waiting messages would take. */
+  /** Sets the resources that messages at consumers hold and that waiting messages would take. */
   public void messageDemands(List<QueueDemand> demands) {
-    messageDemands = demands;
+    queueDemands = demands;
   }
 
-  /** What a job leaves to messages: what these hold, and what those ahead of it wait for. */
+  /**
+   * Returns the resources that the team's messages hold, plus those wanted by messages ahead of the
+   * job.
+   */
   private Resources messageUsageAheadOf(Job job) {
     Resources sum = Resources.ZERO;
-    for (QueueDemand demand : messageDemands) {
+    for (QueueDemand demand : queueDemands) {
       if (demand.team().equals(job.spec.team())) {
         boolean ahead =
             demand.priority().higherThan(job.queueState().effectivePriority())
@@ -81,50 +87,53 @@
     return sum;
   }
 
-  /** Whether the team's quota has a limit at all. */
+  /** Returns whether the team has a limit on cores or GPUs. */
   public boolean hasLimit(String teamName) {
     Policy.TeamQuota quota = quotas.get(teamName);
     return quota != null && (quota.coreLimit() > 0 || quota.gpuLimit() > 0);
   }
 
   /**
-   * Whether the team's limit lets a message be delivered.
+   * Returns whether the team's limit allows a message to be delivered.
    *
-   * @param nativeBefore what jobs that come before the message still take
+   * @param jobDemandAhead the resources that jobs ahead of the message are still to take
    */
-  public boolean mayDeliver(String team, Resources size, Resources nativeBefore) {
-    Resources used = maxUsage(team).plus(nativeBefore);
-    for (QueueDemand demand : messageDemands) {
+  public boolean mayDeliver(String team, Resources size, Resources jobDemandAhead) {
+    Resources used = maxUsage(team).plus(jobDemandAhead);
+    for (QueueDemand demand : queueDemands) {
       used = demand.team().equals(team) ? used.plus(demand.held()) : used;
     }
     return withinLimit(team, used.plus(size));
   }
 
-  /** The most that the team may be using, assigned tasks included. */
+  /** Returns the upper bound of the team's usage, including assigned tasks. */
   public Resources maxUsage(String team) {
-    return maxPlacedUsage(team).plus(assigned.usage(ShareGroup.ofTeam(team)));
+    return maxPlacedUsage(team).plus(assignedUsage.usage(ShareGroup.ofTeam(team)));
   }
 
   private Resources maxPlacedUsage(String team) {
-    return placed.usage(ShareGroup.ofTeam(team)).plus(unreconciled);
+    return placedUsage.usage(ShareGroup.ofTeam(team)).plus(unreconciledUsage);
   }
 
-  /** What the tasks of a class or team are known to take, assigned tasks included. */
+  /** Returns the known usage of a class or team, including assigned tasks. */
   public Resources knownUsage(ShareGroup group) {
-    return placed.usage(group).plus(assigned.usage(group));
+    return placedUsage.usage(group).plus(assignedUsage.usage(group));
   }
 
-  /** Whether something is reserved within the team's limit. */
+  /** Returns whether there is a reservation within the team's limit. */
   public boolean hasReservation(String team) {
     return reservations.containsKey(team);
   }
 
-  /** Reserves part of the team's limit until {@link #clearReservations}; the first one stays. */
+  /**
+   * Reserves part of the team's limit until {@link #clearReservations}. An existing reservation is
+   * kept.
+   */
   public void reserve(String team, QuotaReservation reservation) {
     reservations.putIfAbsent(team, reservation);
   }
 
-  /** Drops all reservations; each round makes its own. */
+  /** Discards all reservations. Each round makes its own. */
   public void clearReservations() {
     reservations.clear();
   }
@@ -134,7 +143,9 @@
     return reservation == null ? Resources.ZERO : reservation.reservedFrom(job);
   }
 
-  /** What the team's limit has left for a task of the job, assigned tasks deducted. */
+  /**
+   * Returns the resources left within the team's limit for tasks of the job, after assigned tasks.
+   */
   public Resources remaining(Job job) {
     Policy.TeamQuota quota = quotas.get(job.spec.team());
     if (quota == null) {
@@ -148,12 +159,15 @@
     return limit.minus(maxUsage(job.spec.team())).minus(messageUsageAheadOf(job));
   }
 
-  /** Whether the team's limit and reservation let one more task be assigned. */
+  /** Returns whether the team's limit and reservation allow one more task to be assigned. */
   public boolean mayAssign(Job job) {
     return withinLimit(job, maxUsage(job.spec.team()).plus(reservedFrom(job)));
   }
 
-  /** Whether the team's limit lets one more task be launched, whatever else is assigned. */
+  /**
+   * Returns whether the team's limit allows one more task to be launched, regardless of assigned
+   * tasks.
+   */
   public boolean mayLaunch(Job job) {
     return withinLimit(job, maxPlacedUsage(job.spec.team()));
   }
@@ -161,7 +175,7 @@
   private boolean withinLimit(Job job, Resources used) {
     Resources after = used.plus(job.spec.size());
     return withinLimit(
-        job.spec.team(), messageDemands.isEmpty() ? after : after.plus(messageUsageAheadOf(job)));
+        job.spec.team(), queueDemands.isEmpty() ? after : after.plus(messageUsageAheadOf(job)));
   }
 
   private boolean withinLimit(String teamName, Resources used) {
@@ -171,7 +185,10 @@
         && (quota.gpuLimit() <= 0 || used.gpus() <= quota.gpuLimit() + TOLERANCE);
   }
 
-  /** How many more tasks of the job the team's core limit allows. */
+  /**
+   * Returns how many more tasks of the job the team's core limit allows, or {@link
+   * Integer#MAX_VALUE} if it does not restrict the job.
+   */
   public int remainingTasks(Job job) {
     Policy.TeamQuota quota = quotas.get(job.spec.team());
     if (quota == null || quota.coreLimit() <= 0 || job.spec.size().cores() <= 0) {
--- a/src/main/java/io/saltflow/cluster/RetryBackoff.java
+++ b/src/main/java/io/saltflow/cluster/RetryBackoff.java
@@ -4,8 +4,8 @@
 import io.saltflow.model.TimeSpan;
 
 /**
- * Exponential backoff between the retries of a defective job, one that fails wherever it is
- * started: one task at a time, each retry after twice the delay of the one before, up to a bound.
+ * Exponential backoff between the retries of a defective job, which fails wherever it is started.
+ * Retries run one at a time, and the delay doubles after each failed retry up to a maximum.
  */
 final class RetryBackoff {
   private static final TimeSpan INITIAL_DELAY = TimeSpan.seconds(4);
@@ -15,19 +15,22 @@
   private TimeSpan delay = INITIAL_DELAY;
   private MonotonicTime nextRetryAt = MonotonicTime.LONG_AGO;
 
-  /** Starts the backoff, or ends it once the job is known not to be defective. */
+  /** Starts the backoff, or ends it once the job is no longer considered defective. */
   void setActive(boolean isActive, MonotonicTime now) {
     active = isActive;
     delay = INITIAL_DELAY;
     nextRetryAt = now.plus(delay);
   }
 
-  /** Whether the job is taken to be defective. */
+  /** Returns whether the job is considered defective. */
   boolean isActive() {
     return active;
   }
 
-  /** A task failed. Failures of tasks that were under way before the last retry don't count. */
+  /**
+   * Doubles the delay after a failed retry. Failures before the next retry is due are ignored,
+   * because those tasks started earlier.
+   */
   void onFailure(MonotonicTime now) {
     if (active && !now.before(nextRetryAt)) {
       delay = TimeSpan.millis(Math.min(MAX_DELAY.ms(), delay.times(2).ms()));
@@ -35,7 +38,7 @@
     }
   }
 
-  /** Whether the delay since the last retry has passed. */
+  /** Returns whether the next retry is due. */
   boolean isDue(MonotonicTime now) {
     return !now.before(nextRetryAt);
   }
--- a/src/main/java/io/saltflow/cluster/RunTimeEstimates.java
+++ b/src/main/java/io/saltflow/cluster/RunTimeEstimates.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** Predicts run times: the owner's estimate, corrected by the observed run times of its class. */
+/** Predicts run times from the owner's estimate and the observed run times of the job's class. */
 public final class RunTimeEstimates {
   private static final int MIN_SAMPLES = 8;
   private static final int MAX_CLASSES = 256;
@@ -15,7 +15,7 @@
 
   private static final int MAX_RATIO_PERCENT = 100_000;
 
-  /** Observed run times of a class, in percent of their estimates. */
+  /** Observed run times of a class, as percentages of their estimates. */
   private static final class ObservedRatios {
     private final Histogram histogram = new Histogram(1, MAX_RATIO_PERCENT, 2);
     private double median = 1.0;
@@ -25,7 +25,10 @@
       return histogram.getTotalCount() >= MIN_SAMPLES;
     }
 
-    /** Updates the median as the count grows, not at each prediction: computing it is slow. */
+    /**
+     * Records a ratio. The median is updated here as the count grows, because computing it for each
+     * prediction would be slow.
+     */
     void recordRatio(long ratioPercent) {
       histogram.recordValue(ratioPercent);
       if (histogram.getTotalCount() >= nextMedianUpdate) {
@@ -39,13 +42,13 @@
   private final Map<String, ObservedRatios> ratiosByClass = new HashMap<>();
   private Map<String, Double> inheritedCorrections = Map.of();
 
-  /** Creates estimates without any observation. */
+  /** Creates estimates without observations. */
   public RunTimeEstimates(Policy policy) {
     this.policy = policy;
   }
 
   /**
-   * Records an observed run time of the job's class; without an owner's estimate it tells nothing.
+   * Records an observed run time for the job's class. Runs without an owner's estimate are ignored.
    */
   public void recordRun(JobSpec spec, TimeSpan ran) {
     if (spec.estimate().ms() <= 0 || ran.ms() <= 0) {
@@ -70,14 +73,18 @@
         : observed.median;
   }
 
-  /** Sets the corrections that earlier terms recorded: they hold until enough runs are observed. */
+  /**
+   * Sets the corrections that earlier terms recorded. Each applies until enough runs of its class
+   * are observed.
+   */
   public void inheritCorrections(Map<String, Double> corrections) {
     inheritedCorrections = Map.copyOf(corrections);
   }
 
   /**
-   * The paper's Algorithm 2, for one task. Only tasks that checkpoint are scaled, and only from the
-   * threshold on; one that was stopped gets what is left, and the time to save and restore.
+   * Returns the predicted run time of one task, following the paper's Algorithm 2. Only estimates
+   * of tasks that checkpoint are scaled, and only from the threshold on. A task with a checkpoint
+   * gets its remaining run time plus the time to save and restore.
    */
   public TimeSpan predict(Job job, int index) {
     JobSpec spec = job.spec;
@@ -93,8 +100,8 @@
   }
 
   /**
-   * The owner's estimate, scaled where the paper does that, without what its class was seen to
-   * take.
+   * Returns the owner's estimate, scaled as in the paper but not corrected by the observed run
+   * times of its class.
    */
   public TimeSpan ownerEstimate(JobSpec spec) {
     boolean scaled =
@@ -102,7 +109,7 @@
     return scaled ? spec.estimate().times(policy.estimateScaleFactor()) : spec.estimate();
   }
 
-  /** The median run time of each class with enough samples, as a part of its estimates. */
+  /** Returns the median ratio of run time to estimate of each class with enough samples. */
   public Map<String, Double> corrections() {
     Map<String, Double> out = new HashMap<>();
     ratiosByClass.forEach(
@@ -114,7 +121,9 @@
     return out;
   }
 
-  /** How long the machine takes to fetch the job's image; zero if it holds it. */
+  /**
+   * Returns the time the machine takes to fetch the job's image, or zero if the image is cached.
+   */
   public TimeSpan fetchTime(Job job, Machine machine) {
     if (machine.cachedImages.contains(job.spec.image())) {
       return new TimeSpan(0);
@@ -122,7 +131,10 @@
     return TimeSpan.seconds(job.spec.imageGb() / Math.max(0.01, machine.type().fetchGbPerS()));
   }
 
-  /** When a placed task should end; one that is overdue is given a quarter of its run time more. */
+  /**
+   * Returns the time at which a placed task is predicted to end. An overdue task is given another
+   * quarter of the time it has run.
+   */
   public MonotonicTime predictedEnd(TaskPlacement placement, MonotonicTime now) {
     if (placement.isStopping()) {
       MonotonicTime stop =
--- a/src/main/java/io/saltflow/cluster/ServiceReplicas.java
+++ b/src/main/java/io/saltflow/cluster/ServiceReplicas.java
@@ -10,43 +10,58 @@
 import java.util.Set;
 
 /**
- * How many replicas a service's job should have and where, and what was observed of them since it
- * was last asked. A job that is no service's has no limit here and records nothing.
+ * Tracks the desired number and zones of a service job's replicas, and buffers start latencies and
+ * unexpected exits until they are taken. For a job that is not a service, there is no limit and
+ * nothing is recorded.
  */
 public final class ServiceReplicas {
   private static final int UNKNOWN = -1;
   private static final int MAX_BUFFERED_EVENTS = 1000;
 
-  /** An exit that nobody asked for; a lost machine is no failure of the task. */
+  /**
+   * An exit that was not requested.
+   *
+   * @param failure whether the task itself failed, as opposed to its machine being lost
+   */
   public record UnexpectedExit(String cause, boolean failure) {}
 
   /**
-   * A service's replicas as this leader sees them.
+   * Numbers of a service's replicas by state, as this leader sees them.
    *
-   * @param ready those that run, on departing machines too
-   * @param available those that have been ready for long enough, on machines that stay
-   * @param unreachable those on unresponsive machines, which may be serving behind a partition
-   * @param placed those that are, or may be, on machines
-   * @param excess those that are available, beyond the desired number, and not stopped yet
+   * @param ready replicas that are running, including those on departing machines
+   * @param available replicas on machines that are not departing that have been ready for the
+   *     minimum time
+   * @param unreachable replicas on unresponsive machines, which may still be serving behind a
+   *     partition
+   * @param placed replicas that are or may be on machines
+   * @param excess available replicas beyond the desired number that are not being stopped yet
    */
   public record ReplicaCounts(int ready, int available, int unreachable, int placed, int excess) {}
 
-  /** Where a running task can be probed: its machine's address and its index. */
+  /**
+   * The endpoint at which a running task can be probed.
+   *
+   * @param address the address of the machine's worker
+   * @param index the index of the task
+   */
   public record TaskEndpoint(String address, int index) {}
 
   private final JobSpec spec;
   private final boolean service;
   private final Collection<TaskPlacement> placements;
 
-  /** The most tasks on machines; while it is unknown none is started and none stopped. */
+  /**
+   * Maximum number of tasks on machines. While it is {@link #UNKNOWN}, tasks are neither started
+   * nor stopped.
+   */
   private int limit;
 
-  /** Where tasks may start; null: wherever the job may be. */
+  /** Zones in which tasks may start, or {@code null} for all zones allowed by the job. */
   private Set<String> startZones;
 
   private Set<String> vacateFirstZones = Set.of();
 
-  /** Tasks on machines that will be gone soon: each may be replaced before that. */
+  /** Number of tasks on departing machines. Each may be replaced before its machine is gone. */
   private int departing;
 
   private DisruptionBudget disruptionBudget;
@@ -56,7 +71,7 @@
   /**
    * Creates the replicas of one job.
    *
-   * @param placements the job's placements, a live view
+   * @param placements a live view of the job's placements
    */
   ServiceReplicas(JobSpec spec, boolean service, Collection<TaskPlacement> placements) {
     this.spec = spec;
@@ -65,7 +80,7 @@
     this.limit = service ? UNKNOWN : Integer.MAX_VALUE;
   }
 
-  /** Sets how many replicas there should be, and where; whether that changes anything. */
+  /** Sets the desired replicas and returns whether their number or their start zones changed. */
   public boolean setDesired(DesiredReplicas desired) {
     boolean changed = limit != desired.count() || !Objects.equals(startZones, desired.startZones());
     limit = desired.count();
@@ -74,14 +89,14 @@
     return changed;
   }
 
-  /** Whether a replica may be started in that zone, as far as the rollout has come. */
+  /** Returns whether the rollout currently allows a replica to start in the zone. */
   public boolean mayStartIn(String zone) {
     return startZones == null || startZones.contains(zone);
   }
 
   /**
-   * How many tasks the job should have in all. A task whose machine departs soon is replaced while
-   * it still serves.
+   * Returns the total number of tasks the job should have. Tasks on departing machines are replaced
+   * while they still serve.
    */
   int desiredTasks() {
     if (limit == UNKNOWN) {
@@ -90,7 +105,7 @@
     return Math.min(spec.tasks(), limit == 0 ? 0 : limit + departing);
   }
 
-  /** Counts the replicas on departing machines; whether there are more or fewer than before. */
+  /** Counts the replicas on departing machines and returns whether the number changed. */
   public boolean recountDeparting() {
     int count = 0;
     for (TaskPlacement placement : placements) {
@@ -101,24 +116,27 @@
     return changed;
   }
 
-  /** Replicas beyond the desired number, see {@link ExcessReplicas}. */
+  /** Returns the replicas beyond the desired number, as selected by {@link ExcessReplicas}. */
   public List<TaskPlacement> excess() {
     return limit == UNKNOWN || placements.size() <= limit
         ? List.of()
         : ExcessReplicas.select(placements, limit, vacateFirstZones);
   }
 
-  /** The disruption budget of the service; null: not a service, or not known yet. */
+  /**
+   * Returns the disruption budget of the service, or {@code null} if the job is not a service or
+   * the budget is not known yet.
+   */
   public DisruptionBudget disruptionBudget() {
     return disruptionBudget;
   }
 
-  /** Sets the disruption budget that the service's versions share. */
+  /** Sets the disruption budget, which is shared by all versions of the service. */
   public void setDisruptionBudget(DisruptionBudget budget) {
     disruptionBudget = budget;
   }
 
-  /** Records how long a replica took from its launch until it ran. */
+  /** Records the time from a replica's launch until it was running. */
   public void recordStartLatency(TimeSpan latency) {
     if (service && startLatencies.size() < MAX_BUFFERED_EVENTS) {
       startLatencies.add(latency);
@@ -132,7 +150,7 @@
     return out;
   }
 
-  /** Records an exit that nobody asked for. */
+  /** Records an exit that was not requested. */
   public void recordUnexpectedExit(String cause, boolean failure) {
     if (service && unexpectedExits.size() < MAX_BUFFERED_EVENTS) {
       unexpectedExits.add(new UnexpectedExit(cause, failure));
@@ -146,7 +164,7 @@
     return out;
   }
 
-  /** The replicas that run on responsive machines. */
+  /** Returns the endpoints of the running replicas on responsive machines. */
   public List<TaskEndpoint> servingEndpoints() {
     List<TaskEndpoint> out = new ArrayList<>();
     for (TaskPlacement placement : placements) {
@@ -158,9 +176,9 @@
   }
 
   /**
-   * Counts the replicas by their state.
+   * Counts the replicas by state.
    *
-   * @param minReady how long a replica has to be ready until it counts as available
+   * @param minReady the time for which a replica must have been ready to count as available
    */
   public ReplicaCounts counts(TimeSpan minReady, MonotonicTime now) {
     int ready = 0;
--- a/src/main/java/io/saltflow/cluster/TaskPlacement.java
+++ b/src/main/java/io/saltflow/cluster/TaskPlacement.java
@@ -5,17 +5,19 @@
 import io.saltflow.model.TaskId;
 import io.saltflow.model.TimeSpan;
 
-/** An attempt that is or may be on a machine. While it exists its task starts nowhere else. */
+/**
+ * An attempt that is or may be on a machine. While it exists, its task is not started elsewhere.
+ */
 public final class TaskPlacement {
-  /** How far the attempt is known to have come. */
+  /** The last known state of an attempt. */
   public enum State {
-    /** Launched, and not listed by a heartbeat yet. */
+    /** Launched, but not listed by a heartbeat yet. */
     LAUNCHED,
-    /** Its image is being fetched. */
+    /** The machine is fetching the image of the task. */
     FETCHING,
-    /** It runs. */
+    /** The task is running. */
     RUNNING,
-    /** It writes its checkpoint before it stops. */
+    /** The task is writing its checkpoint before it stops. */
     SAVING
   }
 
@@ -34,7 +36,7 @@
   private MonotonicTime stopRequestedAt;
   private TimeSpan grace = new TimeSpan(0);
 
-  /** Creates the placement of an attempt that the answer to the newest heartbeat launches. */
+  /** Creates the placement of an attempt that is launched by the answer to the newest heartbeat. */
   public TaskPlacement(
       Job job, int index, Attempt attempt, Machine machine, MonotonicTime launchedAt) {
     this.job = job;
@@ -47,24 +49,22 @@
     this.state = State.LAUNCHED;
   }
 
-  /** The id of the task. */
+  /** Returns the id of the task. */
   public TaskId taskId() {
     return new TaskId(job.id(), index);
   }
 
-  /** Whether its run was observed from its start, of a task that had not run before. */
+  /** Returns whether this leader observed the whole run of a task that had not run before. */
   public boolean fullRunObserved() {
-    // A task that an earlier term launched ran longer than this leader saw. Taken for the whole,
-    // its
-    // time made all work look fifteen times shorter after each failover: expensive machines were
-    // scaled in and none scaled out while a thousand tasks waited.
+    // This leader saw only the end of a run that an earlier term launched. Counting it as a whole
+    // run would make estimates far too short after a failover and scale in needed machines.
     return runningSince != null
         && !stopping
         && !foundInHeartbeat
         && !job.checkpointedRunTime.containsKey(index);
   }
 
-  /** Requests a stop; one that is under way may only get a shorter grace period. */
+  /** Requests a stop. If a stop was already requested, its grace period can only be shortened. */
   public void requestStop(MonotonicTime now, TimeSpan newGrace) {
     if (!stopping) {
       stopping = true;
@@ -75,59 +75,62 @@
     }
   }
 
-  /** How far the attempt is known to have come. */
+  /** Returns the last known state of the attempt. */
   public State state() {
     return state;
   }
 
-  /** Sets how far the attempt is known to have come. */
+  /** Sets the last known state of the attempt. */
   public void setState(State state) {
     this.state = state;
   }
 
-  /** When it was first seen running; null: not yet. */
+  /**
+   * Returns the time at which the task was first seen running, or {@code null} if it has not been.
+   */
   public MonotonicTime runningSince() {
     return runningSince;
   }
 
-  /** Sets when it was first seen running. */
+  /** Sets the time at which the task was first seen running. */
   public void setRunningSince(MonotonicTime runningSince) {
     this.runningSince = runningSince;
   }
 
   /**
-   * Whether it was found in a heartbeat and not launched by this leader: its start is not known.
+   * Returns whether the attempt was found in a heartbeat rather than launched by this leader, so
+   * that its start time is unknown.
    */
   public boolean isFoundInHeartbeat() {
     return foundInHeartbeat;
   }
 
-  /** Sets whether it was found in a heartbeat. */
+  /** Sets whether the attempt was found in a heartbeat rather than launched by this leader. */
   public void setFoundInHeartbeat(boolean foundInHeartbeat) {
     this.foundInHeartbeat = foundInHeartbeat;
   }
 
-  /** Whether it was backfilled ahead of a reservation. */
+  /** Returns whether the task was backfilled ahead of a reservation. */
   public boolean isBackfilled() {
     return backfilled;
   }
 
-  /** Sets whether it was backfilled ahead of a reservation. */
+  /** Sets whether the task was backfilled ahead of a reservation. */
   public void setBackfilled(boolean backfilled) {
     this.backfilled = backfilled;
   }
 
-  /** Whether a stop was requested. */
+  /** Returns whether a stop was requested. */
   public boolean isStopping() {
     return stopping;
   }
 
-  /** When the stop was requested; null: it was not. */
+  /** Returns the time at which the stop was requested, or {@code null} if none was requested. */
   public MonotonicTime stopRequestedAt() {
     return stopRequestedAt;
   }
 
-  /** Grace period of the requested stop. */
+  /** Returns the grace period of the requested stop. */
   public TimeSpan grace() {
     return grace;
   }
--- a/src/main/java/io/saltflow/cluster/UsageByGroup.java
+++ b/src/main/java/io/saltflow/cluster/UsageByGroup.java
@@ -5,9 +5,12 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Sums up the resources that the tasks of each class and each team take. */
+/** Sums the resources used by the tasks of each class and each team. */
 final class UsageByGroup {
-  /** The number of tasks and their resources; no task takes exactly zero, whatever was rounded. */
+  /**
+   * The number of tasks and the sum of their resources. Counting tasks resets the sum to exactly
+   * zero when the last one leaves, despite rounding errors.
+   */
   private record GroupUsage(int tasks, Resources size) {
     static final GroupUsage NONE = new GroupUsage(0, Resources.ZERO);
 
@@ -15,7 +18,7 @@
       return new GroupUsage(tasks + 1, size.plus(more));
     }
 
-    /** Null when no task is left, so that groups without tasks take no memory. */
+    /** Returns {@code null} when no task is left, so that groups without tasks take no memory. */
     GroupUsage minus(Resources less) {
       return tasks <= 1 ? null : new GroupUsage(tasks - 1, size.minus(less));
     }
--- a/src/main/java/io/saltflow/cluster/package-info.java
+++ b/src/main/java/io/saltflow/cluster/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The state of the cluster as the leader knows it: jobs, machines, task placements, quota usage and
- * run time estimates. Deterministic; it has no sockets and no clock.
+ * The leader's model of the cluster: jobs, machines, task placements, quota usage and run time
+ * estimates. It is deterministic and uses neither sockets nor a clock.
  */
 package io.saltflow.cluster;
--- a/src/test/java/io/saltflow/cluster/EventSummaryTest.java
+++ b/src/test/java/io/saltflow/cluster/EventSummaryTest.java
@@ -9,19 +9,19 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Events are summarized: an event and its count are one line, a persistent condition is two. */
+/** Checks that repeated events become one line with a count and persistent conditions two lines. */
 class EventSummaryTest {
   private final List<String> lines = new ArrayList<>();
   private double now;
   private final EventSummary eventSummary =
-      new EventSummary(second -> lines.add(String.format("%6.1f  %s", now, second)));
+      new EventSummary(line -> lines.add(String.format("%6.1f  %s", now, line)));
 
   private MonotonicTime at(double seconds) {
     now = seconds;
     return new MonotonicTime(Math.round(seconds * 1000));
   }
 
-  /** Thirty machines hang for 25 s and two stay silent; half the cheap ones are taken meanwhile. */
+  /** Thirty machines hang for 25 s and two stay silent while spot instances are reclaimed. */
   @Test
   void hangingMachinesAreSummarized() throws IOException {
     for (int second = 100; second < 160; second++) {
@@ -48,9 +48,9 @@
     GoldenTraces.check("hung-machines", lines);
   }
 
-  /** 750 machines that come and go for ten minutes do not flood the log. */
+  /** 750 machines that are created and deleted for ten minutes must not flood the log. */
   @Test
-  void volumeDoesNotGrowWithTheFleet() {
+  void logVolumeIsIndependentOfClusterSize() {
     for (int second = 0; second < 600; second++) {
       MonotonicTime time = at(second);
       for (int machine = 0; machine < 750; machine++) {
@@ -60,7 +60,7 @@
           EventSummary.PersistentCondition.SILENT_MACHINES, 1 + 700 * (second % 2), "", time);
       eventSummary.flush(time);
     }
-    assertEquals(120 + 2, lines.size(), "one line in 5 s, and a trouble told twice");
+    assertEquals(120 + 2, lines.size(), "one line per 5 s, and two for the condition");
     assertEquals(3750, Integer.parseInt(lines.get(50).trim().split(" +")[1]));
   }
 }
--- a/src/test/java/io/saltflow/cluster/JobSpecBuilder.java
+++ b/src/test/java/io/saltflow/cluster/JobSpecBuilder.java
@@ -7,7 +7,7 @@
 import io.saltflow.model.TimeSpan;
 import java.util.List;
 
-/** Builds jobs for tests; what a test does not say is plain. */
+/** Builds job specifications for tests, with defaults for all values that are not set. */
 public final class JobSpecBuilder {
   private final int number;
   private String jobClass = "class";
@@ -29,12 +29,12 @@
     this.number = number;
   }
 
-  /** A job with a number and defaults for all else. */
+  /** Returns a builder for the job with this number. */
   public static JobSpecBuilder job(int number) {
     return new JobSpecBuilder(number);
   }
 
-  /** The id of the job with a number. */
+  /** Returns the id of the job with this number. */
   public static String id(int number) {
     return String.format("req-%06d", number);
   }
@@ -51,7 +51,7 @@
     return this;
   }
 
-  /** Makes the job a service's. */
+  /** Makes the job run until it is stopped, as services do. */
   public JobSpecBuilder daemon() {
     daemon = true;
     return this;
--- a/src/test/java/io/saltflow/cluster/TestPolicies.java
+++ b/src/test/java/io/saltflow/cluster/TestPolicies.java
@@ -8,22 +8,25 @@
 import java.util.List;
 import java.util.Map;
 
-/** The settings that tests run under. */
+/** Policies for tests. */
 public final class TestPolicies {
   private TestPolicies() {}
 
-  /** A policy with these values and defaults for all else. */
+  /** Returns a policy with these values and defaults for the others. */
   public static Policy of(
-      TimeSpan lease, TimeSpan keepAfterSync, double thresholdS, Policy.TeamQuota... teams) {
-    return of(Map.of(), lease, keepAfterSync, thresholdS, teams);
+      TimeSpan lease,
+      TimeSpan leaseRenewalWindow,
+      double estimateScaleThresholdS,
+      Policy.TeamQuota... teams) {
+    return of(Map.of(), lease, leaseRenewalWindow, estimateScaleThresholdS, teams);
   }
 
-  /** With times in which tasks of some classes should have started. */
+  /** Returns a policy with start targets for some job classes and defaults for the others. */
   public static Policy of(
-      Map<String, TimeSpan> startByClass,
+      Map<String, TimeSpan> startTargetByClass,
       TimeSpan lease,
-      TimeSpan keepAfterSync,
-      double thresholdS,
+      TimeSpan leaseRenewalWindow,
+      double estimateScaleThresholdS,
       Policy.TeamQuota... teams) {
     Map<String, Policy.TeamQuota> byName = new LinkedHashMap<>();
     for (Policy.TeamQuota team : teams) {
@@ -33,13 +36,13 @@
         1,
         TimeSpan.seconds(3),
         lease,
-        keepAfterSync,
+        leaseRenewalWindow,
         byName,
         Map.of(),
-        startByClass,
+        startTargetByClass,
         TimeSpan.seconds(5),
         0.2,
-        TimeSpan.seconds(thresholdS),
+        TimeSpan.seconds(estimateScaleThresholdS),
         Priority.HIGH,
         TimeSpan.seconds(6),
         TimeSpan.seconds(30),
@@ -58,35 +61,41 @@
         List.of());
   }
 
-  /** The same settings on a machine with a part of a core: whole rounds keep some way apart. */
-  public static Policy withCpuShare(Policy policy, double share) {
-    return with(policy, share, policy.fairShare(), policy.firstStartTarget());
+  /**
+   * Returns the policy with a share of one core, which sets the minimum interval between full
+   * rounds.
+   */
+  public static Policy withCpuShare(Policy policy, double cpuShare) {
+    return with(policy, cpuShare, policy.fairShare(), policy.firstStartTarget());
   }
 
-  /** Least parts by themselves: nobody's first task goes ahead. */
-  public static Policy withShares(Policy policy, FairShareRules shares) {
-    return with(policy, policy.cpuShare(), shares, TimeSpan.seconds(1e6));
+  /**
+   * Returns the policy with these fair share rules and without a target for the first start of a
+   * job, so that only minimum shares apply.
+   */
+  public static Policy withShares(Policy policy, FairShareRules fairShare) {
+    return with(policy, policy.cpuShare(), fairShare, TimeSpan.seconds(1e6));
   }
 
-  /** With what queues are to be ready by. */
+  /** Returns the policy with these daily deadlines of queues. */
   public static Policy withDailyDeadlines(Policy policy, List<DeadlineRule> dailyDeadlines) {
     return with(
         policy, policy.cpuShare(), policy.fairShare(), policy.firstStartTarget(), dailyDeadlines);
   }
 
   private static Policy with(
-      Policy policy, double share, FairShareRules shares, TimeSpan beginWithin) {
-    return with(policy, share, shares, beginWithin, policy.deadlineRules());
+      Policy policy, double cpuShare, FairShareRules fairShare, TimeSpan firstStartTarget) {
+    return with(policy, cpuShare, fairShare, firstStartTarget, policy.deadlineRules());
   }
 
   private static Policy with(
       Policy policy,
-      double share,
-      FairShareRules shares,
-      TimeSpan beginWithin,
+      double cpuShare,
+      FairShareRules fairShare,
+      TimeSpan firstStartTarget,
       List<DeadlineRule> dailyDeadlines) {
     return new Policy(
-        share,
+        cpuShare,
         policy.heartbeatInterval(),
         policy.workerLease(),
         policy.leaseRenewalWindow(),
@@ -100,8 +109,8 @@
         policy.preemptionLookahead(),
         policy.deadlineSlack(),
         policy.lengthWeight(),
-        shares,
-        beginWithin,
+        fairShare,
+        firstStartTarget,
         policy.expensivePriceFactor(),
         policy.maxMachinePriceShare(),
         policy.scaleOutHorizon(),
