--- a/src/main/java/io/saltflow/leader/RecordedDecisions.java
+++ b/src/main/java/io/saltflow/leader/RecordedDecisions.java
@@ -216,7 +216,7 @@
    * result is reported to {@link #onOrderInputsRecorded}.
    */
   public QueueOrderInputs orderInputsToRecord(MonotonicTime now) {
-    return orderInputs.toRecord(now);
+    return orderInputs.takeToRecord(now);
   }
 
   /**
@@ -243,7 +243,7 @@
    * {@link #onDailyDeadlineRecorded}.
    */
   public DailyDeadline dailyDeadlineToRecord(MonotonicTime now) {
-    return dailyDeadlines.toRecord(now);
+    return dailyDeadlines.takeToRecord(now);
   }
 
   /**
--- a/src/main/java/io/saltflow/scheduler/DailyDeadlines.java
+++ b/src/main/java/io/saltflow/scheduler/DailyDeadlines.java
@@ -253,7 +253,7 @@
    * Returns the next record to write, or {@code null} if there is none. {@link #onWritten} reports
    * the result of the write.
    */
-  public DailyDeadline toRecord(MonotonicTime now) {
+  public DailyDeadline takeToRecord(MonotonicTime now) {
     if (writeInFlight || MIN_WRITE_INTERVAL.longerThan(now.since(lastWriteAt))) {
       return null;
     }
--- a/src/main/java/io/saltflow/scheduler/RecordedOrderInputs.java
+++ b/src/main/java/io/saltflow/scheduler/RecordedOrderInputs.java
@@ -55,7 +55,7 @@
   }
 
   /** Returns the inputs to write now, or {@code null} if there is nothing to write. */
-  public QueueOrderInputs toRecord(MonotonicTime now) {
+  public QueueOrderInputs takeToRecord(MonotonicTime now) {
     if (!hasLearned
         || writeInFlight
         || learned.equals(recorded)
