--- a/src/main/java/io/saltflow/records/BatchUnpacker.java
+++ b/src/main/java/io/saltflow/records/BatchUnpacker.java
@@ -77,7 +77,7 @@
    *
    * @param version revision of the batch, at which all its jobs were accepted
    */
-  public void found(String key, MessageBody batch, Revision version) {
+  public void addBatch(String key, MessageBody batch, Revision version) {
     if (!knownBatches.add(key)) {
       return;
     }
--- a/src/main/java/io/saltflow/records/LeaderRepository.java
+++ b/src/main/java/io/saltflow/records/LeaderRepository.java
@@ -204,7 +204,7 @@
 
   /** Adds a submission batch that was found among the live jobs to those to be unpacked. */
   public void onBatchFound(String key, MessageBody value, Revision revision) {
-    batchUnpacker.found(key, value, revision);
+    batchUnpacker.addBatch(key, value, revision);
   }
 
   /**
--- a/src/test/java/io/saltflow/records/AdmissionPositionTest.java
+++ b/src/test/java/io/saltflow/records/AdmissionPositionTest.java
@@ -102,7 +102,7 @@
     BatchUnpacker.UnpackStep nextStep() {
       for (MessageBody pair : list(SubmissionBatch.PREFIX)) {
         try {
-          unpacker.found(
+          unpacker.addBatch(
               pair.text(Wire.KEY), pair.map(Wire.VALUE), new Revision(pair.integer(Wire.VERSION)));
         } catch (InvalidMessageException exception) {
           throw new IllegalStateException(exception);
--- a/src/test/java/io/saltflow/records/RecordLimitsTest.java
+++ b/src/test/java/io/saltflow/records/RecordLimitsTest.java
@@ -125,7 +125,7 @@
       records.put(new JobId(String.format("req-%06d", i)), record);
     }
     BatchUnpacker unpacker = new BatchUnpacker();
-    unpacker.found(
+    unpacker.addBatch(
         SubmissionBatch.key("former"), roundTrip(SubmissionBatch.encode(records)), new Revision(7));
     int unpacked = 0;
     for (int i = 0; i < 10; i++) {
--- a/src/test/java/io/saltflow/records/RecordSizesTest.java
+++ b/src/test/java/io/saltflow/records/RecordSizesTest.java
@@ -348,7 +348,7 @@
       for (int i = 0; i < batches; i++) {
         MessageBody decoded =
             AdmissionSimulation.roundTrip(batch(i * MAX_BATCH_SIZE, MAX_BATCH_SIZE));
-        unpacker.found(SubmissionBatch.key("node-" + i), decoded, BATCH_REVISION);
+        unpacker.addBatch(SubmissionBatch.key("node-" + i), decoded, BATCH_REVISION);
       }
       int steps = 0;
       int writes = 0;
--- a/src/test/java/io/saltflow/records/SubmissionBatchTest.java
+++ b/src/test/java/io/saltflow/records/SubmissionBatchTest.java
@@ -271,7 +271,7 @@
     BatchUnpacker unpacker = new BatchUnpacker();
     for (MessageBody entry : batchEntries()) {
       long version = (Long) entry.get(Wire.VERSION);
-      unpacker.found((String) entry.get(Wire.KEY), batchOf(entry), new Revision(version));
+      unpacker.addBatch((String) entry.get(Wire.KEY), batchOf(entry), new Revision(version));
     }
     return unpacker;
   }
@@ -367,7 +367,7 @@
     }
     MessageBody encoded =
         MessagePackCodec.decode(MessagePackCodec.encode(SubmissionBatch.encode(records)));
-    unpacker.found(SubmissionBatch.key("b"), encoded, new Revision(7));
+    unpacker.addBatch(SubmissionBatch.key("b"), encoded, new Revision(7));
     List<JobId> order = new ArrayList<>();
     unpacker.next(new StoreLimits(6, 8, 30)).jobs().forEach(job -> order.add(job.id()));
     assertEquals(List.of(id(2), id(4), id(6), id(1), id(3), id(5)), order);
