--- a/src/main/java/io/saltflow/broker/QueueController.java
+++ b/src/main/java/io/saltflow/broker/QueueController.java
@@ -293,7 +293,7 @@
           core.size(),
           core.bytes() / 1024,
           core.staleSettlements(),
-          books.cost());
+          books.writeSummary());
     }
   }
 }
--- a/src/main/java/io/saltflow/records/QueueRepository.java
+++ b/src/main/java/io/saltflow/records/QueueRepository.java
@@ -112,7 +112,7 @@
   }
 
   /** Returns a summary of the batches recorded, the keys written and the keys in use, for logs. */
-  public String cost() {
+  public String writeSummary() {
     return batchesWritten + " batches in " + keysWritten + " changes, " + slots.size() + " keys";
   }
 
