--- a/src/main/java/io/saltflow/cluster/QuotaUsage.java
+++ b/src/main/java/io/saltflow/cluster/QuotaUsage.java
@@ -33,17 +33,17 @@
   }
 
   /** Adds a placed task of the job. */
-  public void placed(Job job) {
+  public void addPlaced(Job job) {
     placedUsage.add(job);
   }
 
   /** Removes a task of the job whose placement ended. */
-  public void removed(Job job) {
+  public void removePlaced(Job job) {
     placedUsage.remove(job);
   }
 
   /** Adds a task of the job that was assigned but has not been launched. */
-  public void assigned(Job job) {
+  public void addAssigned(Job job) {
     assignedUsage.add(job);
     QuotaReservation reservation = reservations.get(job.spec.team());
     if (reservation != null) {
@@ -52,7 +52,7 @@
   }
 
   /** Removes an assigned task of the job that was launched or whose assignment was withdrawn. */
-  public void unassigned(Job job) {
+  public void removeAssigned(Job job) {
     assignedUsage.remove(job);
   }
 
@@ -60,12 +60,12 @@
    * Sets the upper bound of resources in use on unreconciled machines. It counts against every
    * team.
    */
-  public void unreconciled(Resources upperBound) {
+  public void setUnreconciledUsage(Resources upperBound) {
     unreconciledUsage = upperBound;
   }
 
   /** Sets the resources that messages at consumers hold and that waiting messages would take. */
-  public void messageDemands(List<QueueDemand> demands) {
+  public void setQueueDemands(List<QueueDemand> demands) {
     queueDemands = demands;
   }
 
--- a/src/main/java/io/saltflow/fencing/Placements.java
+++ b/src/main/java/io/saltflow/fencing/Placements.java
@@ -26,7 +26,7 @@
     TaskPlacement placement = new TaskPlacement(job, index, attempt, machine, now);
     machine.addPlacement(placement);
     job.addPlacement(placement);
-    quotaUsage.placed(job);
+    quotaUsage.addPlaced(job);
     return placement;
   }
 
@@ -34,7 +34,7 @@
   void remove(TaskPlacement placement) {
     placement.machine.removePlacement(placement);
     placement.job.removePlacement(placement);
-    quotaUsage.removed(placement.job);
+    quotaUsage.removePlaced(placement.job);
   }
 
   /** Removes the placements on the machine that match the condition and reports them as lost. */
--- a/src/main/java/io/saltflow/leader/LeaderCore.java
+++ b/src/main/java/io/saltflow/leader/LeaderCore.java
@@ -320,7 +320,7 @@
 
   /** Sets the demand of the message queues, which share the quotas of the teams with jobs. */
   public void setQueueDemands(List<QueueDemand> demands) {
-    quotaUsage.messageDemands(demands);
+    quotaUsage.setQueueDemands(demands);
   }
 
   /**
--- a/src/main/java/io/saltflow/leader/Reconciliation.java
+++ b/src/main/java/io/saltflow/leader/Reconciliation.java
@@ -54,7 +54,7 @@
     if (isComplete()) {
       return;
     }
-    cluster.quotaUsage().unreconciled(cluster.reconciler().maxUnreconciledUsage());
+    cluster.quotaUsage().setUnreconciledUsage(cluster.reconciler().maxUnreconciledUsage());
     if (cluster.reconciler().allReconciled()) {
       completedAt = now;
       cluster.reconciler().clearEndedJobs();
--- a/src/main/java/io/saltflow/scheduler/TaskAssigner.java
+++ b/src/main/java/io/saltflow/scheduler/TaskAssigner.java
@@ -142,7 +142,7 @@
     candidate.onTaskAssigned();
     machine.setAvailable(machine.available().minus(job.spec.size()));
     machine.migrationHolds.remove(job.id());
-    quotaUsage.assigned(job);
+    quotaUsage.addAssigned(job);
     job.markAssigned(taskIndex);
     machine.assignments.add(new Machine.Assignment(job, taskIndex, backfilling));
     if (job.spec.oneZone() || job.spec.spread()) {
@@ -162,7 +162,7 @@
     for (Machine.Assignment assigned : machine.assignments) {
       assigned.job().markUnassigned(assigned.taskIndex());
       machine.setAvailable(machine.available().plus(assigned.job().spec.size()));
-      quotaUsage.unassigned(assigned.job());
+      quotaUsage.removeAssigned(assigned.job());
       assigned.job().assignedZones.remove(machine.zone);
     }
     machine.assignments.clear();
--- a/src/test/java/io/saltflow/cluster/TestPolicies.java
+++ b/src/test/java/io/saltflow/cluster/TestPolicies.java
@@ -73,7 +73,7 @@
    * Returns the policy with these fair share rules and without a target for the first start of a
    * job, so that only minimum shares apply.
    */
-  public static Policy withShares(Policy policy, FairShareRules fairShare) {
+  public static Policy withFairShareRules(Policy policy, FairShareRules fairShare) {
     return with(policy, policy.cpuShare(), fairShare, TimeSpan.seconds(1e6));
   }
 
--- a/src/test/java/io/saltflow/leader/FailoverQueueOrderTest.java
+++ b/src/test/java/io/saltflow/leader/FailoverQueueOrderTest.java
@@ -86,7 +86,7 @@
     ClusterSimulation simulation =
         new ClusterSimulation(
             11,
-            TestPolicies.withShares(
+            TestPolicies.withFairShareRules(
                 ClusterSimulation.policy(TimeSpan.millis(ClusterSimulation.LEASE_MS)), rules));
     simulation.clocksSkewed = true;
     simulation.runtimeFactor = 1.7;
--- a/src/test/java/io/saltflow/leader/FairShareTest.java
+++ b/src/test/java/io/saltflow/leader/FairShareTest.java
@@ -78,7 +78,7 @@
   }
 
   private static Policy policy(FairShareRules rules) {
-    return TestPolicies.withShares(
+    return TestPolicies.withFairShareRules(
         ClusterSimulation.policy(TimeSpan.millis(ClusterSimulation.LEASE_MS)), rules);
   }
 
