--- a/src/test/java/io/saltflow/leader/DailyDeadlinesTest.java
+++ b/src/test/java/io/saltflow/leader/DailyDeadlinesTest.java
@@ -22,18 +22,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Nights with more work than is ready by the morning, with leaders that end every minute or so: how
- * many jobs miss it, with the queue as it is and with late work pushed.
+ * Compares how many jobs meet a daily deadline with and without the deadline boost, on an
+ * overloaded cluster whose leader fails about once a minute.
  */
 class DailyDeadlinesTest {
   private static final long DUE_MS = 360_000;
-  private static final String CHAPTERS = "chapters";
+  private static final String BOOSTED_CLASS = "chapters";
 
-  private static Policy policy(boolean boosts) {
+  private static Policy policy(boolean boost) {
     DeadlineRule rule =
         new DeadlineRule(
-            CHAPTERS,
-            Set.of(CHAPTERS),
+            BOOSTED_CLASS,
+            Set.of(BOOSTED_CLASS),
             Set.of(),
             LocalTime.of(0, 0),
             LocalTime.of(0, 6),
@@ -41,99 +41,125 @@
             EnumSet.allOf(DayOfWeek.class),
             1);
     Policy policy = ClusterSimulation.policy(TimeSpan.millis(ClusterSimulation.LEASE_MS));
-    return boosts ? TestPolicies.withDailyDeadlines(policy, List.of(rule)) : policy;
+    return boost ? TestPolicies.withDailyDeadlines(policy, List.of(rule)) : policy;
   }
 
-  private static JobSpec job(ClusterSimulation clusterSimulation, int number) {
-    boolean chapter = number % 5 > 0;
+  private static JobSpec job(ClusterSimulation simulation, int number) {
+    boolean inBoostedClass = number % 5 > 0;
     return JobSpecBuilder.job(number)
-        .ofClass(chapter ? CHAPTERS : "other")
-        .tasks(1 + clusterSimulation.random.nextInt(chapter ? 40 : 10))
+        .ofClass(inBoostedClass ? BOOSTED_CLASS : "other")
+        .tasks(1 + simulation.random.nextInt(inBoostedClass ? 40 : 10))
         .cores(2)
-        .estimateS(5 + clusterSimulation.random.nextInt(30))
+        .estimateS(5 + simulation.random.nextInt(30))
         .build();
   }
 
-  private static ClusterSimulation simulate(long seed, boolean boosts, double runsTimes, int jobs) {
-    ClusterSimulation clusterSimulation = new ClusterSimulation(seed, policy(boosts));
-    clusterSimulation.maxMachines = 8;
-    clusterSimulation.runtimeFactor = runsTimes;
-    int next = 1;
-    while (clusterSimulation.now < DUE_MS + 10_000) {
-      // They come in a burst and then one by one; the long ones are not the last.
-      if (next <= jobs && (next <= jobs / 2 || clusterSimulation.chance(0.2))) {
-        clusterSimulation.submit(job(clusterSimulation, next++));
+  private static ClusterSimulation simulate(
+      long seed, boolean boost, double runtimeFactor, int jobs) {
+    ClusterSimulation simulation = new ClusterSimulation(seed, policy(boost));
+    simulation.maxMachines = 8;
+    simulation.runtimeFactor = runtimeFactor;
+    int nextNumber = 1;
+    while (simulation.now < DUE_MS + 10_000) {
+      // Half of the jobs arrive in a burst, the rest one by one; size is independent of arrival.
+      if (nextNumber <= jobs && (nextNumber <= jobs / 2 || simulation.chance(0.2))) {
+        simulation.submit(job(simulation, nextNumber++));
       }
-      if (clusterSimulation.now > 60_000
-          && clusterSimulation.now % 70_000 < ClusterSimulation.STEP_MS) {
-        clusterSimulation.failLeader(0);
+      if (simulation.now > 60_000 && simulation.now % 70_000 < ClusterSimulation.STEP_MS) {
+        simulation.failLeader(0);
       }
-      clusterSimulation.step();
+      simulation.step();
     }
-    assertEquals("", String.join("\n", clusterSimulation.violations));
-    return clusterSimulation;
+    assertEquals("", String.join("\n", simulation.violations));
+    return simulation;
   }
 
-  private static long ready(ClusterSimulation clusterSimulation, String jobClass) {
-    return clusterSimulation.records.values().stream()
+  private static long finishedInTime(ClusterSimulation simulation, String jobClass) {
+    return simulation.records.values().stream()
         .filter(r -> r.spec.jobClass().equals(jobClass) && r.doneAt >= 0 && r.doneAt <= DUE_MS)
         .count();
   }
 
-  /** No order can do better: all machines from their first second, the shortest jobs first. */
-  private static int upperBound(ClusterSimulation clusterSimulation, double runsTimes) {
-    List<Double> work = new ArrayList<>();
-    for (ClusterSimulation.JobRecord jobRecord : clusterSimulation.records.values()) {
-      if (jobRecord.spec.jobClass().equals(CHAPTERS)) {
-        work.add(
+  /**
+   * Returns an upper bound for any order, in which every machine is busy throughout and the
+   * shortest jobs run first.
+   */
+  private static int upperBound(ClusterSimulation simulation, double runtimeFactor) {
+    List<Double> coreSecondsByJob = new ArrayList<>();
+    for (ClusterSimulation.JobRecord jobRecord : simulation.records.values()) {
+      if (jobRecord.spec.jobClass().equals(BOOSTED_CLASS)) {
+        coreSecondsByJob.add(
             jobRecord.spec.tasks()
                 * jobRecord.spec.size().cores()
                 * jobRecord.spec.estimate().toSeconds());
       }
     }
-    work.sort(Comparator.naturalOrder());
-    double left = 8 * 8 * (DUE_MS / 1000.0 - 15) / runsTimes;
+    coreSecondsByJob.sort(Comparator.naturalOrder());
+    double coreSecondsLeft = 8 * 8 * (DUE_MS / 1000.0 - 15) / runtimeFactor;
     int inTime = 0;
-    for (double each : work) {
-      left -= each;
-      inTime += left >= 0 ? 1 : 0;
+    for (double coreSeconds : coreSecondsByJob) {
+      coreSecondsLeft -= coreSeconds;
+      inTime += coreSecondsLeft >= 0 ? 1 : 0;
     }
     return inTime;
   }
 
-  /** The last: what part of the bound is reached at the least. */
+  /**
+   * @param minShareOfBound the share of the upper bound that must meet the deadline
+   */
   @ParameterizedTest
   @CsvSource({"1, 0.7", "1.5, 0.6", "0.5, 0.7"})
-  void boostMakesMoreJobsMeetTheDeadline(double runsTimes, double minPartOfBound) {
-    long with = 0;
-    long without = 0;
+  void boostIncreasesJobsThatMeetDeadline(double runtimeFactor, double minShareOfBound) {
+    long withBoost = 0;
+    long withoutBoost = 0;
     long bound = 0;
-    long others = 0;
-    long othersWithout = 0;
-    List<String> summary = new ArrayList<>();
+    long othersWithBoost = 0;
+    long othersWithoutBoost = 0;
+    List<String> countsBySeed = new ArrayList<>();
     for (long seed = 1; seed <= 6; seed++) {
-      ClusterSimulation boosted = simulate(seed, true, runsTimes, 110);
-      ClusterSimulation unboosted = simulate(seed, false, runsTimes, 110);
-      with += ready(boosted, CHAPTERS);
-      without += ready(unboosted, CHAPTERS);
-      others += ready(boosted, "other");
-      othersWithout += ready(unboosted, "other");
-      bound += upperBound(boosted, runsTimes);
-      summary.add(ready(unboosted, CHAPTERS) + " -> " + ready(boosted, CHAPTERS));
-      DailyDeadline deadline = boosted.dailyDeadlines.get(CHAPTERS + "/1970-01-01");
+      ClusterSimulation boosted = simulate(seed, true, runtimeFactor, 110);
+      ClusterSimulation unboosted = simulate(seed, false, runtimeFactor, 110);
+      withBoost += finishedInTime(boosted, BOOSTED_CLASS);
+      withoutBoost += finishedInTime(unboosted, BOOSTED_CLASS);
+      othersWithBoost += finishedInTime(boosted, "other");
+      othersWithoutBoost += finishedInTime(unboosted, "other");
+      bound += upperBound(boosted, runtimeFactor);
+      countsBySeed.add(
+          finishedInTime(unboosted, BOOSTED_CLASS)
+              + " -> "
+              + finishedInTime(boosted, BOOSTED_CLASS));
+      DailyDeadline deadline = boosted.dailyDeadlines.get(BOOSTED_CLASS + "/1970-01-01");
       assertTrue(
-          deadline != null && deadline.outcome() != null, "how it ended is recorded: " + deadline);
+          deadline != null && deadline.outcome() != null,
+          "the outcome of the deadline is not recorded: " + deadline);
       assertTrue(
-          Math.abs(deadline.readyJobs() - ready(boosted, CHAPTERS)) <= 1, deadline + " " + summary);
+          Math.abs(deadline.readyJobs() - finishedInTime(boosted, BOOSTED_CLASS)) <= 1,
+          deadline + " " + countsBySeed);
       assertTrue(
           boosted.dailyDeadlineWrites <= boosted.now / 5000,
-          boosted.dailyDeadlineWrites + " writes");
+          boosted.dailyDeadlineWrites + " writes of the daily deadlines");
     }
-    String how =
-        "estimates by " + runsTimes + ": ready " + without + " -> " + with + ", bound " + bound;
-    System.out.println(how + ", others " + othersWithout + " -> " + others + ", " + summary);
-    assertTrue(with >= without, how + ", " + summary);
-    assertTrue(with >= minPartOfBound * bound, how);
-    assertTrue(2 * others >= othersWithout, how + ", others " + othersWithout + " -> " + others);
+    String summary =
+        "run time "
+            + runtimeFactor
+            + " x estimate: in time "
+            + withoutBoost
+            + " -> "
+            + withBoost
+            + ", bound "
+            + bound;
+    System.out.println(
+        summary
+            + ", others "
+            + othersWithoutBoost
+            + " -> "
+            + othersWithBoost
+            + ", "
+            + countsBySeed);
+    assertTrue(withBoost >= withoutBoost, summary + ", " + countsBySeed);
+    assertTrue(withBoost >= minShareOfBound * bound, summary);
+    assertTrue(
+        2 * othersWithBoost >= othersWithoutBoost,
+        summary + ", others " + othersWithoutBoost + " -> " + othersWithBoost);
   }
 }
--- a/src/test/java/io/saltflow/leader/DependencyTrackerTest.java
+++ b/src/test/java/io/saltflow/leader/DependencyTrackerTest.java
@@ -14,16 +14,18 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Jobs that depend on others, on the core that runs: each test is a day with what it may break. */
+/**
+ * Tests jobs with dependencies on a simulated cluster, under failovers, outages and cancellations.
+ */
 class DependencyTrackerTest {
   private static JobSpecBuilder step(int number) {
     return JobSpecBuilder.job(number).estimateS(3);
   }
 
-  private static List<JobId> chain(PipelineSimulation day, int length) {
+  private static List<JobId> chain(PipelineSimulation pipeline, int length) {
     List<JobId> chain = new ArrayList<>();
     for (int i = 0; i < length; i++) {
-      JobId id = i == 0 ? day.submit(step(0)) : day.submit(step(i), chain.get(i - 1));
+      JobId id = i == 0 ? pipeline.submit(step(0)) : pipeline.submit(step(i), chain.get(i - 1));
       chain.add(id);
     }
     return chain;
@@ -31,286 +33,301 @@
 
   @Test
   void waitingJobsAreKnownButNotScheduled() {
-    PipelineSimulation day = new PipelineSimulation(1);
-    JobId first = day.submit(step(1).estimateS(60));
-    JobId second = day.submit(step(2), first);
-    day.run(30);
-    assertTrue(day.record(first).startedAt > 0);
-    assertEquals(second, day.core().jobs().find(second).id());
-    assertEquals(List.of(first), day.core().jobs().scheduled().stream().map(Job::id).toList());
-    assertEquals(List.of(first, second), day.core().jobs().liveIds());
-    assertFalse(day.record(second).started, "a job that waits is not marked as one that may run");
-    day.runUntilOver(120);
+    PipelineSimulation pipeline = new PipelineSimulation(1);
+    JobId first = pipeline.submit(step(1).estimateS(60));
+    JobId second = pipeline.submit(step(2), first);
+    pipeline.run(30);
+    assertTrue(pipeline.record(first).startedAt > 0);
+    assertEquals(second, pipeline.core().jobs().find(second).id());
+    assertEquals(List.of(first), pipeline.core().jobs().scheduled().stream().map(Job::id).toList());
+    assertEquals(List.of(first, second), pipeline.core().jobs().liveIds());
+    assertFalse(
+        pipeline.record(second).started, "a job with unfinished dependencies is marked as started");
+    pipeline.runUntilOver(120);
   }
 
   @Test
   void diamondRunsInOrder() {
-    PipelineSimulation day = new PipelineSimulation(2);
-    JobId top = day.submit(step(1));
-    JobId left = day.submit(step(2).tasks(3), top);
-    JobId right = day.submit(step(3).estimateS(20), top);
-    JobId bottom = day.submit(step(4), left, right);
-    day.runUntilOver(150);
-    assertTrue(day.record(bottom).startedAt >= day.record(right).doneAt);
-    assertTrue(day.record(right).startedAt < day.record(left).doneAt, "branches run side by side");
+    PipelineSimulation pipeline = new PipelineSimulation(2);
+    JobId top = pipeline.submit(step(1));
+    JobId left = pipeline.submit(step(2).tasks(3), top);
+    JobId right = pipeline.submit(step(3).estimateS(20), top);
+    JobId bottom = pipeline.submit(step(4), left, right);
+    pipeline.runUntilOver(150);
+    assertTrue(pipeline.record(bottom).startedAt >= pipeline.record(right).doneAt);
+    assertTrue(
+        pipeline.record(right).startedAt < pipeline.record(left).doneAt,
+        "the branches do not run in parallel");
   }
 
   @Test
-  void chainOfThirtySurvivesFailovers() {
-    PipelineSimulation day = new PipelineSimulation(3);
-    List<JobId> chain = chain(day, 30);
-    day.run(60);
-    day.simulation.failLeader(0);
-    day.run(60);
-    day.simulation.failLeader(20_000);
-    day.runUntilOver(900);
-    assertTrue(chain.stream().allMatch(day::done));
+  void chainOfThirtyJobsSurvivesFailovers() {
+    PipelineSimulation pipeline = new PipelineSimulation(3);
+    List<JobId> chain = chain(pipeline, 30);
+    pipeline.run(60);
+    pipeline.simulation.failLeader(0);
+    pipeline.run(60);
+    pipeline.simulation.failLeader(20_000);
+    pipeline.runUntilOver(900);
+    assertTrue(chain.stream().allMatch(pipeline::done));
   }
 
   @Test
-  void twoHundredJobsDependOnOne() {
-    PipelineSimulation day = new PipelineSimulation(4);
-    JobId first = day.submit(step(1));
-    IntStream.range(2, 202).forEach(i -> day.submit(step(i), first));
-    day.runUntilOver(400);
+  void twoHundredDependentsRunAfterOneJob() {
+    PipelineSimulation pipeline = new PipelineSimulation(4);
+    JobId first = pipeline.submit(step(1));
+    IntStream.range(2, 202).forEach(i -> pipeline.submit(step(i), first));
+    pipeline.runUntilOver(400);
   }
 
   @Test
-  void twoHundredDependentsAreCancelledTogether() {
-    PipelineSimulation day = new PipelineSimulation(5);
-    JobId first = day.submit(step(1).estimateS(100));
-    IntStream.range(2, 202).forEach(i -> day.submit(step(i), first));
-    day.run(20);
-    day.simulation.cancel(first);
-    day.lostResponseShare = 0.5;
-    day.runUntilOver(40);
-    assertEquals(0, day.simulation.records.values().stream().filter(r -> r.doneAt >= 0).count());
+  void twoHundredDependentsAreCancelledWithTheirDependency() {
+    PipelineSimulation pipeline = new PipelineSimulation(5);
+    JobId first = pipeline.submit(step(1).estimateS(100));
+    IntStream.range(2, 202).forEach(i -> pipeline.submit(step(i), first));
+    pipeline.run(20);
+    pipeline.simulation.cancel(first);
+    pipeline.lostResponseShare = 0.5;
+    pipeline.runUntilOver(40);
+    assertEquals(
+        0, pipeline.simulation.records.values().stream().filter(r -> r.doneAt >= 0).count());
   }
 
-  /** The team of the need is at its limit; what waits for it takes nothing from anybody. */
+  /** Guards against a job reserving capacity while its dependency is blocked by a team's limit. */
   @Test
-  void waitingJobReservesNothing() {
-    PipelineSimulation day = new PipelineSimulation(6);
+  void jobWithPendingDependencyReservesNoCapacity() {
+    PipelineSimulation pipeline = new PipelineSimulation(6);
     for (int i = 1; i <= 6; i++) {
-      day.submit(JobSpecBuilder.job(i).team("red").cores(8).estimateS(200));
+      pipeline.submit(JobSpecBuilder.job(i).team("red").cores(8).estimateS(200));
     }
-    day.run(20);
-    JobId need = day.submit(JobSpecBuilder.job(7).team("red").cores(8).estimateS(5));
-    JobId waiting = day.submit(JobSpecBuilder.job(8).cores(8).tasks(20), need);
-    JobId other = day.submit(JobSpecBuilder.job(9).priority(Priority.LOW).cores(8).estimateS(5));
-    day.run(60);
-    assertEquals(-1, day.record(need).startedAt, "its team is at its limit");
-    assertEquals(-1, day.record(waiting).startedAt);
-    assertTrue(day.done(other), "the waiting job reserves no room");
+    pipeline.run(20);
+    JobId dependency = pipeline.submit(JobSpecBuilder.job(7).team("red").cores(8).estimateS(5));
+    JobId waiting = pipeline.submit(JobSpecBuilder.job(8).cores(8).tasks(20), dependency);
+    JobId other =
+        pipeline.submit(JobSpecBuilder.job(9).priority(Priority.LOW).cores(8).estimateS(5));
+    pipeline.run(60);
+    assertEquals(
+        -1,
+        pipeline.record(dependency).startedAt,
+        "the dependency started although its team is at its limit");
+    assertEquals(-1, pipeline.record(waiting).startedAt);
+    assertTrue(pipeline.done(other), "the waiting job reserves capacity");
     assertTrue(
-        day.simulation.workers.size() <= 8,
-        "none is rented for it: " + day.simulation.workers.size());
-    day.runUntilOver(500);
+        pipeline.simulation.workers.size() <= 8,
+        "machines were created for the waiting job: " + pipeline.simulation.workers.size());
+    pipeline.runUntilOver(500);
   }
 
   @Test
-  void lastJobSubmittedAfterTheOthersEnded() {
-    PipelineSimulation day = new PipelineSimulation(7);
-    List<JobId> chain = chain(day, 3);
-    day.runUntilOver(150);
-    day.simulation.failLeader(0);
-    day.run(20);
-    JobId last = day.submit(step(9), chain.get(0), chain.get(2));
-    JobId cancelled = day.submit(step(10).estimateS(50));
-    day.simulation.cancel(cancelled);
-    JobId hopeless = day.submit(step(11), cancelled, chain.get(0));
-    day.runUntilOver(60);
-    assertTrue(day.done(last));
-    assertTrue(day.cancelled(hopeless));
+  void jobSubmittedAfterItsDependenciesEndedIsResolved() {
+    PipelineSimulation pipeline = new PipelineSimulation(7);
+    List<JobId> chain = chain(pipeline, 3);
+    pipeline.runUntilOver(150);
+    pipeline.simulation.failLeader(0);
+    pipeline.run(20);
+    JobId last = pipeline.submit(step(9), chain.get(0), chain.get(2));
+    JobId cancelled = pipeline.submit(step(10).estimateS(50));
+    pipeline.simulation.cancel(cancelled);
+    JobId dependentOfCancelled = pipeline.submit(step(11), cancelled, chain.get(0));
+    pipeline.runUntilOver(60);
+    assertTrue(pipeline.done(last));
+    assertTrue(pipeline.cancelled(dependentOfCancelled));
   }
 
-  /** Once for each step of a chain at which its first job is cancelled, with a failover near it. */
+  /** Cancels the first job of a chain at varying times, each close to a failover or an outage. */
   @Test
-  void cancelledChainIsCancelledAcrossAFailover() {
+  void cancellationCascadesAcrossFailover() {
     for (int at = 0; at < 30; at += 2) {
-      PipelineSimulation day = new PipelineSimulation(100 + at);
-      day.lostResponseShare = 0.3;
-      List<JobId> chain = chain(day, 5);
-      day.run(at);
-      day.simulation.cancel(chain.get(0));
-      boolean was = day.cancelled(chain.get(0));
+      PipelineSimulation pipeline = new PipelineSimulation(100 + at);
+      pipeline.lostResponseShare = 0.3;
+      List<JobId> chain = chain(pipeline, 5);
+      pipeline.run(at);
+      pipeline.simulation.cancel(chain.get(0));
+      boolean wasCancelled = pipeline.cancelled(chain.get(0));
       if (at % 3 == 0) {
-        day.simulation.failLeader(0);
+        pipeline.simulation.failLeader(0);
       } else if (at % 3 == 1) {
-        day.simulation.takeStoreDown(12_000);
+        pipeline.simulation.takeStoreDown(12_000);
       } else {
-        day.run(0.5);
-        day.simulation.failLeader(15_000);
+        pipeline.run(0.5);
+        pipeline.simulation.failLeader(15_000);
       }
-      day.runUntilOver(200);
+      pipeline.runUntilOver(200);
       for (JobId id : chain) {
-        assertEquals(was, day.cancelled(id), "cancelled at " + at + ": " + id);
-        assertEquals(!was, day.done(id));
+        assertEquals(wasCancelled, pipeline.cancelled(id), "cancelled at " + at + " s: " + id);
+        assertEquals(!wasCancelled, pipeline.done(id));
       }
     }
   }
 
   @Test
-  void randomFaults() {
+  void dependenciesHoldUnderRandomFaults() {
     for (int seed = 0; seed < 30; seed++) {
-      PipelineSimulation day = new PipelineSimulation(1000 + seed);
-      day.lostResponseShare = 0.3;
-      day.simulation.delayedWriteShare = 0.1;
-      day.simulation.lostResponseShare = 0.05;
+      PipelineSimulation pipeline = new PipelineSimulation(1000 + seed);
+      pipeline.lostResponseShare = 0.3;
+      pipeline.simulation.delayedWriteShare = 0.1;
+      pipeline.simulation.lostResponseShare = 0.05;
       List<JobId> ids = new ArrayList<>();
       for (int i = 0; i < 40; i++) {
         JobSpecBuilder job =
-            step(i).tasks(1 + day.simulation.random.nextInt(4)).team(i % 3 == 0 ? "red" : "blue");
-        List<JobId> needs = new ArrayList<>();
-        for (int n = 0; n < 3 && i > 0 && day.simulation.chance(0.6); n++) {
-          JobId need = ids.get(Math.max(0, i - 1 - day.simulation.random.nextInt(6)));
-          if (!needs.contains(need)) {
-            needs.add(need);
+            step(i)
+                .tasks(1 + pipeline.simulation.random.nextInt(4))
+                .team(i % 3 == 0 ? "red" : "blue");
+        List<JobId> dependencies = new ArrayList<>();
+        for (int n = 0; n < 3 && i > 0 && pipeline.simulation.chance(0.6); n++) {
+          JobId dependency = ids.get(Math.max(0, i - 1 - pipeline.simulation.random.nextInt(6)));
+          if (!dependencies.contains(dependency)) {
+            dependencies.add(dependency);
           }
         }
-        ids.add(day.submit(job, needs.toArray(new JobId[0])));
-        day.run(1 + day.simulation.random.nextInt(4));
-        if (day.simulation.chance(0.06)) {
-          day.simulation.cancel(ids.get(day.simulation.random.nextInt(ids.size())));
+        ids.add(pipeline.submit(job, dependencies.toArray(new JobId[0])));
+        pipeline.run(1 + pipeline.simulation.random.nextInt(4));
+        if (pipeline.simulation.chance(0.06)) {
+          pipeline.simulation.cancel(ids.get(pipeline.simulation.random.nextInt(ids.size())));
         }
-        trouble(day);
+        injectRandomFault(pipeline);
       }
-      day.runUntilOver(900);
+      pipeline.runUntilOver(900);
     }
   }
 
-  private static void trouble(PipelineSimulation day) {
-    switch (day.simulation.random.nextInt(25)) {
-      case 0 -> day.simulation.failLeader(0);
-      case 1 -> day.simulation.failLeader(12_000);
-      case 2 -> day.simulation.takeStoreDown(8_000);
-      case 3 -> day.simulation.refuseLeader(9_000);
+  private static void injectRandomFault(PipelineSimulation pipeline) {
+    switch (pipeline.simulation.random.nextInt(25)) {
+      case 0 -> pipeline.simulation.failLeader(0);
+      case 1 -> pipeline.simulation.failLeader(12_000);
+      case 2 -> pipeline.simulation.takeStoreDown(8_000);
+      case 3 -> pipeline.simulation.refuseLeader(9_000);
       default -> {}
     }
   }
 
   @Test
-  void checksDetectAStartOnAnUnrecordedEnd() {
-    PipelineSimulation day = new PipelineSimulation(8);
-    day.treatsRemovalAsDone = true;
-    List<JobId> chain = chain(day, 3);
-    day.run(15);
-    day.simulation.cancel(chain.get(0));
-    day.run(60);
+  void checksDetectStartBeforeRecordedCompletion() {
+    PipelineSimulation pipeline = new PipelineSimulation(8);
+    pipeline.treatsRemovalAsDone = true;
+    List<JobId> chain = chain(pipeline, 3);
+    pipeline.run(15);
+    pipeline.simulation.cancel(chain.get(0));
+    pipeline.run(60);
     assertTrue(
-        day.violations.stream().anyMatch(b -> b.startsWith("too_early")), "" + day.violations);
+        pipeline.violations.stream().anyMatch(b -> b.startsWith("too_early")),
+        "" + pipeline.violations);
   }
 
   @Test
   void priorityAndDeadlineAreInherited() {
-    PipelineSimulation day = new PipelineSimulation(9);
-    JobId first = day.submit(step(1).priority(Priority.LOW).estimateS(30));
-    JobId second = day.submit(step(2).priority(Priority.LOW).estimateS(20), first);
-    day.run(10);
-    Job job = day.core().jobs().find(first);
+    PipelineSimulation pipeline = new PipelineSimulation(9);
+    JobId first = pipeline.submit(step(1).priority(Priority.LOW).estimateS(30));
+    JobId second = pipeline.submit(step(2).priority(Priority.LOW).estimateS(20), first);
+    pipeline.run(10);
+    Job job = pipeline.core().jobs().find(first);
     assertEquals(Priority.LOW, job.queueState().priority());
     assertNull(job.queueState().completeBy());
 
-    JobId last = day.submit(step(3).priority(Priority.HIGH).estimateS(5).deadlineS(300), second);
-    day.run(2);
-    assertEquals(Priority.HIGH, job.queueState().priority(), "it changes while the job runs");
+    JobId last =
+        pipeline.submit(step(3).priority(Priority.HIGH).estimateS(5).deadlineS(300), second);
+    pipeline.run(2);
+    assertEquals(
+        Priority.HIGH, job.queueState().priority(), "the priority of a running job did not change");
     assertEquals(Priority.HIGH, job.queueState().effectivePriority());
-    long stepMs = day.simulation.policy.heartbeatInterval().ms();
-    Job end = day.core().jobs().find(last);
-    long latestMs = end.queueState().completeBy().ms() - 5_000 - stepMs - 20_000 - stepMs;
-    assertEquals(latestMs, job.queueState().completeBy().ms());
+    long stepMs = pipeline.simulation.policy.heartbeatInterval().ms();
+    Job end = pipeline.core().jobs().find(last);
+    long expectedMs = end.queueState().completeBy().ms() - 5_000 - stepMs - 20_000 - stepMs;
+    assertEquals(expectedMs, job.queueState().completeBy().ms());
     assertTrue(job.queueState().hasDeadline());
 
-    day.simulation.failLeader(0);
-    day.run(8);
-    Job successors = day.core().jobs().find(first);
-    assertEquals(Priority.HIGH, successors.queueState().priority(), "a successor computes it anew");
-    day.simulation.cancel(last);
-    day.run(2);
-    assertEquals(Priority.LOW, successors.queueState().priority());
-    day.runUntilOver(200);
+    pipeline.simulation.failLeader(0);
+    pipeline.run(8);
+    Job afterFailover = pipeline.core().jobs().find(first);
+    assertEquals(
+        Priority.HIGH,
+        afterFailover.queueState().priority(),
+        "the new leader did not recompute the priority");
+    pipeline.simulation.cancel(last);
+    pipeline.run(2);
+    assertEquals(Priority.LOW, afterFailover.queueState().priority());
+    pipeline.runUntilOver(200);
   }
 
-  /** The first step is of low priority and belongs to a critical pipeline. */
+  /** Guards against a high-priority job being delayed by its low-priority dependency. */
   @Test
-  void dependencyRunsAtTheInheritedPriority() {
-    PipelineSimulation day = new PipelineSimulation(10);
-    day.simulation.maxMachines = 2;
+  void dependencyRunsAtInheritedPriority() {
+    PipelineSimulation pipeline = new PipelineSimulation(10);
+    pipeline.simulation.maxMachines = 2;
     for (int i = 1; i <= 12; i++) {
-      day.submit(JobSpecBuilder.job(i).cores(8).estimateS(40));
+      pipeline.submit(JobSpecBuilder.job(i).cores(8).estimateS(40));
     }
-    JobId first = day.submit(step(20).priority(Priority.LOW).cores(8));
-    JobId last = day.submit(step(21).priority(Priority.HIGH).cores(8), first);
-    day.run(60);
-    assertTrue(day.done(first), String.join("\n", day.simulation.trace));
-    assertTrue(day.record(last).startedAt > 0);
-    day.runUntilOver(600);
+    JobId first = pipeline.submit(step(20).priority(Priority.LOW).cores(8));
+    JobId last = pipeline.submit(step(21).priority(Priority.HIGH).cores(8), first);
+    pipeline.run(60);
+    assertTrue(pipeline.done(first), String.join("\n", pipeline.simulation.trace));
+    assertTrue(pipeline.record(last).startedAt > 0);
+    pipeline.runUntilOver(600);
   }
 
   @Test
-  void waitCountsFromLastDependencyAndDeadlineFromSubmission() {
-    PipelineSimulation day = new PipelineSimulation(11);
-    JobId first = day.submit(step(1).estimateS(30));
-    JobId second = day.submit(step(2).estimateS(60).deadlineS(500), first);
-    day.run(70);
-    assertTrue(day.record(second).startedAt > 0);
-    Job job = day.core().jobs().find(second);
-    assertEquals(day.record(first).doneAt, job.queueState().eligibleAt().ms());
-    assertEquals(day.record(second).submittedAt + 500_000, job.queueState().dueAt().ms());
+  void waitStartsAtLastDependencyAndDeadlineAtSubmission() {
+    PipelineSimulation pipeline = new PipelineSimulation(11);
+    JobId first = pipeline.submit(step(1).estimateS(30));
+    JobId second = pipeline.submit(step(2).estimateS(60).deadlineS(500), first);
+    pipeline.run(70);
+    assertTrue(pipeline.record(second).startedAt > 0);
+    Job job = pipeline.core().jobs().find(second);
+    assertEquals(pipeline.record(first).doneAt, job.queueState().eligibleAt().ms());
+    assertEquals(pipeline.record(second).submittedAt + 500_000, job.queueState().dueAt().ms());
 
-    // A successor knows it from the recorded end.
-    day.simulation.failLeader(0);
-    day.run(8);
-    Job successors = day.core().jobs().find(second);
-    assertEquals(day.record(first).doneAt, successors.queueState().eligibleAt().ms());
-    day.runUntilOver(200);
+    // The new leader reads the time from the recorded completion.
+    pipeline.simulation.failLeader(0);
+    pipeline.run(8);
+    Job afterFailover = pipeline.core().jobs().find(second);
+    assertEquals(pipeline.record(first).doneAt, afterFailover.queueState().eligibleAt().ms());
+    pipeline.runUntilOver(200);
   }
 
   /**
-   * A leader of a version that knows no dependencies led in between. It could not read the job's
-   * record and dropped its entry in the progress pages, and a machine out of its reach runs the
-   * task: a successor that took it for one that was never started would run it twice.
+   * Guards against a second launch after a leader of a version without dependencies dropped the
+   * job's progress entry while a partitioned machine was running the task.
    */
   @Test
-  void jobForgottenByEarlierVersionIsNotStartedTwice() {
-    PipelineSimulation day = new PipelineSimulation(13);
-    day.submit(JobSpecBuilder.job(5).cores(5).estimateS(120));
-    day.submit(JobSpecBuilder.job(6).cores(5).estimateS(120));
-    JobId first = day.submit(step(1).estimateS(30));
-    JobId second = day.submit(step(2).estimateS(100), first);
-    for (int s = 0; s < 90 && day.record(second).startedAt < 0; s++) {
-      day.run(1);
+  void jobDroppedByOlderVersionIsNotStartedTwice() {
+    PipelineSimulation pipeline = new PipelineSimulation(13);
+    pipeline.submit(JobSpecBuilder.job(5).cores(5).estimateS(120));
+    pipeline.submit(JobSpecBuilder.job(6).cores(5).estimateS(120));
+    JobId first = pipeline.submit(step(1).estimateS(30));
+    JobId second = pipeline.submit(step(2).estimateS(100), first);
+    for (int s = 0; s < 90 && pipeline.record(second).startedAt < 0; s++) {
+      pipeline.run(1);
     }
-    ClusterSimulation.SimulatedWorker runs =
-        day.simulation.workers.values().stream()
+    ClusterSimulation.SimulatedWorker partitionedWorker =
+        pipeline.simulation.workers.values().stream()
             .filter(w -> w.tasks.keySet().stream().anyMatch(task -> task.job().equals(second)))
             .findFirst()
             .get();
-    runs.partitionedUntil = day.simulation.now + 60_000;
-    day.simulation.supersede(0);
-    day.record(second).started = false;
-    JobId other = day.submit(step(3));
-    day.run(14);
-    assertTrue(day.record(other).startedAt > 0, "others go on");
-    day.runUntilOver(500);
-    assertTrue(day.done(second));
+    partitionedWorker.partitionedUntil = pipeline.simulation.now + 60_000;
+    pipeline.simulation.supersede(0);
+    pipeline.record(second).started = false;
+    JobId other = pipeline.submit(step(3));
+    pipeline.run(14);
+    assertTrue(pipeline.record(other).startedAt > 0, "other jobs do not start");
+    pipeline.runUntilOver(500);
+    assertTrue(pipeline.done(second));
   }
 
-  /** Only damaged records can say that: the others go on. */
+  /** Cycles, which only damaged records can contain, must not block other jobs. */
   @Test
-  void cyclicDependenciesDelayNobody() {
-    PipelineSimulation day = new PipelineSimulation(12);
+  void cyclicDependenciesDoNotDelayOtherJobs() {
+    PipelineSimulation pipeline = new PipelineSimulation(12);
     JobId jobId = new JobId(JobSpecBuilder.id(1));
     JobId otherJobId = new JobId(JobSpecBuilder.id(2));
-    day.simulation.submit(step(1).build().awaiting(List.of(otherJobId)));
-    day.simulation.submit(step(2).build().awaiting(List.of(jobId, otherJobId)));
-    JobId other = day.submit(step(3));
-    JobId next = day.submit(step(4).priority(Priority.HIGH), other);
-    day.run(80);
-    assertTrue(day.done(other) && day.done(next));
-    assertEquals(-1, day.record(jobId).startedAt);
-    day.simulation.cancel(jobId);
-    day.runUntilOver(10);
-    assertTrue(day.cancelled(otherJobId));
+    pipeline.simulation.submit(step(1).build().awaiting(List.of(otherJobId)));
+    pipeline.simulation.submit(step(2).build().awaiting(List.of(jobId, otherJobId)));
+    JobId other = pipeline.submit(step(3));
+    JobId next = pipeline.submit(step(4).priority(Priority.HIGH), other);
+    pipeline.run(80);
+    assertTrue(pipeline.done(other) && pipeline.done(next));
+    assertEquals(-1, pipeline.record(jobId).startedAt);
+    pipeline.simulation.cancel(jobId);
+    pipeline.runUntilOver(10);
+    assertTrue(pipeline.cancelled(otherJobId));
   }
 }
--- a/src/test/java/io/saltflow/leader/FailoverQueueOrderTest.java
+++ b/src/test/java/io/saltflow/leader/FailoverQueueOrderTest.java
@@ -20,12 +20,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A leader ends again and again under jobs that wait: the order of its successor's first round is
- * that of its own last one. {@code -Dorder.jobs=3000 -Dorder.moments=200} plays it at length.
+ * Tests that the first round of a new leader has the queue order of its predecessor's last round.
+ * {@code -Dorder.jobs=3000 -Dorder.moments=200} runs a longer variant.
  */
 class FailoverQueueOrderTest {
   private static final int JOBS = Integer.getInteger("order.jobs", 400);
-  private static final int MOMENTS = Integer.getInteger("order.moments", 12);
+  private static final int FAILOVERS = Integer.getInteger("order.moments", 12);
 
   private static JobSpec job(ClusterSimulation simulation, int number) {
     int kind = simulation.random.nextInt(4);
@@ -40,18 +40,18 @@
         .build();
   }
 
-  /** Pairs of jobs that both orders have and that stand the other way round. */
+  /** Returns how many pairs of jobs that are in both orders are in reverse order. */
   private static long inversions(List<JobId> before, List<JobId> after) {
-    Set<JobId> both = new HashSet<>(before);
-    both.retainAll(new HashSet<>(after));
-    Map<JobId, Integer> at = new HashMap<>();
+    Set<JobId> common = new HashSet<>(before);
+    common.retainAll(new HashSet<>(after));
+    Map<JobId, Integer> positions = new HashMap<>();
     for (JobId id : before) {
-      if (both.contains(id)) {
-        at.put(id, at.size());
+      if (common.contains(id)) {
+        positions.put(id, positions.size());
       }
     }
     List<Integer> order = new ArrayList<>();
-    after.stream().filter(both::contains).forEach(id -> order.add(at.get(id)));
+    after.stream().filter(common::contains).forEach(id -> order.add(positions.get(id)));
     long count = 0;
     for (int i = 0; i < order.size(); i++) {
       for (int j = i + 1; j < order.size(); j++) {
@@ -61,28 +61,34 @@
     return count;
   }
 
-  /** Progress that was recorded meanwhile, or a guarantee that others' ends gave, moves a job. */
-  private static Map<JobId, Object> facts(ClusterSimulation simulation) {
-    Map<JobId, Object> out = new HashMap<>();
+  /**
+   * Returns each job's recorded progress and whether it is within its guaranteed quota: a change of
+   * either legitimately moves the job.
+   */
+  private static Map<JobId, Object> positionFactors(ClusterSimulation simulation) {
+    Map<JobId, Object> factors = new HashMap<>();
     simulation.records.forEach(
         (id, record) ->
-            out.put(
+            factors.put(
                 id,
                 record.done.cardinality()
                     + " "
                     + simulation.leader.core.jobsWithinGuarantee().contains(id)));
-    return out;
+    return factors;
   }
 
   /**
-   * Two pairs of half a million change places where clocks of nodes are apart. With least parts the
-   * jobs of a class that is short share out its places, soonest first: where one of them has ended
-   * or gone on, another has its place.
+   * Clock skew between nodes inverts a few pairs. With minimum shares more pairs may change,
+   * because a starved class hands its places to the jobs that can end soonest: once one has ended
+   * or made progress, another takes its place.
+   *
+   * @param minimumShare the minimum share of the fair-share rules
+   * @param maxInvertedShare the share of the pairs that may be inverted
    */
   @ParameterizedTest
   @CsvSource({"0, 0.00001", "0.5, 0.001"})
-  void successorKeepsTheQueueOrder(double leastPart, double most) {
-    FairShareRules rules = new FairShareRules(leastPart, TimeSpan.seconds(120), 0.25);
+  void newLeaderKeepsQueueOrder(double minimumShare, double maxInvertedShare) {
+    FairShareRules rules = new FairShareRules(minimumShare, TimeSpan.seconds(120), 0.25);
     ClusterSimulation simulation =
         new ClusterSimulation(
             11,
@@ -96,15 +102,15 @@
         simulation.step();
       }
     }
-    long turned = 0;
-    int anew = 0;
+    long inverted = 0;
+    int rewrites = 0;
     long pairs = 0;
-    for (int moment = 0; moment < MOMENTS; moment++) {
+    for (int failover = 0; failover < FAILOVERS; failover++) {
       simulation.run(20 + simulation.random.nextInt(60) / 2.0);
       List<JobId> before = new ArrayList<>(simulation.leader.core.waitingJobIds());
-      assertTrue(before.size() > JOBS / 8, "hardly anything waits: " + before.size());
-      Map<JobId, Object> facts = facts(simulation);
-      int writes = simulation.orderInputWrites;
+      assertTrue(before.size() > JOBS / 8, "too few jobs are waiting: " + before.size());
+      Map<JobId, Object> positionFactors = positionFactors(simulation);
+      int writesBefore = simulation.orderInputWrites;
       simulation.failLeader(0);
       while (simulation.leader == null || !simulation.leader.core.isReconciled()) {
         simulation.step();
@@ -115,31 +121,31 @@
         simulation.step();
       }
       List<JobId> after = simulation.leader.core.waitingJobIds();
-      assertTrue(after.size() > before.size() / 2, after.size() + " of " + before.size());
-      Map<JobId, Object> then = facts(simulation);
-      before.removeIf(id -> !facts.get(id).equals(then.get(id)));
-      if (writes != simulation.orderInputWrites) {
-        // What the order rests on was recorded anew meanwhile: a stated cause.
-        anew++;
+      assertTrue(after.size() > before.size() / 2, after.size() + " waiting of " + before.size());
+      Map<JobId, Object> factorsAfter = positionFactors(simulation);
+      before.removeIf(id -> !positionFactors.get(id).equals(factorsAfter.get(id)));
+      if (writesBefore != simulation.orderInputWrites) {
+        // The inputs of the order were recorded again, which may change it.
+        rewrites++;
         continue;
       }
-      turned += inversions(before, after);
+      inverted += inversions(before, after);
       pairs += (long) before.size() * (before.size() - 1) / 2;
     }
     assertEquals("", String.join("\n", simulation.violations));
-    String how =
-        turned
+    String summary =
+        inverted
             + " of "
             + pairs
-            + " pairs change places, "
+            + " pairs inverted, writes of the order inputs: "
             + simulation.orderInputWrites
-            + " writes, "
-            + anew;
-    System.out.println("order over " + MOMENTS + " takeovers: " + how);
-    assertTrue(anew <= MOMENTS / 2, anew + " times the basis was recorded anew");
-    assertTrue(turned <= most * pairs, how);
+            + ", failovers with new order inputs: "
+            + rewrites;
+    System.out.println("queue order over " + FAILOVERS + " failovers: " + summary);
+    assertTrue(rewrites <= FAILOVERS / 2, rewrites + " times the order inputs were recorded again");
+    assertTrue(inverted <= maxInvertedShare * pairs, summary);
     assertTrue(
         simulation.orderInputWrites <= simulation.now / 10_000,
-        "too many writes: " + simulation.orderInputWrites);
+        "too many writes of the order inputs: " + simulation.orderInputWrites);
   }
 }
--- a/src/test/java/io/saltflow/leader/FairShareTest.java
+++ b/src/test/java/io/saltflow/leader/FairShareTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Ten minutes in which far more arrives than the fleet can do. Whatever arrives, the jobs of the
- * class that would starve are started within a bound, and half of them end.
+ * Tests that a small job class does not starve on an overloaded cluster: its jobs start within a
+ * bound, and at least half of them end.
  */
 class FairShareTest {
   private static final double DURATION_SECONDS = 600;
@@ -27,26 +27,26 @@
   private static final int MACHINES = 12;
 
   /**
-   * How long a job of the small class may wait, in seconds: until it counts as waiting (60), until
-   * room for its least part comes by itself (the longest run, 40, after a boot, 15), and until the
-   * older ones of its class, at most two minutes of a quarter of that part, have started.
+   * Longest permitted wait of a job of the small class, in seconds: the wait threshold (60), the
+   * time until capacity for the minimum share is free (longest run 40 plus boot 15), and the time
+   * until older jobs of the class have started with the oldest-job share (120).
    */
   private static final double MAX_WAIT_SECONDS = 60 + 55 + 120;
 
-  /** What crowds the small class out, and what the small class is like. */
+  /** Load that competes with the small class, and the shape of the small class's jobs. */
   private enum CompetingLoad {
-    URGENT_STREAM,
-    NARROW_BESIDE_WIDE,
-    ONE_ZONE_FITS,
-    HUNDRED_TIMES_A_TEAM,
-    BROKEN_CLASS,
-    ONE_JOB_OF_FIFTY_THOUSAND,
-    TOGETHER_AMONG_ARRAYS,
-    TAKEOVER_EVERY_MINUTE,
-    HALF_THE_MACHINES_GO,
-    DEADLINE_LONG_OVER;
+    HIGH_PRIORITY_STREAM,
+    LARGE_TASKS_AMONG_SMALL,
+    SINGLE_ZONE_ELIGIBLE,
+    OTHER_TEAM_OF_SAME_CLASS,
+    FAILING_CLASS,
+    JOB_OF_FIFTY_THOUSAND_TASKS,
+    ONE_ZONE_AMONG_ARRAYS,
+    FAILOVER_EVERY_MINUTE,
+    HALF_THE_MACHINES_LOST,
+    EXPIRED_DEADLINE;
 
-    JobSpecBuilder small(int number) {
+    JobSpecBuilder smallJob(int number) {
       JobSpecBuilder job =
           JobSpecBuilder.job(number)
               .ofClass("small")
@@ -55,23 +55,24 @@
               .cores(2)
               .estimateS(20);
       return switch (this) {
-        case NARROW_BESIDE_WIDE -> job.cores(8);
-        case ONE_ZONE_FITS -> job.zone("b");
-        case HUNDRED_TIMES_A_TEAM -> job.ofClass("crowd").priority(Priority.NORMAL).team("green");
-        case TOGETHER_AMONG_ARRAYS -> job.oneZone(true).cores(4);
-        case DEADLINE_LONG_OVER -> job.deadlineS(1);
+        case LARGE_TASKS_AMONG_SMALL -> job.cores(8);
+        case SINGLE_ZONE_ELIGIBLE -> job.zone("b");
+        case OTHER_TEAM_OF_SAME_CLASS ->
+            job.ofClass("crowd").priority(Priority.NORMAL).team("green");
+        case ONE_ZONE_AMONG_ARRAYS -> job.oneZone(true).cores(4);
+        case EXPIRED_DEADLINE -> job.deadlineS(1);
         default -> job;
       };
     }
 
-    JobSpecBuilder competing(int number) {
+    JobSpecBuilder competingJob(int number) {
       JobSpecBuilder job =
           JobSpecBuilder.job(number).ofClass("crowd").tasks(12).cores(1).estimateS(40);
       return switch (this) {
-        case URGENT_STREAM, TAKEOVER_EVERY_MINUTE -> job.priority(Priority.HIGH);
-        case BROKEN_CLASS ->
+        case HIGH_PRIORITY_STREAM, FAILOVER_EVERY_MINUTE -> job.priority(Priority.HIGH);
+        case FAILING_CLASS ->
             number % 2 == 0 ? job.ofClass(ClusterSimulation.ALWAYS_FAILING_CLASS) : job;
-        case ONE_JOB_OF_FIFTY_THOUSAND -> number == 1 ? job.tasks(50_000) : job.tasks(2);
+        case JOB_OF_FIFTY_THOUSAND_TASKS -> number == 1 ? job.tasks(50_000) : job.tasks(2);
         default -> job;
       };
     }
@@ -82,25 +83,25 @@
         ClusterSimulation.policy(TimeSpan.millis(ClusterSimulation.LEASE_MS)), rules);
   }
 
-  private static ClusterSimulation play(
-      CompetingLoad load, FairShareRules rules, boolean forgetArrivals) {
+  private static ClusterSimulation simulate(
+      CompetingLoad load, FairShareRules rules, boolean dropArrivals) {
     ClusterSimulation simulation = new ClusterSimulation(7 + load.ordinal(), policy(rules));
     simulation.maxMachines = MACHINES;
     simulation.maxMachinesInZone = MACHINES / 2;
-    simulation.dropArrivals = forgetArrivals;
+    simulation.dropArrivals = dropArrivals;
     int next = 1;
     for (int second = 0; simulation.now < DURATION_SECONDS * 1000; second++) {
-      // Ninety-six cores do a crowd's job in 5 s; two and a half come in that time.
+      // 96 cores finish a competing job in 5 s, in which time 2.5 more arrive.
       if (second % 2 == 0) {
-        simulation.submit(load.competing(next++).build());
+        simulation.submit(load.competingJob(next++).build());
       }
       if (second % 20 == 5 && second < DURATION_SECONDS / 2) {
-        simulation.submit(load.small(10_000 + second).build());
+        simulation.submit(load.smallJob(10_000 + second).build());
       }
-      if (load == CompetingLoad.TAKEOVER_EVERY_MINUTE && second % 60 == 59) {
+      if (load == CompetingLoad.FAILOVER_EVERY_MINUTE && second % 60 == 59) {
         simulation.failLeader(0);
       }
-      if (load == CompetingLoad.HALF_THE_MACHINES_GO && second == 200) {
+      if (load == CompetingLoad.HALF_THE_MACHINES_LOST && second == 200) {
         simulation.maxMachines = MACHINES / 2;
         List<ClusterSimulation.SimulatedWorker> all = new ArrayList<>(simulation.workers.values());
         all.subList(0, all.size() / 2).forEach(worker -> worker.dead = true);
@@ -111,15 +112,15 @@
     return simulation;
   }
 
-  private static boolean small(JobSpec spec) {
+  private static boolean isSmall(JobSpec spec) {
     return Integer.parseInt(spec.id().text().substring(4)) >= 10_000;
   }
 
-  /** The longest that a job of the small class has waited for its first start. */
+  /** Returns the longest time that a job of the small class waited for its first start. */
   private static double longestWaitS(ClusterSimulation simulation) {
     double longest = 0;
     for (ClusterSimulation.JobRecord record : simulation.records.values()) {
-      if (small(record.spec)) {
+      if (isSmall(record.spec)) {
         longest =
             Math.max(
                 longest,
@@ -130,34 +131,34 @@
     return longest;
   }
 
-  private static long count(ClusterSimulation simulation, boolean over) {
+  private static long countSmall(ClusterSimulation simulation, boolean endedOnly) {
     return simulation.records.values().stream()
-        .filter(record -> small(record.spec) && (record.ended || !over))
+        .filter(record -> isSmall(record.spec) && (record.ended || !endedOnly))
         .count();
   }
 
   @ParameterizedTest
   @EnumSource(CompetingLoad.class)
-  void noClassStarves(CompetingLoad load) {
-    ClusterSimulation simulation = play(load, RULES, false);
+  void smallClassDoesNotStarve(CompetingLoad load) {
+    ClusterSimulation simulation = simulate(load, RULES, false);
     assertTrue(
         longestWaitS(simulation) <= MAX_WAIT_SECONDS,
-        load + ": waits " + longestWaitS(simulation) + " s");
-    long done = count(simulation, true);
-    long all = count(simulation, false);
-    assertTrue(2 * done >= all, load + ": " + done + " of " + all);
-    boolean crowdServed =
+        load + ": longest wait " + longestWaitS(simulation) + " s");
+    long done = countSmall(simulation, true);
+    long all = countSmall(simulation, false);
+    assertTrue(2 * done >= all, load + ": jobs ended " + done + " of " + all);
+    boolean competingLoadServed =
         simulation.records.values().stream()
-            .anyMatch(record -> !small(record.spec) && record.startedAt > 0);
-    assertTrue(crowdServed, "the others are served as well");
+            .anyMatch(record -> !isSmall(record.spec) && record.startedAt > 0);
+    assertTrue(competingLoadServed, "no competing job was started");
   }
 
-  /** The checks can fail: without least parts each of these crowds starves the small class. */
+  /** Proves that the checks can fail: without a minimum share each load starves the small class. */
   @Test
-  void withoutFairShareTheClassStarves() {
+  void smallClassStarvesWithoutMinimumShare() {
     List<CompetingLoad> starved = new ArrayList<>();
     for (CompetingLoad load : CompetingLoad.values()) {
-      if (longestWaitS(play(load, new FairShareRules(0, TimeSpan.seconds(60), 0.25), false))
+      if (longestWaitS(simulate(load, new FairShareRules(0, TimeSpan.seconds(60), 0.25), false))
           > MAX_WAIT_SECONDS) {
         starved.add(load);
       }
@@ -165,11 +166,12 @@
     assertEquals(List.of(CompetingLoad.values()), starved);
   }
 
-  /** And so does ageing that a failover forgets: a wait counts from the recorded arrival. */
+  /** Proves that the checks detect waits that are reset by a failover. */
   @Test
-  void waitsAreCountedFromRecordedArrival() {
-    ClusterSimulation simulation = play(CompetingLoad.TAKEOVER_EVERY_MINUTE, RULES, true);
+  void smallClassStarvesIfFailoverResetsWaits() {
+    ClusterSimulation simulation = simulate(CompetingLoad.FAILOVER_EVERY_MINUTE, RULES, true);
     assertFalse(
-        longestWaitS(simulation) <= MAX_WAIT_SECONDS, "waits " + longestWaitS(simulation) + " s");
+        longestWaitS(simulation) <= MAX_WAIT_SECONDS,
+        "longest wait only " + longestWaitS(simulation) + " s");
   }
 }
--- a/src/test/java/io/saltflow/leader/LargeClusterTest.java
+++ b/src/test/java/io/saltflow/leader/LargeClusterTest.java
@@ -35,17 +35,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * One leader before a thousand machines and a hundred jobs at once. The work is counted in looks at
- * a machine for a task, never in time, so the verdict is the same on every machine.
+ * Tests the cost of scheduling with a thousand machines and a hundred jobs. Cost is counted in
+ * machines examined rather than in time, so that the result does not depend on the host.
  */
 class LargeClusterTest {
-  private static final MachineType BOX =
+  private static final MachineType MACHINE_TYPE =
       new MachineType(
           "box", new Resources(8, 0, 32), 1, 0.4, 0.1, TimeSpan.seconds(15), List.of("a", "b"));
   private static final int MACHINES = 1000;
   private static final int JOBS = 100;
 
-  /** A part of one core such as the platform gives: whole rounds are then some way apart. */
+  /** Returns a policy with a fraction of a core for the leader, which spaces out full rounds. */
   private static Policy policy() {
     Policy policy =
         TestPolicies.of(
@@ -61,10 +61,14 @@
 
   private final LeaderCore leader =
       new LeaderCore(
-          policy(), new Term(3), InheritedState.empty(List.of(BOX)), new MonotonicTime(0), 0);
+          policy(),
+          new Term(3),
+          InheritedState.empty(List.of(MACHINE_TYPE)),
+          new MonotonicTime(0),
+          0);
   private final UniformRandomProvider random = new SplitMix64(11);
   private final List<Map<TaskId, Long>> endTimes = new ArrayList<>();
-  private final Map<TaskId, Integer> machineOf = new HashMap<>();
+  private final Map<TaskId, Integer> machineByTask = new HashMap<>();
   private final Map<TaskId, Long> attempts = new HashMap<>();
   private final Set<TaskId> done = new HashSet<>();
   private final long[] sequences = new long[MACHINES];
@@ -99,21 +103,21 @@
         statuses);
   }
 
-  private static boolean red(TaskId id) {
+  private static boolean isRed(TaskId id) {
     return Integer.parseInt(id.job().text().substring(4)) % 5 == 0;
   }
 
-  private void execute(int machine, WorkerCommand order, long now) {
-    TaskId id = order.task();
-    if (order instanceof WorkerCommand.Launch) {
-      assertTrue(done.contains(id) || !machineOf.containsKey(id), id + " runs twice");
-      machineOf.put(id, machine);
-      attempts.put(id, order.attempt().number());
+  private void execute(int machine, WorkerCommand command, long now) {
+    TaskId id = command.task();
+    if (command instanceof WorkerCommand.Launch) {
+      assertTrue(done.contains(id) || !machineByTask.containsKey(id), id + " was launched twice");
+      machineByTask.put(id, machine);
+      attempts.put(id, command.attempt().number());
       endTimes.get(machine).put(id, now + 10_000 + random.nextInt(50_000));
-      redCores += red(id) ? 2 : 0;
-      assertTrue(redCores <= 2000, "more than the team's limit");
-      long on = endTimes.get(machine).values().stream().filter(end -> end > now).count();
-      assertTrue(on <= 4, "more than the machine holds");
+      redCores += isRed(id) ? 2 : 0;
+      assertTrue(redCores <= 2000, "the limit of team red is exceeded");
+      long runningTasks = endTimes.get(machine).values().stream().filter(end -> end > now).count();
+      assertTrue(runningTasks <= 4, "the machine has more tasks than fit");
     } else {
       endTimes.get(machine).remove(id);
     }
@@ -163,38 +167,39 @@
       }
       due.add(new Due(sendHeartbeat(next.machine, now), next.machine));
     }
-    assertEquals(tasks, done.size(), "work was left undone after " + now + " ms");
-    long each = leader.machinesExamined() / heartbeats;
-    // It is 117; with a whole round in each answer that changes something it is 1,095.
-    assertTrue(each < 250, each + " looks a report, " + heartbeats + " reports");
+    assertEquals(tasks, done.size(), "not all tasks are done after " + now + " ms");
+    long examinedPerHeartbeat = leader.machinesExamined() / heartbeats;
+    // A full round for each heartbeat that changes something would exceed the bound several times
+    // over.
+    assertTrue(
+        examinedPerHeartbeat < 250,
+        examinedPerHeartbeat + " machines examined per heartbeat, " + heartbeats + " heartbeats");
   }
 
-  /** The machine reports; when it does so next. */
+  /** Sends a heartbeat of the machine and returns the time of its next one. */
   private long sendHeartbeat(int machine, long now) {
     WorkerHeartbeat heartbeat = heartbeat(machine, now);
     heartbeats++;
     for (WorkerHeartbeat.TaskStatus status : heartbeat.tasks()) {
       if (status.state() == WorkerHeartbeat.TaskState.EXITED && done.add(status.task())) {
-        redCores -= red(status.task()) ? 2 : 0;
+        redCores -= isRed(status.task()) ? 2 : 0;
       }
     }
     List<WorkerCommand> commands = leader.onHeartbeat(heartbeat, true, new MonotonicTime(now));
     leader.machines().onRecorded(leader.machines().toRecord());
     commands.forEach(command -> execute(machine, command, now));
-    long soonest = now + (commands.isEmpty() ? 4000 : 500);
+    long nextHeartbeat = now + (commands.isEmpty() ? 4000 : 500);
     for (long end : endTimes.get(machine).values()) {
       if (end > now) {
-        soonest = Math.min(soonest, Math.max(end, now + 500));
+        nextHeartbeat = Math.min(nextHeartbeat, Math.max(end, now + 500));
       }
     }
-    return soonest;
+    return nextHeartbeat;
   }
 
-  /**
-   * At 41 s of a day 400 cores idled beside 1,700 waiting tasks: the last round had not seen them.
-   */
+  /** Guards against machines that join after the last round staying idle while tasks wait. */
   @Test
-  void machineUpBetweenRoundsGetsWorkWithItsFirstHeartbeats() {
+  void machineThatJoinsBetweenRoundsGetsTasksWithItsFirstHeartbeats() {
     for (int machine = 0; machine < 40; machine++) {
       endTimes.add(new LinkedHashMap<>());
       leader.onHeartbeat(heartbeat(machine, 0), true, new MonotonicTime(1000));
@@ -211,7 +216,7 @@
     assertEquals(4, leader.onHeartbeat(heartbeat(40, 2002), true, new MonotonicTime(2002)).size());
   }
 
-  /** Fifty a request, not one request a job: the cloud takes few requests a second. */
+  /** Guards against one request per job, which would exceed the cloud's request rate limit. */
   @Test
   void scaleOutIsBatchedAcrossJobs() {
     for (int j = 1; j <= 30; j++) {
@@ -220,15 +225,15 @@
           .onAdded(JobSpecBuilder.job(j).tasks(12).cores(2).estimateS(60).build(), 0, false);
     }
     leader.tick(new MonotonicTime(1000));
-    List<ScaleOutRequest> rentals = leader.machines().planScaleOut(new MonotonicTime(1000));
-    int[] counts = rentals.stream().mapToInt(ScaleOutRequest::count).toArray();
+    List<ScaleOutRequest> requests = leader.machines().planScaleOut(new MonotonicTime(1000));
+    int[] counts = requests.stream().mapToInt(ScaleOutRequest::count).toArray();
     assertTrue(counts.length >= 1 && counts.length <= 2, Arrays.toString(counts));
     assertTrue(counts[0] >= 40, Arrays.toString(counts));
     Set<String> names = new HashSet<>();
-    rentals.forEach(r -> assertTrue(names.add(r.name()), "a request's name was used twice"));
+    requests.forEach(r -> assertTrue(names.add(r.name()), "two requests have the same name"));
   }
 
-  /** A machine that keeps many results must not be sent past what a body may hold. */
+  /** Guards against launches whose results would exceed the size limit of a heartbeat. */
   @Test
   void fullHeartbeatGetsNoMoreLaunches() {
     leader
@@ -249,7 +254,7 @@
           attempts.put(command.task(), command.attempt().number());
           endTimes.get(0).put(command.task(), 0L);
         });
-    // All have ended and none is recorded yet: the results fill its reports.
+    // All tasks have ended and none is recorded yet, so that their results fill the heartbeat.
     assertEquals(0, leader.onHeartbeat(heartbeat(0, 2000), true, new MonotonicTime(2000)).size());
     assertEquals(400, leader.jobs().find(new JobId(JobSpecBuilder.id(1))).doneCount());
   }
--- a/src/test/java/io/saltflow/leader/ReplicaMigrationsTest.java
+++ b/src/test/java/io/saltflow/leader/ReplicaMigrationsTest.java
@@ -28,8 +28,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A large model among pieces: three machines of eight accelerators, each with some small models on
- * it. The leader ends after every step of its plan in turn, with and without its last write.
+ * Tests replica migrations that make a machine free for a large replica on a fragmented cluster of
+ * three machines with eight accelerators each, under leader failures and lost writes.
  */
 class ReplicaMigrationsTest {
   private static final Resources MACHINE = new Resources(64, 8, 64);
@@ -39,11 +39,11 @@
           TimeSpan.seconds(20),
           1800,
           new Policy.TeamQuota("blue", 0, 0, 0, 0));
-  private static final JobId LARGE = new JobId(JobSpecBuilder.id(9));
+  private static final JobId LARGE_JOB = new JobId(JobSpecBuilder.id(9));
 
-  /** Nothing is lost of what a leader wrote; what it knew goes with it. */
+  /** Cluster whose recorded plans survive a failover while the leader's memory does not. */
   private static final class MigrationSimulation {
-    final LeaderHarness floor = new LeaderHarness(POLICY, List.of());
+    final LeaderHarness harness = new LeaderHarness(POLICY, List.of());
     final Map<JobId, JobSpec> live = new LinkedHashMap<>();
     final Map<String, RecordedPlan> records = new TreeMap<>();
     long term = LeaderHarness.TERM.number();
@@ -51,72 +51,76 @@
     int maxReplicasAway;
 
     MigrationSimulation() {
-      floor.failOver(POLICY, LeaderHarness.TERM, List.of(), MACHINE);
+      harness.failOver(POLICY, LeaderHarness.TERM, List.of(), MACHINE);
       for (String m : List.of("vm-1", "vm-2", "vm-3")) {
-        floor.sendHeartbeat(m);
+        harness.sendHeartbeat(m);
       }
     }
 
     void submit(JobSpec spec) {
       live.put(spec.id(), spec);
-      floor.submit(spec);
+      harness.submit(spec);
     }
 
-    /** A second: rounds, writes, reports. */
+    /** Simulates one second of scheduling rounds, writes and heartbeats. */
     void step(boolean cloudRefuses) {
-      floor.advance(1);
-      floor.leader.decisions().setMigrationAllowed(true);
-      for (ScaleOutRequest scaleOutRequest : floor.leader.machines().planScaleOut(floor.time())) {
+      harness.advance(1);
+      harness.leader.decisions().setMigrationAllowed(true);
+      for (ScaleOutRequest scaleOutRequest :
+          harness.leader.machines().planScaleOut(harness.time())) {
         if (cloudRefuses) {
-          floor.leader.machines().onScaleOutRefused(scaleOutRequest, floor.time());
+          harness.leader.machines().onScaleOutRefused(scaleOutRequest, harness.time());
         }
       }
-      write();
-      for (String m : List.copyOf(floor.tasksByMachine.keySet())) {
-        floor.sendHeartbeat(m);
+      writePlans();
+      for (String m : List.copyOf(harness.tasksByMachine.keySet())) {
+        harness.sendHeartbeat(m);
       }
-      check();
+      checkPlacements();
     }
 
-    void write() {
-      for (RecordedPlan recordedPlan : floor.leader.decisions().migrationPlansToRecord()) {
+    void writePlans() {
+      for (RecordedPlan recordedPlan : harness.leader.decisions().migrationPlansToRecord()) {
         if (!loseWrites) {
           records.put(recordedPlan.name(), recordedPlan);
-          floor.leader.decisions().onMigrationPlanRecorded(recordedPlan, true);
+          harness.leader.decisions().onMigrationPlanRecorded(recordedPlan, true);
         }
       }
-      floor.leader.decisions().migrationPlansToDelete().forEach(records::remove);
+      harness.leader.decisions().migrationPlansToDelete().forEach(records::remove);
     }
 
     void failLeader() {
       List<Job> jobs = new ArrayList<>();
       live.values().forEach(spec -> jobs.add(new Job(spec, 0, new BitSet(), true)));
-      floor.failOver(POLICY, new Term(++term), jobs, MACHINE);
-      floor.leader.decisions().restoreMigrationPlans(records.values(), floor.time());
-      floor.leader.machines().onTypesRead(List.of(LeaderHarness.machineType(MACHINE)));
+      harness.failOver(POLICY, new Term(++term), jobs, MACHINE);
+      harness.leader.decisions().restoreMigrationPlans(records.values(), harness.time());
+      harness.leader.machines().onTypesRead(List.of(LeaderHarness.machineType(MACHINE)));
     }
 
-    /** No task on two machines, no machine overfull, at most one replica of a job away. */
-    void check() {
+    /**
+     * Checks that no task runs twice and no machine is over its capacity, and updates the most
+     * replicas of a job away at once.
+     */
+    void checkPlacements() {
       Map<TaskId, String> machineByTask = new LinkedHashMap<>();
-      floor.tasksByMachine.forEach(
+      harness.tasksByMachine.forEach(
           (machine, tasks) -> {
             Resources used = Resources.ZERO;
-            for (WorkerHeartbeat.TaskStatus report : tasks.values()) {
-              if (report.state() != WorkerHeartbeat.TaskState.EXITED) {
+            for (WorkerHeartbeat.TaskStatus status : tasks.values()) {
+              if (status.state() != WorkerHeartbeat.TaskState.EXITED) {
                 assertEquals(
-                    null, machineByTask.put(report.task(), machine), report.task() + " runs twice");
-                used = used.plus(live.get(report.task().job()).size());
+                    null,
+                    machineByTask.put(status.task(), machine),
+                    status.task() + " runs on two machines");
+                used = used.plus(live.get(status.task().job()).size());
               }
             }
-            assertTrue(used.fitsIn(MACHINE), machine + " holds " + used);
+            assertTrue(used.fitsIn(MACHINE), machine + " is over its capacity: " + used);
           });
       for (JobSpec spec : live.values()) {
-        if (!spec.id().equals(LARGE)) {
+        if (!spec.id().equals(LARGE_JOB)) {
           long running =
-              machineByTask.keySet().stream()
-                  .filter(report -> report.job().equals(spec.id()))
-                  .count();
+              machineByTask.keySet().stream().filter(task -> task.job().equals(spec.id())).count();
           maxReplicasAway = Math.max(maxReplicasAway, (int) (spec.tasks() - running));
         }
       }
@@ -124,10 +128,10 @@
 
     int runningReplicas(JobId id) {
       int count = 0;
-      for (Map<TaskId, WorkerHeartbeat.TaskStatus> tasks : floor.tasksByMachine.values()) {
-        for (WorkerHeartbeat.TaskStatus report : tasks.values()) {
+      for (Map<TaskId, WorkerHeartbeat.TaskStatus> tasks : harness.tasksByMachine.values()) {
+        for (WorkerHeartbeat.TaskStatus status : tasks.values()) {
           count +=
-              report.task().job().equals(id) && report.state() != WorkerHeartbeat.TaskState.EXITED
+              status.task().job().equals(id) && status.state() != WorkerHeartbeat.TaskState.EXITED
                   ? 1
                   : 0;
         }
@@ -136,7 +140,7 @@
     }
   }
 
-  private static JobSpec model(int number, int replicas, double gpus) {
+  private static JobSpec replicatedJob(int number, int replicas, double gpus) {
     return JobSpecBuilder.job(number)
         .daemon()
         .tasks(replicas)
@@ -147,9 +151,10 @@
   }
 
   /**
-   * Each machine holds three small models' replicas and, for a time, work that makes the pieces.
+   * Returns a cluster on which the large replica fits nowhere: each machine runs three small
+   * replicas, spread by filler jobs that have ended since.
    */
-  private static MigrationSimulation fragmentedFleet() {
+  private static MigrationSimulation fragmentedCluster() {
     MigrationSimulation simulation = new MigrationSimulation();
     for (int i = 1; i <= 3; i++) {
       simulation.submit(
@@ -157,7 +162,7 @@
       simulation.step(true);
     }
     for (int i = 1; i <= 3; i++) {
-      simulation.submit(model(i, 3, 1));
+      simulation.submit(replicatedJob(i, 3, 1));
     }
     for (int i = 0; i < 6; i++) {
       simulation.step(true);
@@ -165,10 +170,10 @@
     simulation.maxReplicasAway = 0;
     for (int i = 1; i <= 3; i++) {
       simulation
-          .floor
+          .harness
           .leader
           .jobs()
-          .onRemoved(new JobId(JobSpecBuilder.id(20 + i)), simulation.floor.time());
+          .onRemoved(new JobId(JobSpecBuilder.id(20 + i)), simulation.harness.time());
     }
     for (int i = 0; i < 3; i++) {
       simulation.step(true);
@@ -176,12 +181,12 @@
     for (int i = 1; i <= 3; i++) {
       simulation.live.remove(new JobId(JobSpecBuilder.id(20 + i)));
     }
-    simulation.submit(model(9, 1, 8));
+    simulation.submit(replicatedJob(9, 1, 8));
     return simulation;
   }
 
-  private static void assertServed(MigrationSimulation simulation, String scenario) {
-    for (int i = 0; i < 90 && simulation.runningReplicas(LARGE) == 0; i++) {
+  private static void assertAllReplicasRun(MigrationSimulation simulation, String scenario) {
+    for (int i = 0; i < 90 && simulation.runningReplicas(LARGE_JOB) == 0; i++) {
       simulation.step(true);
     }
     for (int i = 0; i < 12; i++) {
@@ -189,8 +194,8 @@
     }
     assertEquals(
         1,
-        simulation.runningReplicas(LARGE),
-        scenario + ": " + simulation.floor.leader.decisions().migrationStatusLines());
+        simulation.runningReplicas(LARGE_JOB),
+        scenario + ": " + simulation.harness.leader.decisions().migrationStatusLines());
     for (int i = 1; i <= 3; i++) {
       assertEquals(3, simulation.runningReplicas(new JobId(JobSpecBuilder.id(i))), scenario);
     }
@@ -198,44 +203,45 @@
         simulation.maxReplicasAway <= 1,
         scenario + ": " + simulation.maxReplicasAway + " replicas away at once");
     for (RecordedPlan plan : simulation.records.values()) {
-      assertTrue(plan.outcome() != null, scenario + ": room is kept for nobody by " + plan);
+      assertTrue(plan.outcome() != null, scenario + ": plan was not ended: " + plan);
     }
   }
 
   @Test
   void largeReplicaFitsAfterMigrations() throws IOException {
-    MigrationSimulation simulation = fragmentedFleet();
-    simulation.floor.trace.clear();
-    assertServed(simulation, "undisturbed");
-    simulation.floor.leader.decisions().migrationStatusLines().forEach(simulation.floor::log);
-    GoldenTraces.check("moves", simulation.floor.trace);
+    MigrationSimulation simulation = fragmentedCluster();
+    simulation.harness.trace.clear();
+    assertAllReplicasRun(simulation, "without faults");
+    simulation.harness.leader.decisions().migrationStatusLines().forEach(simulation.harness::log);
+    GoldenTraces.check("moves", simulation.harness.trace);
   }
 
-  /** Whoever takes over goes on from the record and the reports alone. */
+  /** Guards against a new leader that cannot continue a plan from the record and heartbeats. */
   @Test
-  void leaderFailsAfterEachStep() {
+  void planContinuesAfterLeaderFailureAtEachStep() {
     for (int seconds = 0; seconds < 45; seconds++) {
-      for (boolean lost : new boolean[] {false, true}) {
-        MigrationSimulation simulation = fragmentedFleet();
+      for (boolean writesLost : new boolean[] {false, true}) {
+        MigrationSimulation simulation = fragmentedCluster();
         simulation.maxReplicasAway = 0;
         for (int i = 0; i < seconds; i++) {
-          simulation.loseWrites = lost && i >= seconds - 2;
+          simulation.loseWrites = writesLost && i >= seconds - 2;
           simulation.step(true);
         }
         simulation.loseWrites = false;
         simulation.failLeader();
-        assertServed(
-            simulation, "killed after " + seconds + " s" + (lost ? ", its last writes lost" : ""));
+        assertAllReplicasRun(
+            simulation,
+            "leader failed after " + seconds + " s" + (writesLost ? ", last writes lost" : ""));
       }
     }
   }
 
-  /** The machine that a replica is to go to, the cleared one, or the model itself is gone. */
+  /** Deletes the destination of a replica, the machine being cleared, or the large job itself. */
   @Test
-  void planIsAbandonedWhenItsMachineOrJobIsGone() {
+  void planIsAbandonedWhenMachineOrJobIsGone() {
     for (int seconds = 5; seconds < 30; seconds++) {
-      for (String gone : List.of("target", "cleared", "model")) {
-        MigrationSimulation simulation = fragmentedFleet();
+      for (String gone : List.of("destination", "cleared", "job")) {
+        MigrationSimulation simulation = fragmentedCluster();
         for (int i = 0; i < seconds; i++) {
           simulation.step(true);
         }
@@ -247,14 +253,14 @@
         if (plan == null) {
           continue;
         }
-        if (gone.equals("model")) {
-          simulation.live.remove(LARGE);
-          simulation.floor.leader.jobs().onRemoved(LARGE, simulation.floor.time());
+        if (gone.equals("job")) {
+          simulation.live.remove(LARGE_JOB);
+          simulation.harness.leader.jobs().onRemoved(LARGE_JOB, simulation.harness.time());
         } else {
           MachineId id = gone.equals("cleared") ? plan.target() : plan.moves().get(0).to();
-          simulation.floor.tasksByMachine.remove(id.text());
-          simulation.floor.leader.machines().onDeleted(List.of(id), simulation.floor.time());
-          simulation.floor.sendHeartbeat("vm-" + (10 + seconds));
+          simulation.harness.tasksByMachine.remove(id.text());
+          simulation.harness.leader.machines().onDeleted(List.of(id), simulation.harness.time());
+          simulation.harness.sendHeartbeat("vm-" + (10 + seconds));
         }
         for (int i = 0; i < 90; i++) {
           simulation.step(true);
@@ -266,42 +272,42 @@
               gone + " after " + seconds);
         }
         assertEquals(
-            gone.equals("model") ? 0 : 1,
-            simulation.runningReplicas(LARGE),
+            gone.equals("job") ? 0 : 1,
+            simulation.runningReplicas(LARGE_JOB),
             gone + " after " + seconds);
         assertTrue(simulation.records.values().stream().allMatch(k -> k.outcome() != null), gone);
       }
     }
   }
 
-  /** Small models keep coming while room is made: it is the large one's, and nobody else's. */
+  /** Guards against small replicas taking the machine that is being cleared for the large one. */
   @Test
-  void clearedRoomIsReserved() {
-    MigrationSimulation simulation = fragmentedFleet();
-    List<JobId> more = new ArrayList<>();
-    for (int i = 0; i < 40 && simulation.runningReplicas(LARGE) == 0; i++) {
+  void clearedMachineIsReservedForLargeReplica() {
+    MigrationSimulation simulation = fragmentedCluster();
+    List<JobId> smallJobs = new ArrayList<>();
+    for (int i = 0; i < 40 && simulation.runningReplicas(LARGE_JOB) == 0; i++) {
       if (i % 2 == 0 && i < 14) {
-        more.add(new JobId(JobSpecBuilder.id(40 + i)));
-        simulation.submit(model(40 + i, 1, 1));
+        smallJobs.add(new JobId(JobSpecBuilder.id(40 + i)));
+        simulation.submit(replicatedJob(40 + i, 1, 1));
       }
       simulation.step(true);
     }
     assertEquals(
         1,
-        simulation.runningReplicas(LARGE),
-        "" + simulation.floor.leader.decisions().migrationStatusLines());
-    assertTrue(more.size() >= 4, "others came meanwhile: " + more);
+        simulation.runningReplicas(LARGE_JOB),
+        "" + simulation.harness.leader.decisions().migrationStatusLines());
+    assertTrue(smallJobs.size() >= 4, "too few other jobs arrived in the meantime: " + smallJobs);
     for (int i = 0; i < 5; i++) {
       simulation.step(true);
     }
-    more.forEach(
-        id -> assertEquals(1, simulation.runningReplicas(id), "there is room for all of them"));
+    smallJobs.forEach(
+        id -> assertEquals(1, simulation.runningReplicas(id), "a small replica is not running"));
   }
 
-  /** What no successor would know of is not begun. */
+  /** Guards against migrations that a new leader would not know of. */
   @Test
-  void nothingMovesBeforeThePlanIsRecorded() {
-    MigrationSimulation simulation = fragmentedFleet();
+  void replicasStayUntilPlanIsRecorded() {
+    MigrationSimulation simulation = fragmentedCluster();
     simulation.maxReplicasAway = 0;
     simulation.loseWrites = true;
     for (int i = 0; i < 30; i++) {
@@ -310,7 +316,7 @@
     assertEquals(0, simulation.maxReplicasAway);
     assertTrue(
         simulation
-            .floor
+            .harness
             .leader
             .decisions()
             .migrationStatusLines()
@@ -318,18 +324,19 @@
             .contains("goes on, 3 to go"));
     simulation.loseWrites = false;
     simulation.failLeader();
-    assertServed(simulation, "planned anew by another");
+    assertAllReplicasRun(simulation, "planned again by a new leader");
   }
 
-  /** While the cloud may still have a machine, and in a failover, nothing is moved. */
+  /** Guards against migrations while the cloud may still provide a machine. */
   @Test
-  void nothingMovesWhileScaleOutIsPossible() {
-    MigrationSimulation simulation = fragmentedFleet();
+  void replicasStayWhileScaleOutIsPossible() {
+    MigrationSimulation simulation = fragmentedCluster();
     for (int i = 0; i < 20; i++) {
       simulation.step(false);
     }
     assertTrue(
         simulation.records.isEmpty(),
-        "a machine may be rented: " + simulation.floor.leader.decisions().migrationStatusLines());
+        "a migration was planned although scale-out is possible: "
+            + simulation.harness.leader.decisions().migrationStatusLines());
   }
 }
--- a/src/test/java/io/saltflow/leader/ServiceReplicasTest.java
+++ b/src/test/java/io/saltflow/leader/ServiceReplicasTest.java
@@ -26,9 +26,9 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** A service's job: as many tasks as its record says, and none before that is known. */
+/** Tests the number and placement of a service's replicas against its recorded replica count. */
 class ServiceReplicasTest {
-  private static final TimeSpan NO_TIME = TimeSpan.millis(0);
+  private static final TimeSpan ZERO = TimeSpan.millis(0);
 
   private final LeaderHarness harness =
       new LeaderHarness(
@@ -64,7 +64,7 @@
         spec.dependencies());
   }
 
-  private int advanceAndCountTasks() {
+  private int advanceAndCountRunning() {
     for (int i = 0; i < 3; i++) {
       harness.advance(1);
       harness.sendHeartbeat("vm-1");
@@ -76,41 +76,41 @@
   }
 
   @Test
-  void runsDesiredReplicasAndStopsTheNewestFirst() {
+  void desiredReplicasRunAndNewestAreStoppedFirst() {
     harness.submit(service());
-    assertEquals(0, advanceAndCountTasks(), "until its record is known none is started");
+    assertEquals(
+        0, advanceAndCountRunning(), "replicas were started before the replica count is known");
     harness
         .leader
         .jobs()
         .setDesiredReplicas(id, DesiredReplicas.anywhere(3), new DisruptionBudget());
-    assertEquals(3, advanceAndCountTasks());
+    assertEquals(3, advanceAndCountRunning());
     harness
         .leader
         .jobs()
         .setDesiredReplicas(id, DesiredReplicas.anywhere(5), new DisruptionBudget());
-    assertEquals(5, advanceAndCountTasks());
+    assertEquals(5, advanceAndCountRunning());
     harness
         .leader
         .jobs()
         .setDesiredReplicas(id, DesiredReplicas.anywhere(2), new DisruptionBudget());
-    assertEquals(2, advanceAndCountTasks());
+    assertEquals(2, advanceAndCountRunning());
     assertTrue(
         harness.tasksByMachine.get("vm-1").containsKey(LeaderHarness.task(1, 0)),
-        "the oldest stay");
-    assertEquals(
-        2, harness.leader.jobs().find(id).replicas().counts(NO_TIME, harness.time()).ready());
+        "the oldest replica was stopped");
+    assertEquals(2, harness.leader.jobs().find(id).replicas().counts(ZERO, harness.time()).ready());
     harness
         .leader
         .jobs()
         .setDesiredReplicas(id, DesiredReplicas.anywhere(0), new DisruptionBudget());
-    assertEquals(0, advanceAndCountTasks());
+    assertEquals(0, advanceAndCountRunning());
   }
 
-  /** A new leader that has not read the record yet stops nothing. */
+  /** Guards against a new leader stopping replicas before it has read the replica count. */
   @Test
-  void unknownReplicaCountChangesNothing() {
+  void replicasKeepRunningWhileReplicaCountIsUnknown() {
     Job job = LeaderHarness.job(service(), true);
-    LeaderHarness next =
+    LeaderHarness newLeader =
         new LeaderHarness(
             TestPolicies.of(
                 TimeSpan.seconds(26),
@@ -120,7 +120,7 @@
             List.of(job),
             "vm-1");
     TaskId task = LeaderHarness.task(1, 7);
-    next.tasksByMachine.put(
+    newLeader.tasksByMachine.put(
         "vm-1",
         new LinkedHashMap<>(
             Map.of(
@@ -132,16 +132,17 @@
                     WorkerHeartbeat.ExitCause.OTHER,
                     false))));
     for (int i = 0; i < 4; i++) {
-      next.advance(1);
-      next.sendHeartbeat("vm-1");
+      newLeader.advance(1);
+      newLeader.sendHeartbeat("vm-1");
     }
-    assertEquals(1, next.tasksByMachine.get("vm-1").size());
+    assertEquals(1, newLeader.tasksByMachine.get("vm-1").size());
+    assertEquals(
+        WorkerHeartbeat.TaskState.RUNNING, newLeader.tasksByMachine.get("vm-1").get(task).state());
     assertEquals(
-        WorkerHeartbeat.TaskState.RUNNING, next.tasksByMachine.get("vm-1").get(task).state());
-    assertEquals(1, next.leader.jobs().find(id).replicas().counts(NO_TIME, next.time()).ready());
+        1, newLeader.leader.jobs().find(id).replicas().counts(ZERO, newLeader.time()).ready());
   }
 
-  /** A broken build is judged by its rollout: it must not take machines from other versions. */
+  /** Failures of a broken build concern its rollout and must not cause machines to be deleted. */
   @Test
   void replicaFailuresAreReportedAndNotAttributedToMachines() {
     harness.submit(service());
@@ -150,26 +151,26 @@
         .jobs()
         .setDesiredReplicas(id, DesiredReplicas.anywhere(1), new DisruptionBudget());
     for (int i = 0; i < 4; i++) {
-      assertEquals(1, advanceAndCountTasks());
+      assertEquals(1, advanceAndCountRunning());
       TaskId task = harness.tasksByMachine.get("vm-1").keySet().iterator().next();
       harness.exitTask("vm-1", task, WorkerHeartbeat.ExitCause.ERROR);
       harness.sendHeartbeat("vm-1");
       harness.advance(3);
     }
-    List<ServiceReplicas.UnexpectedExit> ends =
+    List<ServiceReplicas.UnexpectedExit> exits =
         harness.leader.jobs().find(id).replicas().takeUnexpectedExits();
-    assertEquals(4, ends.size());
-    assertTrue(ends.get(0).failure());
+    assertEquals(4, exits.size());
+    assertTrue(exits.get(0).failure());
     assertEquals(
         List.of(),
         harness.leader.jobs().find(id).replicas().takeUnexpectedExits(),
-        "each is told once");
+        "an exit was returned twice");
     assertEquals(List.of(), harness.leader.machines().planScaleIn(harness.time()));
   }
 
-  private static final String[] FLEET = {"vm-1", "vm-2", "vm-1b", "vm-2b"};
+  private static final String[] MACHINES = {"vm-1", "vm-2", "vm-1b", "vm-2b"};
 
-  /** The fleet reports for a while. */
+  /** Sends a heartbeat of each machine every second. */
   private void heartbeatFor(int seconds, String... machines) {
     for (int i = 0; i < seconds; i++) {
       harness.advance(1);
@@ -186,57 +187,60 @@
   }
 
   private List<Long> spread() {
-    return Stream.of(FLEET).map(this::runningOn).toList();
+    return Stream.of(MACHINES).map(this::runningOn).toList();
   }
 
   @Test
-  void replicasStaySpreadOverZonesAndMachines() {
-    heartbeatFor(2, FLEET);
+  void replicasAreSpreadOverZonesAndMachines() {
+    heartbeatFor(2, MACHINES);
     harness.submit(service());
     harness
         .leader
         .jobs()
         .setDesiredReplicas(id, DesiredReplicas.anywhere(6), new DisruptionBudget());
-    heartbeatFor(3, FLEET);
+    heartbeatFor(3, MACHINES);
     assertEquals(6, spread().stream().mapToLong(count -> count).sum());
-    assertEquals(3, runningOn("vm-1") + runningOn("vm-2"), "as many in each zone: " + spread());
+    assertEquals(
+        3,
+        runningOn("vm-1") + runningOn("vm-2"),
+        "zones have different replica counts: " + spread());
     assertTrue(spread().stream().allMatch(count -> count >= 1 && count <= 2), spread().toString());
     harness
         .leader
         .jobs()
         .setDesiredReplicas(id, DesiredReplicas.anywhere(4), new DisruptionBudget());
-    heartbeatFor(3, FLEET);
+    heartbeatFor(3, MACHINES);
     assertEquals(List.of(1L, 1L, 1L, 1L), spread());
   }
 
-  /** A rollout goes through one zone at a time: new ones start there, old ones leave from there. */
+  /** A rollout proceeds zone by zone, which decides where replicas are started and stopped. */
   @Test
   void zonePreferencesAreFollowed() {
-    heartbeatFor(2, FLEET);
+    heartbeatFor(2, MACHINES);
     harness.submit(service());
     harness
         .leader
         .jobs()
         .setDesiredReplicas(
             id, DesiredReplicas.startingIn(List.of("b"), 4), new DisruptionBudget());
-    heartbeatFor(3, FLEET);
+    heartbeatFor(3, MACHINES);
     assertEquals(List.of(0L, 0L, 2L, 2L), spread());
     harness
         .leader
         .jobs()
         .setDesiredReplicas(
             id, DesiredReplicas.startingIn(List.of("a", "b"), 8), new DisruptionBudget());
-    heartbeatFor(3, FLEET);
+    heartbeatFor(3, MACHINES);
     assertEquals(List.of(2L, 2L, 2L, 2L), spread());
     harness
         .leader
         .jobs()
         .setDesiredReplicas(id, DesiredReplicas.vacating(List.of("a"), 4), new DisruptionBudget());
-    heartbeatFor(3, FLEET);
+    heartbeatFor(3, MACHINES);
     assertEquals(List.of(0L, 0L, 2L, 2L), spread());
   }
 
-  /** The cloud will take a machine: what serves there is replaced first, and is no failure. */
+  /** Guards against stopping a replica on a machine to be reclaimed before its replacement runs. */
   @Test
   void replicaOnDrainingMachineIsReplacedWhileItServes() {
     heartbeatFor(2, "vm-1", "vm-1b");
@@ -249,12 +253,13 @@
     harness.sendHeartbeat("vm-2b");
     harness.reclaimNotices.put("vm-1b", TimeSpan.seconds(30));
     heartbeatFor(3, "vm-1", "vm-1b", "vm-2b");
-    assertEquals(1, runningOn("vm-1b"), "it serves to the end");
-    assertEquals(1, runningOn("vm-2b"), "its replacement runs already");
+    assertEquals(1, runningOn("vm-1b"), "the replica was stopped before its machine was reclaimed");
+    assertEquals(1, runningOn("vm-2b"), "the replacement is not running");
     ServiceReplicas.ReplicaCounts replicas =
-        harness.leader.jobs().find(id).replicas().counts(NO_TIME, harness.time());
+        harness.leader.jobs().find(id).replicas().counts(ZERO, harness.time());
     assertEquals(3, replicas.ready());
-    assertEquals(2, replicas.available(), "what goes soon is not counted on");
+    assertEquals(
+        2, replicas.available(), "the replica on the draining machine counts as available");
     harness.leader.machines().onDeleted(List.of(new MachineId("vm-1b")), harness.time());
     heartbeatFor(3, "vm-1", "vm-2b");
     assertEquals(List.of(1L, 1L), List.of(runningOn("vm-1"), runningOn("vm-2b")));
@@ -263,9 +268,9 @@
             .noneMatch(ServiceReplicas.UnexpectedExit::failure));
   }
 
-  /** Preemption draws on the same budget as the rollout: not one more than may be missing. */
+  /** Guards against preemption exceeding the disruption budget that it shares with rollouts. */
   @Test
-  void preemptionRespectsTheDisruptionBudget() {
+  void preemptionRespectsDisruptionBudget() {
     heartbeatFor(2, "vm-1");
     harness.submit(service());
     DisruptionBudget budget = new DisruptionBudget();
@@ -274,18 +279,19 @@
     assertEquals(10, runningOn("vm-1"));
     harness.submit(JobSpecBuilder.job(2).cores(3).priority(Priority.CRITICAL).build());
     heartbeatFor(4, "vm-1");
-    assertEquals(10, runningOn("vm-1"), "nobody has said that any may go");
+    assertEquals(10, runningOn("vm-1"), "preempted without a disruption budget");
     budget.setRemaining(2);
     heartbeatFor(4, "vm-1");
-    assertEquals(10, runningOn("vm-1"), "two would not make room for it");
+    assertEquals(10, runningOn("vm-1"), "preempted although a budget of two does not suffice");
     budget.setRemaining(3);
     heartbeatFor(4, "vm-1");
     assertTrue(
-        harness.tasksByMachine.get("vm-1").containsKey(LeaderHarness.task(2, 0)), "three did");
-    assertFalse(budget.allows(1), "and are used up");
+        harness.tasksByMachine.get("vm-1").containsKey(LeaderHarness.task(2, 0)),
+        "not launched although a budget of three suffices");
+    assertFalse(budget.allows(1), "the budget was not used up");
   }
 
-  /** A machine that fails what it is given is returned once its replicas have been replaced. */
+  /** Guards against deleting a faulty machine before its replicas have been replaced. */
   @Test
   void faultyMachineStaysUntilItsReplicasAreReplaced() {
     heartbeatFor(2, "vm-1", "vm-1b");
@@ -300,13 +306,15 @@
         .onListed(
             List.of(
                 new CloudCodec.ListedMachine(
-                    new MachineId("vm-1b"), "", "box", "b", false, false, true, NO_TIME)),
+                    new MachineId("vm-1b"), "", "box", "b", false, false, true, ZERO)),
             harness.time());
     heartbeatFor(1, "vm-1", "vm-1b");
     assertEquals(
-        List.of(), harness.leader.machines().planScaleIn(harness.time()), "one is missing already");
+        List.of(),
+        harness.leader.machines().planScaleIn(harness.time()),
+        "scaled in although the budget does not allow it");
     heartbeatFor(3, "vm-1", "vm-1b");
-    assertEquals(2, runningOn("vm-1"), "the replacement, where there is room");
+    assertEquals(2, runningOn("vm-1"), "the replacement is not running");
     budget.setRemaining(0);
     assertEquals(
         List.of(new MachineId("vm-1b")), harness.leader.machines().planScaleIn(harness.time()));
--- a/src/test/java/io/saltflow/leader/SharedQuotaTest.java
+++ b/src/test/java/io/saltflow/leader/SharedQuotaTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Jobs and queues' messages share their team's limit, in one order. */
+/** Tests that jobs and queue messages of a team share its limit in one common order. */
 class SharedQuotaTest {
   private static final Resources TWO_CORES = new Resources(2, 0, 0);
 
@@ -37,7 +37,7 @@
     return harness.leader.mayDeliver("red", TWO_CORES, priority, arrivedWallMs);
   }
 
-  private int launched() {
+  private int launchAndCountTasks() {
     harness.sendHeartbeat("vm-1");
     harness.advance(1);
     harness.sendHeartbeat("vm-1");
@@ -45,33 +45,36 @@
   }
 
   @Test
-  void messagesInProgressCountAgainstTheQuota() {
+  void messagesInProgressCountAgainstQuota() {
     harness.leader.setQueueDemands(List.of(demand(Priority.NORMAL, 6, 0, Long.MAX_VALUE)));
     harness.submit(JobSpecBuilder.job(1).team("red").cores(1).tasks(5).build());
-    assertEquals(2, launched(), "of 8 cores messages hold 6");
+    assertEquals(2, launchAndCountTasks(), "messages hold 6 of 8 cores");
     harness.leader.setQueueDemands(List.of());
-    assertEquals(5, launched());
+    assertEquals(5, launchAndCountTasks());
   }
 
   @Test
   void earlierMessagesKeepTheirQuota() {
-    long before = harness.now - 1000;
-    harness.leader.setQueueDemands(List.of(demand(Priority.NORMAL, 0, 6, before)));
+    long beforeJobMs = harness.now - 1000;
+    harness.leader.setQueueDemands(List.of(demand(Priority.NORMAL, 0, 6, beforeJobMs)));
     harness.submit(JobSpecBuilder.job(1).team("red").cores(1).tasks(8).build());
-    assertEquals(2, launched(), "they arrived before the job");
-    harness.leader.setQueueDemands(List.of(demand(Priority.LOW, 0, 6, before)));
-    assertEquals(8, launched(), "lower ones wait");
+    assertEquals(2, launchAndCountTasks(), "earlier messages must keep 6 cores");
+    harness.leader.setQueueDemands(List.of(demand(Priority.LOW, 0, 6, beforeJobMs)));
+    assertEquals(8, launchAndCountTasks(), "messages of lower priority must not hold back the job");
   }
 
   @Test
   void earlierJobsKeepTheirQuota() {
     harness.submit(JobSpecBuilder.job(1).team("red").cores(1).tasks(7).build());
     assertFalse(
-        mayDeliver(Priority.NORMAL, harness.now + 1), "seven cores of eight are waited for");
+        mayDeliver(Priority.NORMAL, harness.now + 1),
+        "an earlier job waits for seven of eight cores");
     assertTrue(mayDeliver(Priority.NORMAL, harness.now - 1));
     assertTrue(mayDeliver(Priority.HIGH, harness.now + 1));
-    assertEquals(7, launched());
-    assertFalse(mayDeliver(Priority.HIGH, 0), "what runs is not taken away");
-    assertTrue(harness.leader.mayDeliver("blue", TWO_CORES, Priority.LOW, 0), "no limit, no wait");
+    assertEquals(7, launchAndCountTasks());
+    assertFalse(mayDeliver(Priority.HIGH, 0), "running tasks must keep their share of the limit");
+    assertTrue(
+        harness.leader.mayDeliver("blue", TWO_CORES, Priority.LOW, 0),
+        "a team without a limit must not wait");
   }
 }
--- a/src/test/java/io/saltflow/leader/SlowNetworkTest.java
+++ b/src/test/java/io/saltflow/leader/SlowNetworkTest.java
@@ -10,12 +10,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** More work than room, urgent and not, while answers to machines and writes lag by seconds. */
+/**
+ * Tests that urgent jobs start in time on an overloaded cluster with delayed answers and writes.
+ */
 class SlowNetworkTest {
   private static final int URGENT_JOBS = 4;
-  private static final long URGENT_START_MS = 60_000;
+  private static final long MAX_URGENT_WAIT_MS = 60_000;
 
-  /** Three times the work that two machines can hold, for minutes. */
+  /** Returns a cluster of two machines with three times the work that fits, for several minutes. */
   private static ClusterSimulation overloaded() {
     ClusterSimulation simulation = FaultScenarios.simulation(500);
     simulation.maxMachines = 2;
@@ -51,14 +53,14 @@
     for (int i = 1; i <= URGENT_JOBS; i++) {
       ClusterSimulation.JobRecord job =
           simulation.records.get(new JobId(JobSpecBuilder.id(100 + i)));
-      boolean inTime = job.startedAt >= 0 && job.startedAt - job.submittedAt <= URGENT_START_MS;
-      assertTrue(inTime, "urgent job " + i + " began at " + job.startedAt + ", moment " + moment);
+      boolean inTime = job.startedAt >= 0 && job.startedAt - job.submittedAt <= MAX_URGENT_WAIT_MS;
+      assertTrue(inTime, "urgent job " + i + " started at " + job.startedAt + " ms, run " + moment);
     }
   }
 
   /**
-   * @param slowResponseShare the part of the answers to machines that is held up for up to 5 s
-   * @param delayedWriteShare the part of the writes that is carried out late
+   * @param slowResponseShare the share of answers to workers that are delayed by up to 5 s
+   * @param delayedWriteShare the share of writes that are applied late
    */
   @ParameterizedTest
   @CsvSource({"0.3, 0", "0.6, 0", "0.3, 0.3"})
@@ -71,7 +73,7 @@
           simulation.delayedWriteShare = delayedWriteShare;
           simulation.run(moment * 0.5);
           submitUrgent(simulation, moment);
-          simulation.run(URGENT_START_MS / 1000.0);
+          simulation.run(MAX_URGENT_WAIT_MS / 1000.0);
           assertUrgentStartedInTime(simulation, moment);
           cancelSome(simulation, moment);
           if (moment % 2 == 0) {
--- a/src/test/java/io/saltflow/leader/StarvationTest.java
+++ b/src/test/java/io/saltflow/leader/StarvationTest.java
@@ -8,17 +8,17 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What could keep a job waiting although a machine that fits has room: each lets go in time. */
+/** Guards against jobs that wait although a suitable machine has free capacity. */
 class StarvationTest {
   private static final Policy POLICY =
       ClusterSimulation.policy(TimeSpan.millis(ClusterSimulation.LEASE_MS));
 
   /**
-   * A dear machine is let go, as cheap ones can do the other work in time; meanwhile it takes what
-   * may run on no cheap one.
+   * An expensive machine is retiring because cheaper ones can do the other work in time. Until then
+   * it takes jobs that must not run on a spot instance.
    */
   @Test
-  void retiringMachineTakesJobsNoOtherMayTake() {
+  void retiringMachineTakesJobsNotAllowedOnSpot() {
     LeaderHarness harness = new LeaderHarness(POLICY, List.of());
     harness.sendHeartbeat("vm-000001s");
     harness.sendHeartbeat("vm-000002");
@@ -38,31 +38,31 @@
   }
 
   /**
-   * A wide job's first task waits for its team's limit. Room within the limit is kept for it from
-   * when it should be able to begin: what fits beside it then starts at once.
+   * A large job waits for its team's limit and has a reservation within that limit. A small job
+   * that fits beside the reservation starts at once.
    */
   @Test
-  void smallJobStartsWhenItDoesNotDelayTheReservation() {
+  void smallJobStartsIfItDoesNotDelayReservation() {
     LeaderHarness harness = new LeaderHarness(POLICY, List.of());
     for (int i = 1; i <= 9; i++) {
       harness.sendHeartbeat("vm-00000" + i + "s");
     }
     harness.advance(1);
     heartbeatAll(harness, 2);
-    // 42 of the team's 48 cores; the wide one needs 8, the narrow one 1.
+    // Job 1 uses 42 of the team's 48 cores; job 2 needs 8 cores and job 3 needs 1.
     harness.submit(JobSpecBuilder.job(1).team("red").tasks(6).cores(7).estimateS(900).build());
     heartbeatAll(harness, 4);
     harness.submit(JobSpecBuilder.job(2).team("red").cores(8).estimateS(900).build());
     heartbeatAll(harness, 120);
-    assertEquals(0, running(harness, 2), "its team's limit has no room for it");
+    assertEquals(0, countRunning(harness, 2), "the large job started beyond its team's limit");
     harness.submit(JobSpecBuilder.job(3).team("red").cores(1).estimateS(900).build());
     heartbeatAll(harness, 10);
-    assertEquals(1, running(harness, 3));
+    assertEquals(1, countRunning(harness, 3));
   }
 
-  /** One that would delay the wide one leaves the limit to it. */
+  /** A small job that would delay the reservation of a large one has to wait. */
   @Test
-  void smallJobWaitsWhenItWouldDelayTheReservation() {
+  void smallJobWaitsIfItWouldDelayReservation() {
     LeaderHarness harness = new LeaderHarness(POLICY, List.of());
     for (int i = 1; i <= 9; i++) {
       harness.sendHeartbeat("vm-00000" + i + "s");
@@ -76,8 +76,9 @@
     harness.submit(JobSpecBuilder.job(3).team("red").cores(6).estimateS(900).build());
     harness.submit(JobSpecBuilder.job(4).team("red").cores(6).estimateS(60).build());
     heartbeatAll(harness, 10);
-    assertEquals(0, running(harness, 3), "with it the wide one does not fit when a task has ended");
-    assertEquals(1, running(harness, 4), "it has ended by then");
+    assertEquals(0, countRunning(harness, 3), "a job that delays the reservation was started");
+    assertEquals(
+        1, countRunning(harness, 4), "a job that ends before the reservation was not started");
   }
 
   private static void heartbeatAll(LeaderHarness harness, int seconds) {
@@ -87,7 +88,7 @@
     }
   }
 
-  private static long running(LeaderHarness harness, int job) {
+  private static long countRunning(LeaderHarness harness, int job) {
     return harness.tasksByMachine.values().stream()
         .filter(tasks -> tasks.containsKey(LeaderHarness.task(job, 0)))
         .count();
--- a/src/test/java/io/saltflow/leader/SupersededLeaderTest.java
+++ b/src/test/java/io/saltflow/leader/SupersededLeaderTest.java
@@ -5,16 +5,16 @@
 import io.saltflow.model.TimeSpan;
 import org.junit.jupiter.api.Test;
 
-/** A leader that was superseded without knowing it acts on until it learns of it. */
+/** Tests a superseded leader that continues to act until it learns of its successor. */
 class SupersededLeaderTest {
-  private static final int SPARE = 99;
+  private static final int CANCELLED_JOB = 99;
 
-  private static ClusterSimulation running(long seed) {
+  private static ClusterSimulation simulationWithRunningJobs(long seed) {
     ClusterSimulation simulation =
         new ClusterSimulation(
             seed, ClusterSimulation.policy(TimeSpan.millis(ClusterSimulation.LEASE_MS)));
     simulation.submit(JobSpecBuilder.job(1).tasks(2).cores(8).estimateS(60).build());
-    simulation.submit(JobSpecBuilder.job(SPARE).tasks(2).cores(8).estimateS(600).build());
+    simulation.submit(JobSpecBuilder.job(CANCELLED_JOB).tasks(2).cores(8).estimateS(600).build());
     simulation.run(40);
     return simulation;
   }
@@ -33,26 +33,26 @@
   }
 
   /**
-   * A machine is unreachable for nearly a lease. Just before that is over another is elected beside
-   * a leader that is well, and the machine is answered by the successor. The leader that does not
-   * know counts on, and the end of the lease that it knows of proves nothing.
+   * Guards against a superseded leader taking a worker's lease for expired after its successor has
+   * renewed it: the worker is unreachable for nearly a lease and then answered by the successor.
    */
   @Test
-  void leaseRenewedByASuccessorHasNotExpired() {
-    for (int silent = 24; silent <= 30; silent++) {
+  void leaseRenewedBySuccessorIsNotTakenForExpired() {
+    for (int unreachableSteps = 24; unreachableSteps <= 30; unreachableSteps++) {
       for (int phase = 0; phase < 12; phase++) {
-        ClusterSimulation simulation = running(phase);
+        ClusterSimulation simulation = simulationWithRunningJobs(phase);
         simulation.run(phase * 0.5);
-        // It can't be returned as silent.
+        // With the cloud unavailable the unreachable machine cannot be deleted.
         simulation.cloudDownUntil = simulation.now + 60_000;
         workerRunning(simulation, 1).partitionedUntil =
-            simulation.now + silent * ClusterSimulation.STEP_MS;
-        simulation.run((silent - 1) * 0.5 - 4);
-        simulation.cancel(id(SPARE));
+            simulation.now + unreachableSteps * ClusterSimulation.STEP_MS;
+        simulation.run((unreachableSteps - 1) * 0.5 - 4);
+        simulation.cancel(id(CANCELLED_JOB));
         simulation.run(4);
         simulation.supersede(8000);
         simulation.run(20);
-        SimulationAssertions.assertAllJobsEnd(simulation, "silent " + silent + ", phase " + phase);
+        SimulationAssertions.assertAllJobsEnd(
+            simulation, "unreachable for " + unreachableSteps + " steps, phase " + phase);
       }
     }
   }
--- a/src/test/java/io/saltflow/leader/TaskReconcilerTest.java
+++ b/src/test/java/io/saltflow/leader/TaskReconcilerTest.java
@@ -19,106 +19,104 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What proves that a task is nowhere, and what does not. */
+/** Tests which events prove that a task is not running on any machine. */
 class TaskReconcilerTest {
-  /** Seen in an incident: such machines came back as ghosts and held their tasks for 10 s more. */
+  /** Guards against a delayed heartbeat bringing back a deleted machine together with its tasks. */
   @Test
   void heartbeatOfDeletedMachineDeliversResultsOnly() {
-    LeaderHarness leaderHarness = new LeaderHarness(POLICY, List.of());
-    leaderHarness.sendHeartbeat("vm-1");
-    leaderHarness.submit(JobSpecBuilder.job(1).tasks(2).cores(5).estimateS(60).build());
-    leaderHarness.sendHeartbeat("vm-1");
-    leaderHarness.runAndCheckIn("vm-1", 4);
-    leaderHarness.exitTask("vm-1", LeaderHarness.task(1, 0), WorkerHeartbeat.ExitCause.DONE);
-    WorkerHeartbeat heldBack = leaderHarness.heartbeat("vm-1", LeaderHarness.TERM);
-    leaderHarness.leader.machines().onDeleted(List.of(new MachineId("vm-1")), leaderHarness.time());
-    leaderHarness.advance(1);
-    assertNull(leaderHarness.leader.onHeartbeat(heldBack, true, leaderHarness.time()));
-    assertTrue(leaderHarness.leader.jobs().find(new JobId(JobSpecBuilder.id(1))).done.get(0));
-    leaderHarness.sendHeartbeat("vm-2");
-    List<WorkerCommand> orders = leaderHarness.sendHeartbeat("vm-2");
+    LeaderHarness harness = new LeaderHarness(POLICY, List.of());
+    harness.sendHeartbeat("vm-1");
+    harness.submit(JobSpecBuilder.job(1).tasks(2).cores(5).estimateS(60).build());
+    harness.sendHeartbeat("vm-1");
+    harness.runAndCheckIn("vm-1", 4);
+    harness.exitTask("vm-1", LeaderHarness.task(1, 0), WorkerHeartbeat.ExitCause.DONE);
+    WorkerHeartbeat delayed = harness.heartbeat("vm-1", LeaderHarness.TERM);
+    harness.leader.machines().onDeleted(List.of(new MachineId("vm-1")), harness.time());
+    harness.advance(1);
+    assertNull(harness.leader.onHeartbeat(delayed, true, harness.time()));
+    assertTrue(harness.leader.jobs().find(new JobId(JobSpecBuilder.id(1))).done.get(0));
+    harness.sendHeartbeat("vm-2");
+    List<WorkerCommand> commands = harness.sendHeartbeat("vm-2");
     assertEquals(
-        List.of(LeaderHarness.task(1, 1)), orders.stream().map(WorkerCommand::task).toList());
+        List.of(LeaderHarness.task(1, 1)), commands.stream().map(WorkerCommand::task).toList());
   }
 
   /**
-   * It reports every few seconds with the token of before, and hears nobody. Each report counted as
-   * a sign of life, so a failover was never accounted for and nothing of before was started again.
+   * Guards against heartbeats with an earlier term, from a machine that gets no answers, extending
+   * its lease: its tasks would never be reconciled and started again.
    */
   @Test
   void machineWithLostAnswersDoesNotDelayFailover() {
-    LeaderHarness leaderHarness = afterFailover();
-    leaderHarness.sendHeartbeat("vm-1");
+    LeaderHarness harness = afterFailover();
+    harness.sendHeartbeat("vm-1");
     long launched = 0;
     for (int second = 0; second < 90 && launched == 0; second += 5) {
-      leaderHarness.advance(5);
-      leaderHarness.leader.onHeartbeat(
-          leaderHarness.heartbeat("vm-2", new Term(6)), true, leaderHarness.time());
-      launched = launchCount(leaderHarness.sendHeartbeat("vm-1"));
+      harness.advance(5);
+      harness.leader.onHeartbeat(harness.heartbeat("vm-2", new Term(6)), true, harness.time());
+      launched = launchCount(harness.sendHeartbeat("vm-1"));
     }
     assertEquals(1, launched);
-    assertTrue(
-        leaderHarness.now - 100_000 <= 65_000, "after " + (leaderHarness.now - 100_000) + " ms");
+    assertTrue(harness.now - 100_000 <= 65_000, "after " + (harness.now - 100_000) + " ms");
   }
 
-  /** Its launches go in vain, and with all its room it was given the same task again and again. */
+  /** Guards against launching the same task again and again on a machine that gets no answers. */
   @Test
   void machineWithLostAnswersGetsNoMoreTasksAndIsScaledIn() {
-    LeaderHarness leaderHarness = new LeaderHarness(POLICY, List.of());
-    leaderHarness.sendHeartbeat("vm-1");
-    leaderHarness.sendHeartbeat("vm-2");
-    leaderHarness.submit(JobSpecBuilder.job(1).tasks(2).cores(8).estimateS(60).build());
-    leaderHarness.sendHeartbeat("vm-2");
-    int inVain = 0;
-    List<MachineId> returned = List.of();
-    for (int second = 0; second < 60 && returned.isEmpty(); second += 5) {
-      leaderHarness.advance(5);
-      leaderHarness.sendHeartbeat("vm-2");
-      List<WorkerCommand> lost =
-          leaderHarness.leader.onHeartbeat(
-              leaderHarness.heartbeat("vm-1", LeaderHarness.TERM), true, leaderHarness.time());
-      inVain += (int) launchCount(lost);
-      returned = leaderHarness.leader.machines().planScaleIn(leaderHarness.time());
+    LeaderHarness harness = new LeaderHarness(POLICY, List.of());
+    harness.sendHeartbeat("vm-1");
+    harness.sendHeartbeat("vm-2");
+    harness.submit(JobSpecBuilder.job(1).tasks(2).cores(8).estimateS(60).build());
+    harness.sendHeartbeat("vm-2");
+    int lostLaunches = 0;
+    List<MachineId> scaledIn = List.of();
+    for (int second = 0; second < 60 && scaledIn.isEmpty(); second += 5) {
+      harness.advance(5);
+      harness.sendHeartbeat("vm-2");
+      List<WorkerCommand> lostCommands =
+          harness.leader.onHeartbeat(
+              harness.heartbeat("vm-1", LeaderHarness.TERM), true, harness.time());
+      lostLaunches += (int) launchCount(lostCommands);
+      scaledIn = harness.leader.machines().planScaleIn(harness.time());
     }
-    assertTrue(inVain <= 3, inVain + " launches went in vain");
-    assertEquals(List.of(new MachineId("vm-1")), returned);
+    assertTrue(lostLaunches <= 3, lostLaunches + " launches on an unreachable machine");
+    assertEquals(List.of(new MachineId("vm-1")), scaledIn);
   }
 
   /**
-   * A machine was back at once, with session 1 again, between two leaders. A copy of its former
-   * life comes later, of session 2 and with the token of before.
+   * Guards against freeing a task by a heartbeat copy of another agent epoch that carries an
+   * earlier term.
    */
   @Test
-  void copyFromEarlierAgentEpochDisprovesNothing() {
-    LeaderHarness leaderHarness = afterFailover();
-    leaderHarness.sendHeartbeat("vm-1");
-    leaderHarness.leader.machines().onDeleted(List.of(new MachineId("vm-2")), leaderHarness.time());
-    assertEquals(1, launchCount(leaderHarness.sendHeartbeat("vm-1")));
-    WorkerHeartbeat alive = leaderHarness.heartbeat("vm-1", new Term(6));
+  void copyFromOtherAgentEpochDoesNotFreeTask() {
+    LeaderHarness harness = afterFailover();
+    harness.sendHeartbeat("vm-1");
+    harness.leader.machines().onDeleted(List.of(new MachineId("vm-2")), harness.time());
+    assertEquals(1, launchCount(harness.sendHeartbeat("vm-1")));
+    WorkerHeartbeat current = harness.heartbeat("vm-1", new Term(6));
     WorkerHeartbeat copy =
         new WorkerHeartbeat(
-            alive.machine(), "", "box", "a", false, 2, 80, new Term(6), null, List.of());
-    assertNull(leaderHarness.leader.onHeartbeat(copy, true, leaderHarness.time()));
+            current.machine(), "", "box", "a", false, 2, 80, new Term(6), null, List.of());
+    assertNull(harness.leader.onHeartbeat(copy, true, harness.time()));
+    assertEquals(1, harness.leader.jobs().find(new JobId(JobSpecBuilder.id(1))).placements.size());
+    harness.sendHeartbeat("vm-3");
+    harness.advance(1);
     assertEquals(
-        1, leaderHarness.leader.jobs().find(new JobId(JobSpecBuilder.id(1))).placements.size());
-    leaderHarness.sendHeartbeat("vm-3");
-    leaderHarness.advance(1);
-    assertEquals(0, launchCount(leaderHarness.sendHeartbeat("vm-3")), "it is still where it was");
+        0, launchCount(harness.sendHeartbeat("vm-3")), "the task was launched a second time");
   }
 
-  /** What reports show and a copy does not: that somebody can reach us. */
+  /** Guards against a duplicate heartbeat counting as proof that workers reach the leader. */
   @Test
-  void duplicateHeartbeatsAreNoSignOfLife() {
-    LeaderHarness leaderHarness = new LeaderHarness(POLICY, List.of());
-    WorkerHeartbeat one = leaderHarness.heartbeat("vm-1", LeaderHarness.TERM);
-    leaderHarness.leader.onHeartbeat(one, true, leaderHarness.time());
-    leaderHarness.sendHeartbeat("vm-2");
+  void duplicateHeartbeatsDoNotProveReachability() {
+    LeaderHarness harness = new LeaderHarness(POLICY, List.of());
+    WorkerHeartbeat heartbeat = harness.heartbeat("vm-1", LeaderHarness.TERM);
+    harness.leader.onHeartbeat(heartbeat, true, harness.time());
+    harness.sendHeartbeat("vm-2");
     for (int second = 0; second < 30; second++) {
-      leaderHarness.advance(1);
-      assertNull(leaderHarness.leader.onHeartbeat(one, true, leaderHarness.time()));
+      harness.advance(1);
+      assertNull(harness.leader.onHeartbeat(heartbeat, true, harness.time()));
     }
     assertTrue(
-        leaderHarness.leader.isCutOff(leaderHarness.time()), "nobody was heard for half a minute");
+        harness.leader.isCutOff(harness.time()), "not cut off after 30 s of duplicate heartbeats");
   }
 
   private static final Policy POLICY =
@@ -132,64 +130,64 @@
         "vm-2");
   }
 
-  private static long launchCount(List<WorkerCommand> orders) {
-    return orders.stream().filter(command -> command instanceof WorkerCommand.Launch).count();
+  private static long launchCount(List<WorkerCommand> commands) {
+    return commands.stream().filter(command -> command instanceof WorkerCommand.Launch).count();
   }
 
   @Test
-  void heartbeatWithOlderTokenProvesNothing() {
-    LeaderHarness leaderHarness = afterFailover();
+  void heartbeatWithEarlierTermDoesNotReconcileMachine() {
+    LeaderHarness harness = afterFailover();
     assertEquals(
         0,
         launchCount(
-            leaderHarness.leader.onHeartbeat(
-                leaderHarness.heartbeat("vm-1", new Term(6)), true, leaderHarness.time())));
+            harness.leader.onHeartbeat(
+                harness.heartbeat("vm-1", new Term(6)), true, harness.time())));
     assertEquals(
         0,
         launchCount(
-            leaderHarness.leader.onHeartbeat(
-                leaderHarness.heartbeat("vm-2", new Term(6)), true, leaderHarness.time())));
+            harness.leader.onHeartbeat(
+                harness.heartbeat("vm-2", new Term(6)), true, harness.time())));
     assertEquals(
-        0, launchCount(leaderHarness.sendHeartbeat("vm-1")), "vm-2 may still hold the task");
+        0,
+        launchCount(harness.sendHeartbeat("vm-1")),
+        "launched although vm-2 may still run the task");
     assertEquals(
-        1,
-        launchCount(leaderHarness.sendHeartbeat("vm-2"))
-            + launchCount(leaderHarness.sendHeartbeat("vm-1")));
+        1, launchCount(harness.sendHeartbeat("vm-2")) + launchCount(harness.sendHeartbeat("vm-1")));
   }
 
   @Test
-  void silentMachineHoldsLaunchesUntilItsLeaseExpired() {
-    LeaderHarness leaderHarness = afterFailover();
-    leaderHarness.sendHeartbeat("vm-1");
-    long ms = POLICY.leaseRenewalWindow().plus(POLICY.leaseExpiryBound()).ms();
-    leaderHarness.advance((ms - 1000) / 1000.0);
-    assertEquals(0, launchCount(leaderHarness.sendHeartbeat("vm-1")));
-    leaderHarness.advance(2);
-    assertEquals(1, launchCount(leaderHarness.sendHeartbeat("vm-1")));
+  void silentMachineDelaysLaunchesUntilLeaseExpiry() {
+    LeaderHarness harness = afterFailover();
+    harness.sendHeartbeat("vm-1");
+    long expiryBoundMs = POLICY.leaseRenewalWindow().plus(POLICY.leaseExpiryBound()).ms();
+    harness.advance((expiryBoundMs - 1000) / 1000.0);
+    assertEquals(0, launchCount(harness.sendHeartbeat("vm-1")));
+    harness.advance(2);
+    assertEquals(1, launchCount(harness.sendHeartbeat("vm-1")));
   }
 
   @Test
-  void successfulDeleteIsProof() {
-    LeaderHarness leaderHarness = afterFailover();
-    leaderHarness.sendHeartbeat("vm-1");
-    leaderHarness.leader.machines().onDeleted(List.of(new MachineId("vm-2")), leaderHarness.time());
-    assertEquals(1, launchCount(leaderHarness.sendHeartbeat("vm-1")));
+  void deletedMachineCountsAsReconciled() {
+    LeaderHarness harness = afterFailover();
+    harness.sendHeartbeat("vm-1");
+    harness.leader.machines().onDeleted(List.of(new MachineId("vm-2")), harness.time());
+    assertEquals(1, launchCount(harness.sendHeartbeat("vm-1")));
   }
 
   @Test
-  void jobThatCannotHaveBeenLaunchedNeedNotWait() {
-    LeaderHarness leaderHarness = afterFailover();
-    leaderHarness.sendHeartbeat("vm-1");
-    leaderHarness.submit(JobSpecBuilder.job(2).cores(2).build());
-    List<WorkerCommand> orders = leaderHarness.sendHeartbeat("vm-1");
-    assertEquals(1, launchCount(orders));
-    assertEquals(LeaderHarness.task(2, 0), orders.get(0).task());
+  void neverLaunchedJobStartsBeforeReconciliation() {
+    LeaderHarness harness = afterFailover();
+    harness.sendHeartbeat("vm-1");
+    harness.submit(JobSpecBuilder.job(2).cores(2).build());
+    List<WorkerCommand> commands = harness.sendHeartbeat("vm-1");
+    assertEquals(1, launchCount(commands));
+    assertEquals(LeaderHarness.task(2, 0), commands.get(0).task());
   }
 
-  /** The unheard machine may be full of the team's tasks: its limit may not be spent. */
+  /** Guards against exceeding a team's limit while unreconciled machines may run its tasks. */
   @Test
   void unreconciledMachinesCountAgainstQuotas() {
-    LeaderHarness leaderHarness =
+    LeaderHarness harness =
         new LeaderHarness(
             POLICY,
             List.of(LeaderHarness.job(JobSpecBuilder.job(1).build(), true)),
@@ -199,78 +197,78 @@
             "vm-4",
             "vm-5",
             "vm-6");
-    leaderHarness.sendHeartbeat("vm-1");
-    leaderHarness.submit(JobSpecBuilder.job(2).team("red").cores(2).build());
+    harness.sendHeartbeat("vm-1");
+    harness.submit(JobSpecBuilder.job(2).team("red").cores(2).build());
     assertEquals(
         0,
-        launchCount(leaderHarness.sendHeartbeat("vm-1")),
-        "5 machines of 10 cores against a limit of 48");
+        launchCount(harness.sendHeartbeat("vm-1")),
+        "launched although 5 machines of 10 cores may exceed the limit of 48");
     assertEquals(
-        1,
-        launchCount(leaderHarness.sendHeartbeat("vm-2"))
-            + launchCount(leaderHarness.sendHeartbeat("vm-1")));
+        1, launchCount(harness.sendHeartbeat("vm-2")) + launchCount(harness.sendHeartbeat("vm-1")));
   }
 
   @Test
-  void lostAnswerLeadsToNewAttempt() throws IOException {
-    LeaderHarness leaderHarness = new LeaderHarness(POLICY, List.of());
-    leaderHarness.sendHeartbeat("vm-1");
-    leaderHarness.submit(JobSpecBuilder.job(1).cores(5).build());
-    WorkerHeartbeat heartbeat = leaderHarness.heartbeat("vm-1", LeaderHarness.TERM);
-    List<WorkerCommand> lost =
-        leaderHarness.leader.onHeartbeat(heartbeat, true, leaderHarness.time());
-    leaderHarness.log(
-        "an answer with " + lost.size() + " order is lost: attempt " + lost.get(0).attempt());
-    leaderHarness.advance(1);
+  void lostAnswerIsFollowedByNewAttempt() throws IOException {
+    LeaderHarness harness = new LeaderHarness(POLICY, List.of());
+    harness.sendHeartbeat("vm-1");
+    harness.submit(JobSpecBuilder.job(1).cores(5).build());
+    WorkerHeartbeat heartbeat = harness.heartbeat("vm-1", LeaderHarness.TERM);
+    List<WorkerCommand> lostCommands = harness.leader.onHeartbeat(heartbeat, true, harness.time());
+    harness.log(
+        "an answer with "
+            + lostCommands.size()
+            + " order is lost: attempt "
+            + lostCommands.get(0).attempt());
+    harness.advance(1);
     assertNull(
-        leaderHarness.leader.onHeartbeat(heartbeat, true, leaderHarness.time()),
-        "the same report again is not answered");
-    leaderHarness.log("the report comes once more and is not answered");
-    leaderHarness.advance(3);
-    List<WorkerCommand> again = leaderHarness.sendHeartbeat("vm-1");
-    leaderHarness.log("attempt " + again.get(0).attempt());
-    GoldenTraces.check("lost-answer", leaderHarness.trace);
+        harness.leader.onHeartbeat(heartbeat, true, harness.time()),
+        "a duplicate heartbeat was answered");
+    harness.log("the report comes once more and is not answered");
+    harness.advance(3);
+    List<WorkerCommand> retried = harness.sendHeartbeat("vm-1");
+    harness.log("attempt " + retried.get(0).attempt());
+    GoldenTraces.check("lost-answer", harness.trace);
   }
 
   @Test
-  void newAgentEpochFreesTasks() {
-    LeaderHarness leaderHarness = new LeaderHarness(POLICY, List.of());
-    leaderHarness.sendHeartbeat("vm-1");
-    leaderHarness.sendHeartbeat("vm-2");
-    leaderHarness.submit(JobSpecBuilder.job(1).cores(5).tasks(1).build());
-    String first = launchCount(leaderHarness.sendHeartbeat("vm-1")) == 1 ? "vm-1" : "vm-2";
+  void newAgentEpochFreesTasksOfEarlierEpoch() {
+    LeaderHarness harness = new LeaderHarness(POLICY, List.of());
+    harness.sendHeartbeat("vm-1");
+    harness.sendHeartbeat("vm-2");
+    harness.submit(JobSpecBuilder.job(1).cores(5).tasks(1).build());
+    String first = launchCount(harness.sendHeartbeat("vm-1")) == 1 ? "vm-1" : "vm-2";
     if (first.equals("vm-2")) {
-      leaderHarness.sendHeartbeat("vm-2");
+      harness.sendHeartbeat("vm-2");
     }
-    leaderHarness.restartWorker(first);
-    leaderHarness.advance(1);
+    harness.restartWorker(first);
+    harness.advance(1);
     assertEquals(
         1,
-        launchCount(leaderHarness.sendHeartbeat(first)),
-        "a new session has nothing of the old one");
+        launchCount(harness.sendHeartbeat(first)),
+        "tasks of the earlier agent epoch were not freed");
   }
 
-  /** A report held back by a cut lists what was long ago: it must not hide where the task is. */
+  /** Guards against a heartbeat delayed by a partition moving a task to its former machine. */
   @Test
   void lateHeartbeatDoesNotMoveTask() {
-    LeaderHarness leaderHarness = new LeaderHarness(POLICY, List.of());
-    leaderHarness.sendHeartbeat("vm-1");
-    leaderHarness.submit(JobSpecBuilder.job(1).cores(5).estimateS(500).build());
-    leaderHarness.sendHeartbeat("vm-1");
-    leaderHarness.advance(1);
-    leaderHarness.sendHeartbeat("vm-1");
-    WorkerHeartbeat late = leaderHarness.heartbeat("vm-1", LeaderHarness.TERM);
-    leaderHarness.advance(20);
-    leaderHarness.sendHeartbeat("vm-2");
-    leaderHarness.sendHeartbeat("vm-2");
+    LeaderHarness harness = new LeaderHarness(POLICY, List.of());
+    harness.sendHeartbeat("vm-1");
+    harness.submit(JobSpecBuilder.job(1).cores(5).estimateS(500).build());
+    harness.sendHeartbeat("vm-1");
+    harness.advance(1);
+    harness.sendHeartbeat("vm-1");
+    WorkerHeartbeat delayed = harness.heartbeat("vm-1", LeaderHarness.TERM);
+    harness.advance(20);
+    harness.sendHeartbeat("vm-2");
+    harness.sendHeartbeat("vm-2");
     assertTrue(
-        leaderHarness.tasksByMachine.get("vm-2").containsKey(LeaderHarness.task(1, 0)),
-        "its lease was over");
-    List<WorkerCommand> orders = leaderHarness.leader.onHeartbeat(late, true, leaderHarness.time());
-    assertTrue(orders.get(0) instanceof WorkerCommand.Stop);
+        harness.tasksByMachine.get("vm-2").containsKey(LeaderHarness.task(1, 0)),
+        "the task was not launched again after lease expiry");
+    List<WorkerCommand> commands = harness.leader.onHeartbeat(delayed, true, harness.time());
+    assertTrue(commands.get(0) instanceof WorkerCommand.Stop);
     assertEquals(
         "vm-2",
-        leaderHarness
+        harness
             .leader
             .jobs()
             .find(LeaderHarness.task(1, 0).job())
@@ -282,47 +280,46 @@
   }
 
   @Test
-  void cancelledTaskIsHaltedWhereverItShowsUp() throws IOException {
-    LeaderHarness leaderHarness = new LeaderHarness(POLICY, List.of());
-    leaderHarness.sendHeartbeat("vm-1");
-    leaderHarness.submit(JobSpecBuilder.job(1).cores(5).estimateS(500).build());
-    leaderHarness.sendHeartbeat("vm-1");
-    leaderHarness.log("the user cancels it");
-    leaderHarness.leader.jobs().onRemoved(LeaderHarness.task(1, 0).job(), leaderHarness.time());
-    leaderHarness.advance(1);
-    leaderHarness.sendHeartbeat("vm-1");
-    leaderHarness.advance(1);
-    leaderHarness.sendHeartbeat("vm-1");
-    leaderHarness.advance(1);
-    assertTrue(leaderHarness.leader.jobs().scheduled().isEmpty());
-    GoldenTraces.check("cancelled", leaderHarness.trace);
+  void cancelledTaskIsStoppedOnItsMachine() throws IOException {
+    LeaderHarness harness = new LeaderHarness(POLICY, List.of());
+    harness.sendHeartbeat("vm-1");
+    harness.submit(JobSpecBuilder.job(1).cores(5).estimateS(500).build());
+    harness.sendHeartbeat("vm-1");
+    harness.log("the user cancels it");
+    harness.leader.jobs().onRemoved(LeaderHarness.task(1, 0).job(), harness.time());
+    harness.advance(1);
+    harness.sendHeartbeat("vm-1");
+    harness.advance(1);
+    harness.sendHeartbeat("vm-1");
+    harness.advance(1);
+    assertTrue(harness.leader.jobs().scheduled().isEmpty());
+    GoldenTraces.check("cancelled", harness.trace);
   }
 
   /**
-   * It was out of reach from before the cancellation until after the failover, and may be again
-   * before its next report: the first answer renews its lease, so it has to say it.
+   * Guards against a first answer that renews the worker's lease without stopping tasks that were
+   * cancelled while the worker was unreachable.
    */
   @Test
-  void firstAnswerOfNewLeaderHaltsEndedTasks() {
-    LeaderHarness leaderHarness = new LeaderHarness(POLICY, List.of());
-    leaderHarness.sendHeartbeat("vm-1");
-    leaderHarness.submit(JobSpecBuilder.job(1).cores(2).estimateS(500).build());
-    leaderHarness.submit(JobSpecBuilder.job(2).cores(2).estimateS(500).build());
-    leaderHarness.sendHeartbeat("vm-1");
+  void firstAnswerOfNewLeaderStopsEndedTasks() {
+    LeaderHarness harness = new LeaderHarness(POLICY, List.of());
+    harness.sendHeartbeat("vm-1");
+    harness.submit(JobSpecBuilder.job(1).cores(2).estimateS(500).build());
+    harness.submit(JobSpecBuilder.job(2).cores(2).estimateS(500).build());
+    harness.sendHeartbeat("vm-1");
     Job live = LeaderHarness.job(JobSpecBuilder.job(2).cores(2).estimateS(500).build(), true);
-    leaderHarness.failOver(
-        POLICY, new Term(8), List.of(live), ClusterSimulation.MACHINE_TYPE.size());
-    List<WorkerCommand> orders =
-        leaderHarness.leader.onHeartbeat(
-            leaderHarness.heartbeat("vm-1", LeaderHarness.TERM), true, leaderHarness.time());
+    harness.failOver(POLICY, new Term(8), List.of(live), ClusterSimulation.MACHINE_TYPE.size());
+    List<WorkerCommand> commands =
+        harness.leader.onHeartbeat(
+            harness.heartbeat("vm-1", LeaderHarness.TERM), true, harness.time());
     assertEquals(
-        List.of(LeaderHarness.task(1, 0)), orders.stream().map(WorkerCommand::task).toList());
-    assertTrue(orders.get(0) instanceof WorkerCommand.Stop);
+        List.of(LeaderHarness.task(1, 0)), commands.stream().map(WorkerCommand::task).toList());
+    assertTrue(commands.get(0) instanceof WorkerCommand.Stop);
   }
 
-  /** A leader that has not read the machine types yet once returned the whole fleet. */
+  /** Guards against deleting all machines before the machine types have been read. */
   @Test
-  void nothingIsScaledInBeforeMachineTypesAreKnown() {
+  void machinesAreKeptUntilMachineTypesAreKnown() {
     LeaderCore leader =
         new LeaderCore(
             POLICY,
@@ -338,9 +335,9 @@
     assertTrue(leader.machines().planScaleIn(new MonotonicTime(1200)).isEmpty());
   }
 
-  /** An entry of the ledger that can't be read may be a machine with tasks: absence is no proof. */
+  /** An unreadable ledger entry may be a machine with tasks, so launches wait for lease expiry. */
   @Test
-  void incompleteLedgerIsWaitedOut() {
+  void incompleteLedgerDelaysLaunchesUntilLeaseExpiry() {
     Job job = LeaderHarness.job(JobSpecBuilder.job(1).build(), true);
     LeaderCore leader =
         new LeaderCore(
@@ -350,8 +347,8 @@
                 List.of(job), List.of(), false, List.of(ClusterSimulation.MACHINE_TYPE)),
             new MonotonicTime(0),
             0);
-    long bound = POLICY.leaseRenewalWindow().plus(POLICY.leaseExpiryBound()).ms();
-    for (long now = 1000; now < bound + 2000; now += 1000) {
+    long expiryBoundMs = POLICY.leaseRenewalWindow().plus(POLICY.leaseExpiryBound()).ms();
+    for (long now = 1000; now < expiryBoundMs + 2000; now += 1000) {
       WorkerHeartbeat heartbeat =
           new WorkerHeartbeat(
               new MachineId("vm-1"),
@@ -364,10 +361,11 @@
               LeaderHarness.TERM,
               null,
               List.of());
-      List<WorkerCommand> orders = leader.onHeartbeat(heartbeat, true, new MonotonicTime(now));
+      List<WorkerCommand> commands = leader.onHeartbeat(heartbeat, true, new MonotonicTime(now));
       leader.machines().onRecorded(leader.machines().toRecord());
       leader.tick(new MonotonicTime(now));
-      assertTrue(now > bound || orders.isEmpty(), "launched at " + now);
+      assertTrue(
+          now > expiryBoundMs || commands.isEmpty(), "launched before lease expiry, at " + now);
     }
     assertEquals(1, job.placements.size());
   }
