--- a/src/main/java/io/saltflow/autoscaler/Backlog.java
+++ b/src/main/java/io/saltflow/autoscaler/Backlog.java
@@ -9,18 +9,18 @@
 import java.util.Collection;
 
 /**
- * What all accepted jobs still need, summed up once a scheduling round.
+ * The remaining work of all accepted jobs, computed once per scheduling round.
  *
- * @param coreSeconds predicted core-seconds until all tasks are done
- * @param desiredCores the cores with which every job would be done within the horizon, or sooner
- *     where its deadline requires it
- * @param preemptibleCores cores in use by tasks that urgent jobs may preempt
+ * @param coreSeconds predicted core-seconds of work until all tasks are done
+ * @param desiredCores the number of cores with which every job finishes within the scale-out
+ *     horizon, or sooner where its deadline requires it
+ * @param preemptibleCores the number of cores in use by tasks that urgent jobs may preempt
  */
 public record Backlog(double coreSeconds, double desiredCores, double preemptibleCores) {
   /** The backlog of an empty queue. */
   public static final Backlog NONE = new Backlog(0, 0, 0);
 
-  /** Sums up the jobs that have not ended. */
+  /** Computes the backlog of the jobs that have not ended. */
   public static Backlog of(
       Collection<Job> jobs,
       Collection<MachineType> types,
@@ -63,8 +63,7 @@
         double remainingSeconds =
             Math.max(0, estimates.predictedEnd(placement, now).since(now).toSeconds());
         coreSeconds += cores * remainingSeconds;
-        // A running task takes cores that a job with a close deadline needs, for as long as it
-        // runs.
+        // A running task occupies cores that a job with a close deadline needs.
         desiredCores += cores * Math.min(1, remainingSeconds / shortestWindowSeconds);
       }
     }
@@ -76,9 +75,9 @@
   }
 
   /**
-   * The time within which the job's tasks are to be done: the horizon, or less where its deadline
-   * requires it, so that its last task starts in time on a machine that is created now; no less
-   * than one run, within which all of them start at once.
+   * Returns the time within which the job's tasks are to be done: the horizon, or less if the last
+   * task must start earlier on a machine created now to meet the deadline. Never less than the
+   * predicted run time of one task, at which all tasks start at once.
    */
   private static double windowSeconds(
       Job job, double bootSeconds, Policy policy, RunTimeEstimates estimates, MonotonicTime now) {
--- a/src/main/java/io/saltflow/autoscaler/ControllerCapacity.java
+++ b/src/main/java/io/saltflow/autoscaler/ControllerCapacity.java
@@ -4,35 +4,36 @@
 import io.saltflow.model.TimeSpan;
 
 /**
- * How many machines this controller can serve as leader, by what serving the present ones costs it.
- * Its use of processor and memory grows with the machines that report to it; its connections do not
- * (they are shared out in turn), nor do its writes, which grow with jobs. A larger cluster would do
- * less work, not more: heartbeats would wait until their workers gave up, which looks like machines
- * that hang.
+ * Limits the number of machines by the CPU and heap that this controller uses as leader. Both grow
+ * with the number of machines that send heartbeats, unlike connections, which are shared in turn,
+ * and writes, which grow with jobs. Beyond the limit, heartbeats would time out and healthy
+ * machines would appear to hang.
  */
 public final class ControllerCapacity {
-  /** Load is averaged over so many samples, a second each: longer than the peak of a failover. */
+  /**
+   * Number of one-second samples over which load is averaged; longer than the peak of a failover.
+   */
   private static final double SMOOTHING_SAMPLES = 10;
 
-  /** Above this utilization no machine is created. */
+  /** Utilization above which no machines are created. */
   private static final double FULL_THRESHOLD = 0.9;
 
-  /** Below this utilization machines are created again; the gap is the hysteresis. */
+  /** Utilization below which machines are created again; the gap provides hysteresis. */
   private static final double RECOVERED_THRESHOLD = 0.75;
 
-  /** A process that has just started is busy too: so few machines are never the reason. */
+  /** Lower bound of the limit, as the load of process startup is not caused by machines. */
   private static final int MIN_MACHINE_LIMIT = 100;
 
   /**
-   * What the work of one second cost.
+   * Load of the controller during one second.
    *
-   * @param busy the part of it in which the event loop was at work, 0 to 1
-   * @param heap the part of the heap that is held by what lives, 0 to 1
-   * @param rejectedConnections connections that were closed for want of sockets
+   * @param busy the fraction of the second during which the event loop was busy, 0 to 1
+   * @param heap the fraction of the heap that is occupied by live objects, 0 to 1
+   * @param rejectedConnections the number of connections that were closed for lack of sockets
    */
   public record Load(double busy, double heap, int rejectedConnections) {}
 
-  /** After so many saturated samples in a row heartbeats wait for longer than workers do. */
+  /** Consecutive saturated samples after which heartbeats wait longer than workers' timeouts. */
   private static final int SATURATED_SAMPLES_THRESHOLD = 2;
 
   private static final TimeSpan OVERLOAD_HOLD_TIME = TimeSpan.seconds(2);
@@ -45,7 +46,7 @@
   private int maxMachines = Integer.MAX_VALUE;
   private MonotonicTime overloadedAt = MonotonicTime.LONG_AGO;
 
-  /** Takes in the load of the last second. */
+  /** Records the load of the last second and updates the limit. */
   public void onLoadSample(Load load, int machines, MonotonicTime now) {
     busy += (load.busy - busy) / SMOOTHING_SAMPLES;
     heap += (load.heap - heap) / SMOOTHING_SAMPLES;
@@ -61,35 +62,35 @@
     }
   }
 
-  /** How many machines there may be in all. */
+  /** Returns the maximum total number of machines, {@link Integer#MAX_VALUE} if not limited. */
   public int maxMachines() {
     return maxMachines;
   }
 
-  /** Whether no more machines may be created. */
+  /** Returns whether the number of machines is limited at present. */
   public boolean isFull() {
     return maxMachines < Integer.MAX_VALUE;
   }
 
-  /** The process was paused until now: no heartbeat could be read. */
+  /** Records that the process was paused until now and could not read heartbeats. */
   public void onProcessResumed(MonotonicTime now) {
     overloadedAt = now;
   }
 
-  /** Until when heartbeats may have been lost because of this controller. */
+  /** Returns the time until which heartbeats may have been lost because of this controller. */
   public MonotonicTime unreachableUntil() {
     return overloadedAt;
   }
 
-  /** Whether heartbeats may be lost now because of this controller. */
+  /** Returns whether heartbeats may be lost now because of this controller. */
   public boolean isOverloaded(MonotonicTime now) {
     return now.since(overloadedAt).compareTo(OVERLOAD_HOLD_TIME) < 0;
   }
 
-  /** Which resource is used most, for the log. */
+  /** Returns a description of the most used resource, for the log. */
   public String limitingResource() {
     return busy >= heap
-        ? String.format("its processor is at work %.0f%% of the time", 100 * busy)
-        : String.format("%.0f%% of its memory is held", 100 * heap);
+        ? String.format("CPU is %.0f%% busy", 100 * busy)
+        : String.format("heap is %.0f%% full", 100 * heap);
   }
 }
--- a/src/main/java/io/saltflow/autoscaler/CordonPlanner.java
+++ b/src/main/java/io/saltflow/autoscaler/CordonPlanner.java
@@ -12,24 +12,24 @@
 import java.util.List;
 import java.util.Map;
 
-/** Cordons expensive machines while the others can work the backlog off in time. */
+/** Cordons expensive machines while the others can process the backlog in time. */
 public final class CordonPlanner {
   /**
-   * In on-demand horizons. Well below the bound at which expensive machines are created, so that
-   * they do not come and go.
+   * Fraction of the on-demand horizon below which expensive machines are cordoned. The gap to the
+   * bound at which they are created prevents oscillation.
    */
   private static final double SUFFICIENT_HORIZON_SHARE = 0.7;
 
   private final Policy policy;
   private final RunTimeEstimates estimates;
 
-  /** A planner with the operators' settings and predicted run times. */
+  /** Creates a planner that uses the operators' settings and predicted run times. */
   public CordonPlanner(Policy policy, RunTimeEstimates estimates) {
     this.policy = policy;
     this.estimates = estimates;
   }
 
-  /** Sets which machines are cordoned and which jobs may use those that are. */
+  /** Updates which machines are cordoned and which jobs may use cordoned machines. */
   public void update(
       Collection<Machine> machines, Collection<Job> jobs, Backlog backlog, MonotonicTime now) {
     List<Machine> usableMachines = new ArrayList<>();
@@ -63,7 +63,8 @@
         !anyMissesDeadline && waitSeconds < horizonSeconds * SUFFICIENT_HORIZON_SHARE;
     boolean insufficient = anyMissesDeadline || waitSeconds > horizonSeconds;
     for (Machine machine : usableMachines) {
-      // Cores say nothing of what accelerators are worth: while jobs wait for these they stay.
+      // Prices per core do not reflect accelerators, so these machines stay while jobs wait for
+      // them.
       boolean needed = machine.type().size().gpus() > 0 && anyNeedsGpus;
       if (machine.pricePerCore() <= inexpensivePrice || needed || insufficient) {
         machine.setCordoned(false);
@@ -74,9 +75,9 @@
   }
 
   /**
-   * A job that none of the inexpensive machines may ever take, by its zone, its types or because it
-   * may not use spot instances, may use a cordoned one. Before, it waited beside free resources for
-   * as long as the other jobs could be done in time without that machine.
+   * Lets a job use cordoned machines if no inexpensive machine can ever run it because of its zone,
+   * machine types or exclusion of spot instances. Otherwise it would wait next to free resources
+   * for as long as the other jobs do not need the machine.
    */
   private static void markJobsForExpensiveMachines(
       Collection<Job> jobs, List<Machine> usableMachines, double inexpensivePrice) {
--- a/src/main/java/io/saltflow/autoscaler/DeadlineRisk.java
+++ b/src/main/java/io/saltflow/autoscaler/DeadlineRisk.java
@@ -4,11 +4,11 @@
 import io.saltflow.cluster.RunTimeEstimates;
 import io.saltflow.model.MonotonicTime;
 
-/** Whether waiting makes a job miss its deadline. */
+/** Predicts whether waiting makes a job miss its deadline. */
 final class DeadlineRisk {
   private DeadlineRisk() {}
 
-  /** Whether a job would miss its own deadline if its tasks waited so long. */
+  /** Returns whether the job would miss its own deadline if its tasks waited this long. */
   static boolean missesDeadline(
       Job job, double waitSeconds, RunTimeEstimates estimates, MonotonicTime now) {
     if (!job.queueState().hasDeadline()) {
--- a/src/main/java/io/saltflow/autoscaler/InstanceKind.java
+++ b/src/main/java/io/saltflow/autoscaler/InstanceKind.java
@@ -3,11 +3,9 @@
 import io.saltflow.cluster.Job;
 import io.saltflow.model.MachineType;
 
-/**
- * What the cloud can be asked for: a machine type in a zone, as a spot or an on-demand instance.
- */
+/** A kind of instance that the cloud can create: a machine type in a zone, spot or on-demand. */
 public record InstanceKind(MachineType type, String zone, boolean spot) {
-  /** Whether tasks of the job may run on such a machine at all. */
+  /** Returns whether tasks of the job may run on machines of this kind. */
   boolean accepts(Job job) {
     return job.spec.allows(type.name(), zone, spot);
   }
--- a/src/main/java/io/saltflow/autoscaler/InstanceSelector.java
+++ b/src/main/java/io/saltflow/autoscaler/InstanceSelector.java
@@ -9,8 +9,8 @@
 /** Selects the kind of instance on which a job's waiting tasks cost least. */
 final class InstanceSelector {
   /**
-   * A machine with so many cores counts twice its price: one long task keeps all of a large
-   * machine, and all of it is reclaimed at once.
+   * Number of cores at which a machine is weighted with twice its price. Large machines are
+   * penalized because one long task keeps the whole machine, and all of it is reclaimed at once.
    */
   private static final double SIZE_PENALTY_CORES = 500;
 
@@ -23,16 +23,16 @@
   }
 
   /**
-   * What an instance may cost.
+   * Limits on the price of an instance.
    *
-   * @param expensiveAllowed whether tasks may cost much more than on the least expensive kind, as
-   *     they cannot wait for it
-   * @param maxHourlyPrice a machine beyond this price is not taken if its tasks cost much more than
-   *     on the least expensive kind
+   * @param expensiveAllowed whether tasks may cost much more than on the cheapest kind because they
+   *     cannot wait
+   * @param maxHourlyPrice the price above which a machine is rejected if its tasks cost much more
+   *     than on the cheapest kind
    */
   record PriceLimit(boolean expensiveAllowed, double maxHourlyPrice) {}
 
-  /** The search for one job. */
+  /** Selection of an instance kind for one job. */
   private final class Search {
     private final Job job;
     private final int tasks;
@@ -94,7 +94,7 @@
     }
   }
 
-  /** The kind to ask for; null if none is to be had at an acceptable price. */
+  /** Returns the kind to request, or {@code null} if none is available at an acceptable price. */
   InstanceKind select(
       Job job, int tasks, Collection<MachineType> types, PriceLimit limit, MonotonicTime now) {
     Search search = new Search(job, tasks, limit, now);
--- a/src/main/java/io/saltflow/autoscaler/PendingCapacity.java
+++ b/src/main/java/io/saltflow/autoscaler/PendingCapacity.java
@@ -6,18 +6,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** The free resources of machines that are being created, counted by what each has left. */
+/** Free resources of machines that are being created, counted by the amount free on each. */
 final class PendingCapacity {
   private Map<Resources, Integer> machinesByFreeResources = new LinkedHashMap<>();
 
-  /** Adds machines that have the same resources free. */
+  /** Adds machines with the same free resources. */
   void add(Resources free, int count) {
     if (count > 0 && free.cores() > 0) {
       machinesByFreeResources.merge(free, count, Integer::sum);
     }
   }
 
-  /** Places tasks of one size as far as they fit, and returns how many do not. */
+  /** Reserves resources for as many tasks of one size as fit, and returns how many do not fit. */
   int take(Resources taskSize, int tasks) {
     int unplaced = tasks;
     List<Map.Entry<Resources, Integer>> before =
--- a/src/main/java/io/saltflow/autoscaler/ScaleInPlanner.java
+++ b/src/main/java/io/saltflow/autoscaler/ScaleInPlanner.java
@@ -11,9 +11,9 @@
 import java.util.Collection;
 import java.util.List;
 
-/** Decides which machines to delete: silent, faulty, never up, about to be reclaimed, or idle. */
+/** Selects machines to delete: silent, faulty, failed to boot, about to be reclaimed, or idle. */
 public final class ScaleInPlanner {
-  /** With fewer machines that get no answer each is judged by itself. */
+  /** Number of machines with lost answers below which each is assessed individually. */
   private static final int CORRELATED_ANSWERS_LOST_THRESHOLD = 4;
 
   private static final int CORRELATED_ANSWERS_LOST_FRACTION = 10;
@@ -22,14 +22,14 @@
   private static final int CORRELATED_SILENCE_FRACTION = 2;
 
   /**
-   * In silence timeouts: a new leader that has heard four of five machines waits less for the rest,
-   * as they hold up everything else.
+   * Factor of the silence timeout for unreconciled machines once four of five machines are
+   * reconciled. The last ones are given less time because they delay all launches.
    */
   private static final double LAST_UNRECONCILED_TIMEOUT_FACTOR = 0.65;
 
   private static final int LAST_UNRECONCILED_FRACTION = 5;
 
-  /** In silence timeouts: a faulty machine is kept for its replicas no longer than this. */
+  /** Maximum time that a faulty machine is kept for its replicas, in silence timeouts. */
   private static final double FAULTY_TIMEOUT_FACTOR = 2;
 
   private static final TimeSpan BOOT_TIMEOUT_MARGIN = TimeSpan.seconds(10);
@@ -37,21 +37,20 @@
   private final Policy policy;
   private final EventSummary eventSummary;
 
-  /** A planner with the operators' settings. */
+  /** Creates a planner that uses the operators' settings. */
   public ScaleInPlanner(Policy policy, EventSummary eventSummary) {
     this.policy = policy;
     this.eventSummary = eventSummary;
   }
 
   /**
-   * What the leader knows of its own contact with the machines.
+   * The leader's own contact with the machines.
    *
-   * @param unreachableUntil until when heartbeats may have been lost at this controller: silence
-   *     before that is not the machines' own, though no machine is excused for longer than its
-   *     lease
-   * @param leaderSince when this leader was elected
-   * @param reconciledAt when the failover was complete; null if it is not
-   * @param now the monotonic clock
+   * @param unreachableUntil the time until which heartbeats may have been lost at this controller;
+   *     silence before it is not attributed to the machines, but for no longer than their lease
+   * @param leaderSince the time at which this leader was elected
+   * @param reconciledAt the time at which the failover was complete, or {@code null} if it is not
+   * @param now the current monotonic time
    */
   public record Contact(
       MonotonicTime unreachableUntil,
@@ -59,11 +58,11 @@
       MonotonicTime reconciledAt,
       MonotonicTime now) {}
 
-  /** Silence of many machines at once, which is more likely the network's or the leader's own. */
+  /** Simultaneous silence of many machines, probably a fault of the network or the leader. */
   private record CorrelatedFaults(
       boolean partitioned, boolean answersLost, TimeSpan unreconciledTimeout) {}
 
-  /** The machines to delete; each is marked and named once. */
+  /** Returns the machines to delete and marks them, so that each is returned only once. */
   public List<MachineId> machinesToRemove(Collection<Machine> machines, Contact contact) {
     CorrelatedFaults faults = correlatedFaults(machines, contact);
     List<MachineId> removals = new ArrayList<>();
@@ -111,7 +110,7 @@
     return contact.now.since(MonotonicTime.later(lastHeard, excusedUntil));
   }
 
-  /** Why the machine is to be deleted; null if it is kept. */
+  /** Returns the reason to delete the machine, or {@code null} if it is kept. */
   private ScaleInReason reasonFor(Machine machine, CorrelatedFaults faults, Contact contact) {
     TimeSpan silence = silenceOf(machine, contact);
     boolean expected = machine.isUp() || machine.mayRunEarlierTermTasks();
@@ -149,8 +148,8 @@
   }
 
   /**
-   * Whether the services with replicas here have enough without them; a machine that fails what it
-   * is given is not kept for them for ever.
+   * Returns whether services with replicas on this faulty machine have enough other replicas, or
+   * the machine has been faulty for too long to be kept for them.
    */
   private boolean replicasCovered(Machine machine, MonotonicTime now) {
     TimeSpan faultyTimeout = policy.silenceTimeout().times(FAULTY_TIMEOUT_FACTOR);
@@ -178,10 +177,10 @@
       return ScaleInReason.RECLAIMED;
     }
     if (contact.reconciledAt == null) {
-      // Before that most tasks may not be launched: machines are empty for this alone.
+      // Most tasks may not be launched before reconciliation, so empty machines are not idle yet.
       return null;
     }
-    // The minimum charge is due whether the machine is used or not.
+    // The minimum billed time is charged whether the machine is used or not.
     TimeSpan billed = contact.now.since(machine.billedFrom());
     if (!billed.longerThan(policy.minimumBilledTime())) {
       return null;
@@ -189,7 +188,7 @@
     if (machine.isCordoned()) {
       return ScaleInReason.EXPENSIVE;
     }
-    // Kept for as long as it would take to create another: longer costs more than it can save.
+    // Keeping an idle machine for longer than a boot takes costs more than it can save.
     TimeSpan idleTimeout = machine.type().boot().times(policy.idleTimeoutBootFactor());
     MonotonicTime idleSince = MonotonicTime.later(machine.idleSince(), contact.reconciledAt);
     return contact.now.since(idleSince).longerThan(idleTimeout) ? ScaleInReason.IDLE : null;
--- a/src/main/java/io/saltflow/autoscaler/ScaleInReason.java
+++ b/src/main/java/io/saltflow/autoscaler/ScaleInReason.java
@@ -1,6 +1,6 @@
 package io.saltflow.autoscaler;
 
-/** Why a machine is deleted. */
+/** Reason for deleting a machine. */
 enum ScaleInReason {
   ANSWERS_LOST("answers to their heartbeats are lost"),
   SILENT("silent"),
@@ -17,7 +17,7 @@
     this.text = text;
   }
 
-  /** The reason as the log states it. */
+  /** Returns the reason as it appears in the log. */
   @Override
   public String toString() {
     return text;
--- a/src/main/java/io/saltflow/autoscaler/ScaleOutPlanner.java
+++ b/src/main/java/io/saltflow/autoscaler/ScaleOutPlanner.java
@@ -16,11 +16,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** Plans which machines to ask the cloud for, and keeps the requests that are not answered yet. */
+/** Plans which machines to request from the cloud, and tracks requests not yet answered. */
 public final class ScaleOutPlanner {
   private static final int MAX_MACHINES_PER_REQUEST = 50;
 
-  /** Over all kinds of instances. */
+  /** Maximum number of unanswered requests over all kinds of instances. */
   private static final int MAX_OPEN_REQUESTS = 8;
 
   private final Policy policy;
@@ -32,7 +32,7 @@
   private final Map<String, ScaleOutRequest> openRequests = new LinkedHashMap<>();
   private long requestSequence;
 
-  /** A planner for one term, whose number is part of each request's name. */
+  /** Creates a planner for one term; the term is part of each request's name. */
   public ScaleOutPlanner(
       Policy policy, Term term, RunTimeEstimates estimates, EventSummary eventSummary) {
     this.policy = policy;
@@ -43,10 +43,11 @@
   }
 
   /**
-   * The requests to send for the waiting jobs, beside the machines that are being created.
+   * Returns the requests to send for the waiting jobs, taking into account machines that are
+   * already being created.
    *
-   * @param waiting the queue in order
-   * @param maxMachines how many machines there may be in all
+   * @param waiting the waiting jobs in queue order
+   * @param maxMachines the maximum total number of machines
    */
   public List<ScaleOutRequest> plan(
       List<WaitingJob> waiting,
@@ -72,14 +73,16 @@
     return createRequests(plan.machinesByKind, now);
   }
 
-  /** A plan while it is made: what there is and will be, and what is to be asked for. */
+  /** A plan under construction: existing and pending capacity, and the machines to request. */
   private final class Plan {
     private final Backlog backlog;
     private final Collection<MachineType> types;
     private final MonotonicTime now;
     private final double maxHourlyPrice;
 
-    /** What all jobs need of a kind is asked for together: the cloud limits the request rate. */
+    /**
+     * Machines to request per kind, combined over all jobs as the cloud limits the request rate.
+     */
     private final Map<InstanceKind, Integer> machinesByKind = new LinkedHashMap<>();
 
     private final PendingCapacity pendingCapacity = new PendingCapacity();
@@ -100,8 +103,8 @@
       this.now = now;
       countMachines(machines);
       countOpenRequests();
-      // Not even for overdue jobs may one expensive machine cost a good part of what all the others
-      // do: a large one would idle around its last long task.
+      // One expensive machine must not cost a large fraction of all others, even for overdue jobs:
+      // a large one would be mostly idle during its last long task.
       maxHourlyPrice = hourlyCost(machines) * policy.maxMachinePriceShare();
       preemptibleCores = backlog.preemptibleCores();
       missingCores = backlog.desiredCores() - totalCores;
@@ -133,7 +136,7 @@
       }
     }
 
-    /** Adds the machines that a job needs; false if no further machine may be created. */
+    /** Adds the machines that a job needs. Returns false if no further machines may be created. */
     boolean addMachinesFor(WaitingJob waitingJob) {
       Job job = waitingJob.job();
       Resources taskSize = job.spec.size();
@@ -151,17 +154,17 @@
         return true;
       }
       InstanceKind kind = selector.select(job, tasks, types, priceLimit(job, urgent), now);
-      // If the best kind was just asked for all that was needed, the answer comes first. While what
-      // is needed goes beyond one request, the next is sent without waiting.
+      // An open request for the best kind that covers the whole need is awaited first. If the need
+      // exceeds one request, the next is sent without waiting.
       return kind == null || hasPartialOpenRequest(kind) || addMachines(kind, taskSize, tasks);
     }
 
-    /** Whether the job needs machines whatever the backlog is. */
+    /** Returns whether the job needs machines regardless of the backlog. */
     private boolean isUrgent(Job job, double cores) {
       boolean urgent = job.spec.daemon();
       if (job.queueState().priority().compareTo(policy.preemptingPriority()) >= 0) {
-        // Resources that preemption can free are there before any machine is up; what was preempted
-        // then counts as backlog.
+        // Preemption frees resources sooner than a machine boots; preempted tasks then count as
+        // backlog.
         urgent |= preemptibleCores < cores;
         preemptibleCores -= cores;
       }
@@ -190,7 +193,7 @@
       double requestedCores = count * machineSize.cores();
       totalCores += requestedCores;
       missingCores -= requestedCores;
-      // What the new machines have beside this job's tasks serves the jobs behind it.
+      // Resources left on the new machines serve the jobs later in the queue.
       pendingCapacity.add(machineSize, count);
       pendingCapacity.take(taskSize, tasks);
       return true;
@@ -235,8 +238,8 @@
   }
 
   /**
-   * Whether the cloud may still create a machine for the job: some kind that fits was not refused
-   * recently.
+   * Returns whether the cloud may still create a machine for the job, that is, some kind on which
+   * it fits was not refused recently.
    */
   public boolean mayBeAvailable(Job job, Collection<MachineType> types, MonotonicTime now) {
     for (MachineType type : types) {
@@ -257,15 +260,15 @@
     return !backoffs.wasRefusedRecently(kind, now) && kind.accepts(job);
   }
 
-  /** Whether the cloud grants every request at present. */
+  /** Returns whether no kind of instance is backed off after a refusal. */
   public boolean noRecentRefusals(MonotonicTime now) {
     return !backoffs.isAnyBackedOff(now);
   }
 
   /**
-   * The cloud answered a request.
+   * Records the cloud's answer to a request.
    *
-   * @param granted how many machines it created, 0 to all
+   * @param granted the number of machines created, from 0 to the requested count
    */
   public void onAnswered(ScaleOutRequest request, int granted, MonotonicTime now) {
     openRequests.remove(request.name());
--- a/src/main/java/io/saltflow/autoscaler/package-info.java
+++ b/src/main/java/io/saltflow/autoscaler/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which machines to rent and which to return: backlog, pending capacity, and the number of machines
- * that a controller can serve. Deterministic; it has no sockets and no clock.
+ * Scaling out and in, based on the backlog, pending capacity, and the number of machines that a
+ * controller can serve. The code is deterministic: it performs no I/O and reads no clock.
  */
 package io.saltflow.autoscaler;
--- a/src/test/java/io/saltflow/autoscaler/AutoscalerTest.java
+++ b/src/test/java/io/saltflow/autoscaler/AutoscalerTest.java
@@ -18,7 +18,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Scaling out and in, without oscillation. */
+/** Tests of scaling out and in, and of the absence of oscillation. */
 class AutoscalerTest {
   private static final Policy POLICY =
       TestPolicies.of(
@@ -27,27 +27,27 @@
           1800,
           new Policy.TeamQuota("blue", 0, 0, 0, 0));
 
-  private static List<String> describe(List<ScaleOutRequest> rentals) {
-    return rentals.stream()
+  private static List<String> describe(List<ScaleOutRequest> requests) {
+    return requests.stream()
         .map(
             request ->
                 request.count() + " " + request.zone() + (request.spot() ? " spot" : " ordinary"))
         .toList();
   }
 
-  /** Advances the clock while the cloud refuses every request. */
+  /** Advances the clock while the cloud refuses every request; returns the requests. */
   private static List<String> refuseFor(LeaderHarness harness, int seconds, Set<String> names) {
-    List<String> out = new ArrayList<>();
+    List<String> descriptions = new ArrayList<>();
     for (int i = 0; i < seconds; i++) {
-      List<ScaleOutRequest> rentals = harness.leader.machines().planScaleOut(harness.time());
-      for (ScaleOutRequest request : rentals) {
-        assertTrue(names.add(request.name()), "a request's name was used twice");
+      List<ScaleOutRequest> requests = harness.leader.machines().planScaleOut(harness.time());
+      for (ScaleOutRequest request : requests) {
+        assertTrue(names.add(request.name()), "name of request was reused");
         harness.leader.machines().onScaleOutRefused(request, harness.time());
       }
-      out.addAll(describe(rentals));
+      descriptions.addAll(describe(requests));
       harness.advance(1);
     }
-    return out;
+    return descriptions;
   }
 
   @Test
@@ -56,11 +56,11 @@
     harness.submit(
         JobSpecBuilder.job(1).tasks(10).cores(2).estimateS(60).priority(Priority.HIGH).build());
     harness.advance(1);
-    List<String> asked = refuseFor(harness, 120, new HashSet<>());
-    Set<String> kinds = new HashSet<>(asked);
+    List<String> requested = refuseFor(harness, 120, new HashSet<>());
+    Set<String> kinds = new HashSet<>(requested);
     assertEquals(Set.of("2 a spot", "2 b spot", "2 a ordinary", "2 b ordinary"), kinds);
-    // Four kinds, each at 0, 8, 24 and 56 s and once more after the longest wait.
-    assertTrue(asked.size() <= 20, "asked " + asked.size() + " times in 120 s");
+    // Four kinds, each requested at 0, 8, 24 and 56 s and once more after the maximum backoff.
+    assertTrue(requested.size() <= 20, requested.size() + " requests in 120 s");
   }
 
   @Test
@@ -82,12 +82,12 @@
     harness.submit(
         JobSpecBuilder.job(1).tasks(2).cores(5).estimateS(60).priority(Priority.HIGH).build());
     harness.advance(1);
-    List<ScaleOutRequest> rentals = harness.leader.machines().planScaleOut(harness.time());
-    assertEquals(1, rentals.size());
+    List<ScaleOutRequest> requests = harness.leader.machines().planScaleOut(harness.time());
+    assertEquals(1, requests.size());
     harness
         .leader
         .machines()
-        .onCreated(rentals.get(0), List.of(new MachineId("vm-9")), harness.time());
+        .onCreated(requests.get(0), List.of(new MachineId("vm-9")), harness.time());
     for (int i = 0; i < 15; i++) {
       harness.advance(1);
       assertEquals(List.of(), describe(harness.leader.machines().planScaleOut(harness.time())));
@@ -106,24 +106,26 @@
     assertEquals(
         List.of(),
         harness.leader.machines().planScaleIn(harness.time()),
-        "the minute is paid anyway");
+        "minimum charge is not used up");
     harness.runAndCheckIn("vm-1", 10);
     assertEquals(
         List.of(new MachineId("vm-1")), harness.leader.machines().planScaleIn(harness.time()));
     assertEquals(
-        List.of(), harness.leader.machines().planScaleIn(harness.time()), "asked for once");
+        List.of(),
+        harness.leader.machines().planScaleIn(harness.time()),
+        "machine must be returned only once");
     harness.leader.machines().onDeleted(List.of(new MachineId("vm-1")), harness.time());
     harness.leader.machines().onListed(List.of(listed("vm-1", 70)), harness.time());
     harness.advance(30);
     assertEquals(
         List.of(),
         harness.leader.machines().planScaleIn(harness.time()),
-        "it is gone, whatever an old list says");
+        "stale list must not restore the deleted machine");
   }
 
   /**
-   * A machine's first minute is paid whether it is used or not, but a failover does not begin it
-   * anew: on a day of four failovers 500 empty machines were kept for a minute after each.
+   * Guards against a restart of the minimum charge at each failover, which kept idle machines
+   * alive.
    */
   @Test
   void inheritedMachineAgeComesFromTheCloud() {
@@ -133,8 +135,8 @@
         .machines()
         .onListed(List.of(listed("vm-1", 300), listed("vm-2", 10)), harness.time());
     harness.advance(1);
-    // It is old and has not reported to this leader yet: it is not one that never came up. Taking
-    // it for one returned 500 machines with all that ran on them.
+    // An old machine without a heartbeat to this leader must not be taken for a failed boot, which
+    // would delete it with its tasks.
     assertEquals(List.of(), harness.leader.machines().planScaleIn(harness.time()));
     harness.sendHeartbeat("vm-1");
     harness.sendHeartbeat("vm-2");
@@ -146,7 +148,7 @@
         List.of(new MachineId("vm-1")), harness.leader.machines().planScaleIn(harness.time()));
   }
 
-  /** Machines that are empty because nothing may be launched yet are not idle. */
+  /** Guards against deleting machines that are empty because launches are not allowed yet. */
   @Test
   void emptyMachinesAreKeptUntilReconciled() {
     LeaderHarness harness =
@@ -160,7 +162,7 @@
         .machines()
         .onListed(List.of(listed("vm-1", 300), listed("vm-2", 300)), harness.time());
     for (int i = 0; i < 4; i++) {
-      // The other machine has not been heard of: it may hold the task.
+      // The other machine has not sent a heartbeat, so it may run the task.
       harness.advance(2);
       harness.sendHeartbeat("vm-1");
       assertEquals(List.of(), harness.leader.machines().planScaleIn(harness.time()));
@@ -174,7 +176,7 @@
         new MachineId(name), "", "box", "a", false, false, false, TimeSpan.seconds(ageS));
   }
 
-  /** When most fall silent at once, the cut is more likely the leader's own. */
+  /** Guards against deleting machines when the leader itself is partitioned from them. */
   @Test
   void partitionedLeaderDoesNotScaleIn() {
     LeaderHarness harness = new LeaderHarness(POLICY, List.of());
@@ -186,14 +188,12 @@
     assertTrue(harness.leader.isCutOff(harness.time()));
     harness.advance(6);
     assertEquals(
-        6,
-        harness.leader.machines().planScaleIn(harness.time()).size(),
-        "their leases are over by now");
+        6, harness.leader.machines().planScaleIn(harness.time()).size(), "leases have expired");
   }
 
   /**
-   * A paused process heard nobody, but was not cut off. It stepped down on resuming in the midst of
-   * an outage, when nobody else could take it, and 2,000 tasks were over by their leases.
+   * Guards against a leader that steps down after a process pause because it takes missed
+   * heartbeats for a partition.
    */
   @Test
   void pausedLeaderIsNotCutOffAndRemovesNoMachine() {
@@ -207,6 +207,6 @@
     assertEquals(false, harness.leader.isCutOff(harness.time()));
     assertEquals(List.of(), harness.leader.machines().planScaleIn(harness.time()));
     harness.advance(6);
-    assertTrue(harness.leader.isCutOff(harness.time()), "now it should have heard them");
+    assertTrue(harness.leader.isCutOff(harness.time()), "heartbeats are missing after the pause");
   }
 }
--- a/src/test/java/io/saltflow/autoscaler/ControllerCapacityTest.java
+++ b/src/test/java/io/saltflow/autoscaler/ControllerCapacityTest.java
@@ -19,7 +19,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a leader does when it is as large as it can be. */
+/** Tests of the limit on machines when the leader is at capacity. */
 class ControllerCapacityTest {
   private static final Policy POLICY =
       TestPolicies.of(
@@ -31,32 +31,32 @@
   private long now = 1_000;
 
   private void sample(
-      ControllerCapacity capacity, int times, double busy, double heap, int machines) {
-    for (int i = 0; i < times; i++) {
+      ControllerCapacity capacity, int samples, double busy, double heap, int machines) {
+    for (int i = 0; i < samples; i++) {
       now += 1000;
       capacity.onLoadSample(
           new ControllerCapacity.Load(busy, heap, 0), machines, new MonotonicTime(now));
     }
   }
 
-  /** A rush of a failover is no reason, a minute of work without pause is; and it passes. */
+  /** Guards against a limit set by the short load peak of a failover, or kept after recovery. */
   @Test
   void sustainedLoadLimitsMachinesUntilItPasses() {
     ControllerCapacity capacity = new ControllerCapacity();
     sample(capacity, 15, 1, 0.2, 4000);
-    assertFalse(capacity.isFull(), "a rush");
+    assertFalse(capacity.isFull(), "a short peak must not set a limit");
     sample(capacity, 30, 1, 0.2, 4000);
     assertEquals(4000, capacity.maxMachines());
     sample(capacity, 5, 1, 0.2, 4200);
-    assertEquals(4000, capacity.maxMachines(), "those that were on their way do not raise it");
+    assertEquals(4000, capacity.maxMachines(), "pending machines must not raise the limit");
     sample(capacity, 30, 0.6, 0.2, 3900);
     assertFalse(capacity.isFull());
     sample(capacity, 60, 0.3, 0.95, 5000);
     assertEquals(5000, capacity.maxMachines());
-    assertEquals("95% of its memory is held", capacity.limitingResource());
+    assertEquals("heap is 95% full", capacity.limitingResource());
   }
 
-  /** A process that has just begun is busy before it has any machines at all. */
+  /** Guards against a limit near zero caused by the load of process startup. */
   @Test
   void limitNeverFallsBelowMinimum() {
     ControllerCapacity capacity = new ControllerCapacity();
@@ -72,24 +72,23 @@
       harness.advance(1);
       harness.leader.onLoadSample(1, 0.1, 0, harness.time());
     }
-    int rented = 0;
+    int created = 0;
     for (int i = 0; i < 10; i++) {
       harness.advance(1);
       for (ScaleOutRequest request : harness.leader.machines().planScaleOut(harness.time())) {
-        List<MachineId> hosts = new ArrayList<>();
-        for (int host = 0; host < request.count(); host++) {
-          hosts.add(new MachineId("vm-" + rented++));
+        List<MachineId> ids = new ArrayList<>();
+        for (int machine = 0; machine < request.count(); machine++) {
+          ids.add(new MachineId("vm-" + created++));
         }
-        harness.leader.machines().onCreated(request, hosts, harness.time());
+        harness.leader.machines().onCreated(request, ids, harness.time());
       }
     }
-    assertEquals(100, rented, "200 would be wanted");
+    assertEquals(100, created, "demand is 200 machines");
   }
 
   /**
-   * Workers that were turned away for want of sockets had no chance to be heard: they were returned
-   * with all that ran on them, and others rented, which were not heard either. But none is waited
-   * for when its lease is over.
+   * Guards against deleting machines whose heartbeats were rejected for lack of sockets, while
+   * their leases have not expired.
    */
   @Test
   void rejectedConnectionsDoNotCountAsSilence() {
@@ -107,21 +106,22 @@
           harness.leader.machines().planScaleIn(harness.time()),
           "after " + (i + 1) + " s");
     }
-    int later = 0;
-    for (boolean returned = false; !returned; later++) {
+    int elapsedS = 0;
+    for (boolean removed = false; !removed; elapsedS++) {
       harness.advance(1);
       harness.sendHeartbeat("vm-2");
       harness.sendHeartbeat("vm-3");
       harness.leader.onLoadSample(0.5, 0.1, 1, harness.time());
-      returned =
+      removed =
           harness.leader.machines().planScaleIn(harness.time()).contains(new MachineId("vm-1"));
     }
-    assertEquals(17, later, "its lease is over 26 s after its report, and silence is 10 s");
+    assertEquals(
+        17, elapsedS, "lease expires 26 s after the heartbeat, and silence timeout is 10 s");
   }
 
   /**
-   * What is launched makes its worker report more often. Before all machines of a earlier leader
-   * are heard, a leader that can't keep up starts urgent work and leaves the rest until then.
+   * Guards against an overloaded leader that delays reconciliation by launching non-urgent tasks,
+   * as each launch causes additional heartbeats.
    */
   @Test
   void overloadedLeaderReconcilesBeforeNonUrgentLaunches() {
@@ -138,25 +138,25 @@
       harness.advance(1);
       harness.leader.onLoadSample(1, 0.1, 0, harness.time());
     }
-    assertEquals(List.of(LeaderHarness.task(3, 0)), launched(harness.sendHeartbeat("vm-1")));
+    assertEquals(List.of(LeaderHarness.task(3, 0)), launchedTasks(harness.sendHeartbeat("vm-1")));
     harness.sendHeartbeat("vm-2");
-    List<TaskId> rest = launched(harness.sendHeartbeat("vm-2"));
+    List<TaskId> remaining = launchedTasks(harness.sendHeartbeat("vm-2"));
     harness.advance(1);
-    rest.addAll(launched(harness.sendHeartbeat("vm-1")));
+    remaining.addAll(launchedTasks(harness.sendHeartbeat("vm-1")));
     assertEquals(
         List.of(LeaderHarness.task(1, 0), LeaderHarness.task(2, 0)),
-        rest.stream().sorted(BY_NAME).toList());
+        remaining.stream().sorted(BY_NAME).toList());
   }
 
   private static final Comparator<TaskId> BY_NAME = Comparator.comparing(TaskId::toString);
 
-  private static List<TaskId> launched(List<WorkerCommand> commands) {
-    List<TaskId> out = new ArrayList<>();
+  private static List<TaskId> launchedTasks(List<WorkerCommand> commands) {
+    List<TaskId> tasks = new ArrayList<>();
     for (WorkerCommand command : commands) {
       if (command instanceof WorkerCommand.Launch) {
-        out.add(command.task());
+        tasks.add(command.task());
       }
     }
-    return out;
+    return tasks;
   }
 }
