--- a/src/main/java/io/saltflow/fairshare/FairSharePlan.java
+++ b/src/main/java/io/saltflow/fairshare/FairSharePlan.java
@@ -10,20 +10,22 @@
 import java.util.Map;
 
 /**
- * The minimum shares of classes and teams, and the order in which their waiting jobs get them.
+ * The minimum shares of job classes and teams, and the order in which their waiting jobs receive
+ * them.
  *
- * @param statuses of all groups that have or request resources
- * @param grants of the group that holds least of its minimum share first; while a group holds less
- *     than its minimum share, its jobs go in this order before all that is not guaranteed
+ * @param statuses the shares of all groups that hold or request resources
+ * @param grants the grants, starting with the group that holds the smallest part of its minimum
+ *     share; while a group holds less than its minimum share, its jobs precede, in this order, all
+ *     jobs that are not guaranteed
  */
 public record FairSharePlan(Map<ShareGroup, ShareStatus> statuses, List<ShareGrant> grants) {
-  /** The plan without any minimum share. */
+  /** A plan without minimum shares. */
   public static final FairSharePlan NONE = new FairSharePlan(Map.of(), List.of());
 
-  /** Bounds the work of a round; jobs behind get a grant when one before them has started. */
+  /** Bounds the work per round; further jobs get a grant once an earlier one has started. */
   private static final int MAX_GRANTS_PER_GROUP = 128;
 
-  /** By priority, then jobs that can end soonest: so most users are served. */
+  /** Orders by priority, then by remaining work, which serves the most users. */
   private static final Comparator<ShareRequest> SHORTEST_FIRST =
       Comparator.comparing(ShareRequest::priority, Comparator.reverseOrder())
           .thenComparingDouble(ShareRequest::remainingS)
@@ -32,7 +34,7 @@
   private static final Comparator<ShareRequest> OLDEST_FIRST =
       Comparator.comparingLong(ShareRequest::arrivedWallMs).thenComparing(ShareRequest::id);
 
-  /** Plans for the current requests. */
+  /** Computes the plan for the current requests. */
   public static FairSharePlan of(Collection<ShareRequest> requests, FairShareRules rules) {
     if (rules.minimumShare() <= 0 || requests.isEmpty()) {
       return NONE;
@@ -83,16 +85,16 @@
         });
   }
 
-  /** The level of max-min fairness: the most that each group may have of the whole cluster. */
+  /** Returns the max-min fair level: the largest fraction of the cluster that a group may hold. */
   private static double fairShareLevel(Collection<Double> demands) {
-    List<Double> ascending = demands.stream().sorted().toList();
-    double left = 1;
-    for (int i = 0; i < ascending.size(); i++) {
-      double equalPart = left / (ascending.size() - i);
-      if (ascending.get(i) >= equalPart) {
+    List<Double> ascendingDemands = demands.stream().sorted().toList();
+    double remainingShare = 1;
+    for (int i = 0; i < ascendingDemands.size(); i++) {
+      double equalPart = remainingShare / (ascendingDemands.size() - i);
+      if (ascendingDemands.get(i) >= equalPart) {
         return equalPart;
       }
-      left -= ascending.get(i);
+      remainingShare -= ascendingDemands.get(i);
     }
     return 1;
   }
@@ -118,12 +120,12 @@
     waiting.sort(Comparator.comparing((ShareGroup group) -> minimumShareHeld.get(group)));
     List<ShareGrant> grants = new ArrayList<>();
     for (ShareGroup group : waiting) {
-      grantsOf(group, groups.get(group), statuses.get(group).minimumShare(), rules, grants);
+      addGrants(group, groups.get(group), statuses.get(group).minimumShare(), rules, grants);
     }
     return grants;
   }
 
-  private static void grantsOf(
+  private static void addGrants(
       ShareGroup group,
       List<ShareRequest> requests,
       double minimumShare,
@@ -131,7 +133,7 @@
       List<ShareGrant> grants) {
     List<ShareRequest> open = new ArrayList<>(requests);
     open.removeIf(request -> request.pending() <= 0 || request.taskShare() <= 0);
-    // The oldest job always gets a part, whatever arrives behind it: no job starves.
+    // The oldest job always gets a part, so that jobs arriving later cannot starve it.
     ShareRequest oldest = open.stream().min(OLDEST_FIRST).orElseThrow();
     int maxTasks =
         (int) Math.ceil(rules.oldestJobShare() * minimumShare / oldest.taskShare())
@@ -140,30 +142,30 @@
       grants.add(new ShareGrant(oldest.id(), group, Math.min(maxTasks, oldest.pending())));
     }
     open.sort(SHORTEST_FIRST);
-    double sum = 0;
-    int granted = 0;
+    double grantedShare = 0;
+    int grantedJobs = 0;
     for (ShareRequest request : open) {
-      if (sum >= minimumShare || granted++ >= MAX_GRANTS_PER_GROUP) {
+      if (grantedShare >= minimumShare || grantedJobs++ >= MAX_GRANTS_PER_GROUP) {
         break;
       }
-      sum += request.taskShare() * request.pending();
+      grantedShare += request.taskShare() * request.pending();
       grants.add(new ShareGrant(request.id(), group, request.pending()));
     }
   }
 
-  /** Whether the group has waited for long and demands more than its fair share. */
+  /** Returns whether the group waits beyond the threshold and demands more than its fair share. */
   public boolean isUnderserved(ShareGroup group) {
     ShareStatus status = statuses.get(group);
     return status != null && status.isWaiting() && status.demand() > status.fairShare();
   }
 
-  /** Whether the group has waited for long and holds less than its minimum share. */
+  /** Returns whether the group waits beyond the threshold and holds less than its minimum share. */
   public boolean isOwedMinimumShare(ShareGroup group, double held) {
     ShareStatus status = statuses.get(group);
     return status != null && status.isWaiting() && held < status.minimumShare();
   }
 
-  /** Whether the group stays within its fair share with one more task of that share. */
+  /** Returns whether the group stays within its fair share with one more task of this size. */
   public boolean fitsFairShare(ShareGroup group, double held, double taskShare) {
     ShareStatus status = statuses.get(group);
     return status != null && held + taskShare <= status.fairShare() + 1e-9;
--- a/src/main/java/io/saltflow/fairshare/ShareGrant.java
+++ b/src/main/java/io/saltflow/fairshare/ShareGrant.java
@@ -2,5 +2,5 @@
 
 import io.saltflow.model.JobId;
 
-/** Lets a job start tasks from its group's minimum share, {@code maxTasks} at most for now. */
+/** Permission for a job to start up to {@code maxTasks} tasks from its group's minimum share. */
 public record ShareGrant(JobId job, ShareGroup group, int maxTasks) {}
--- a/src/main/java/io/saltflow/fairshare/ShareGroup.java
+++ b/src/main/java/io/saltflow/fairshare/ShareGroup.java
@@ -1,25 +1,25 @@
 package io.saltflow.fairshare;
 
-/** A group that has a share of the cluster: a class of jobs, or a team. */
+/** A group that has a share of the cluster: a job class or a team. */
 public record ShareGroup(Kind kind, String name) {
-  /** The kinds of groups; the cluster is shared out among each kind by itself. */
+  /** Kind of group; the whole cluster is divided among the groups of each kind separately. */
   public enum Kind {
     CLASS("class"),
     TEAM("team");
 
     private final String text;
 
-    Kind(String word) {
-      this.text = word;
+    Kind(String text) {
+      this.text = text;
     }
   }
 
-  /** The group of all jobs of a class. */
+  /** Returns the group of all jobs of a class. */
   public static ShareGroup ofClass(String name) {
     return new ShareGroup(Kind.CLASS, name);
   }
 
-  /** The group of all jobs of a team. */
+  /** Returns the group of all jobs of a team. */
   public static ShareGroup ofTeam(String name) {
     return new ShareGroup(Kind.TEAM, name);
   }
--- a/src/main/java/io/saltflow/fairshare/ShareRequest.java
+++ b/src/main/java/io/saltflow/fairshare/ShareRequest.java
@@ -5,14 +5,16 @@
 import io.saltflow.model.TimeSpan;
 
 /**
- * What one job holds and requests.
+ * The resources that one job holds and requests.
  *
- * @param taskShare the part of the cluster that one task takes, 0 to 1
- * @param pending tasks that could start now; more than the whole cluster holds makes no difference
- * @param assigned tasks that are placed or assigned
- * @param eligibleShare the part of the cluster on which its tasks may be, 0 to 1
- * @param remainingS the work that remains, in seconds of the whole cluster
- * @param waited how long since its arrival
+ * @param taskShare the fraction of the cluster that one task occupies, 0 to 1
+ * @param pending the number of tasks that could start now; numbers beyond the capacity of the
+ *     cluster are equivalent
+ * @param assigned the number of tasks that are placed or assigned
+ * @param eligibleShare the fraction of the cluster on which its tasks may run, 0 to 1
+ * @param remainingS the remaining work, in seconds of the whole cluster
+ * @param arrivedWallMs the wall-clock time of arrival, in milliseconds
+ * @param waited the time since its arrival
  */
 public record ShareRequest(
     JobId id,
--- a/src/main/java/io/saltflow/fairshare/ShareStatus.java
+++ b/src/main/java/io/saltflow/fairshare/ShareStatus.java
@@ -3,17 +3,18 @@
 import io.saltflow.model.TimeSpan;
 
 /**
- * The shares of a group, as parts of the cluster, 0 to 1.
+ * The shares of a group, as fractions of the cluster from 0 to 1.
  *
- * @param demand what it holds and requests
- * @param fairShare its fair share: all that it demands, or as much as any group that demands more
- * @param minimumShare what it gets regardless of priority and arrival
- * @param waitingJobs how many of its jobs have waited for longer than the threshold
- * @param longestWait how long its oldest job with tasks to start has waited
+ * @param demand the share that the group holds and requests together
+ * @param fairShare its max-min fair share: its whole demand, or the level at which larger demands
+ *     are capped
+ * @param minimumShare the share granted regardless of priority and arrival
+ * @param waitingJobs the number of its jobs that have waited beyond the threshold
+ * @param longestWait the longest waiting time of its jobs with pending tasks
  */
 public record ShareStatus(
     double demand, double fairShare, double minimumShare, int waitingJobs, TimeSpan longestWait) {
-  /** Whether the group gets its minimum share: a job of it has waited for long. */
+  /** Returns whether a job of the group has waited beyond the threshold. */
   public boolean isWaiting() {
     return waitingJobs > 0;
   }
--- a/src/main/java/io/saltflow/fairshare/package-info.java
+++ b/src/main/java/io/saltflow/fairshare/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Guaranteed shares of each class and team when more work waits than the cluster can do. A pure
- * function of current requests and their ages: only the recorded times of arrival carry over from
- * one round to the next, so a failover changes nothing. Shares are of the cluster by the scarcest
- * resource (dominant resources, Ghodsi et al., NSDI 2011); small requests are served in full and
- * the rest share evenly (max-min fairness).
+ * Minimum shares of each job class and team while demand exceeds the cluster's capacity. A plan is
+ * a pure function of the current requests and their ages: only recorded arrival times carry over
+ * between rounds, so a failover does not affect it. Shares are measured by the dominant resource
+ * (Ghodsi et al., NSDI 2011) and divided by max-min fairness: small requests are served in full and
+ * the others share the rest evenly.
  */
 package io.saltflow.fairshare;
--- a/src/test/java/io/saltflow/fairshare/FairSharePlanTest.java
+++ b/src/test/java/io/saltflow/fairshare/FairSharePlanTest.java
@@ -18,12 +18,12 @@
 import org.apache.commons.rng.core.source64.SplitMix64;
 import org.junit.jupiter.api.Test;
 
-/** The least parts are max-min fair, and nobody waits for ever. */
+/** Tests that minimum shares are max-min fair and that no job starves. */
 class FairSharePlanTest {
   private static final FairShareRules RULES = new FairShareRules(0.5, TimeSpan.seconds(120), 0.25);
 
   private static ShareRequest request(
-      int id, String jobClass, int pending, int held, double leftS, int waitS) {
+      int id, String jobClass, int pending, int assigned, double remainingS, int waitS) {
     return new ShareRequest(
         new JobId(String.format("req-%06d", id)),
         ShareGroup.ofClass(jobClass),
@@ -31,16 +31,16 @@
         Priority.NORMAL,
         0.01,
         pending,
-        held,
+        assigned,
         1,
-        leftS,
+        remainingS,
         -waitS * 1000L,
         TimeSpan.seconds(waitS));
   }
 
-  /** Who asks for little is served in full; the others share what is left evenly. */
+  /** Guards against small demands not served in full, or an uneven division of the rest. */
   @Test
-  void fairShares() {
+  void fairSharesAreMaxMinFair() {
     FairSharePlan plan =
         FairSharePlan.of(
             List.of(
@@ -57,16 +57,20 @@
     assertEquals(0.45, huge.fairShare(), 1e-9);
     assertTrue(plan.isOwedMinimumShare(ShareGroup.ofClass("small"), 0.04));
     assertFalse(
-        plan.isOwedMinimumShare(ShareGroup.ofClass("small"), 0.05), "it has its least part");
+        plan.isOwedMinimumShare(ShareGroup.ofClass("small"), 0.05),
+        "group holds its minimum share");
     assertFalse(
-        plan.isOwedMinimumShare(ShareGroup.ofClass("large"), 0), "it has not waited for long");
+        plan.isOwedMinimumShare(ShareGroup.ofClass("large"), 0),
+        "waiting time is below the threshold");
     assertEquals(
-        ShareGroup.ofClass("small"), plan.grants().get(0).group(), "who has least of its own");
+        ShareGroup.ofClass("small"),
+        plan.grants().get(0).group(),
+        "group with the smallest part of its minimum share comes first");
   }
 
-  /** The oldest gets a quarter of the part, the rest goes to those that can end soonest. */
+  /** Guards against the oldest job not getting its part, or the rest not going to the shortest. */
   @Test
-  void oldestThenShortest() {
+  void oldestJobIsGrantedBeforeShortest() {
     FairSharePlan plan =
         FairSharePlan.of(
             List.of(
@@ -74,80 +78,82 @@
                 request(2, "c", 60, 0, 20, 60),
                 request(3, "c", 60, 0, 30, 90)),
             RULES);
-    List<String> turns = new ArrayList<>();
+    List<String> grants = new ArrayList<>();
     for (ShareGrant grant : plan.grants()) {
       if (grant.group().equals(ShareGroup.ofClass("c"))) {
-        turns.add(grant.job() + " " + grant.maxTasks());
+        grants.add(grant.job() + " " + grant.maxTasks());
       }
     }
-    // Half of the fleet is 50 tasks; a quarter of it is 13, and the oldest has two.
-    assertEquals(List.of("req-000001 11", "req-000002 60"), turns);
+    // The minimum share is 50 tasks; a quarter is 13, of which the oldest job holds two.
+    assertEquals(List.of("req-000001 11", "req-000002 60"), grants);
   }
 
   /**
-   * Any mixture, played by the plan alone with a fleet of 100 tasks that each take one turn: as
-   * long as others keep coming, each job is begun within the bound.
+   * Guards against starvation: on a cluster of 100 tasks that each last one step, every job starts
+   * within the bound while new jobs keep arriving.
    */
   @Test
-  void everyJobStartsWithinTheBound() {
+  void everyJobStartsWithinBound() {
     for (long seed = 1; seed <= 40; seed++) {
-      assertTrue(worstWait(seed, RULES) <= bound(), "seed " + seed);
+      assertTrue(worstWaitSteps(seed, RULES) <= maxWaitSteps(), "seed " + seed);
     }
-    boolean seen = false;
+    boolean starved = false;
     for (long seed = 1; seed <= 40; seed++) {
-      seen |= worstWait(seed, new FairShareRules(0.5, TimeSpan.seconds(120), 0)) > bound();
+      starved |=
+          worstWaitSteps(seed, new FairShareRules(0.5, TimeSpan.seconds(120), 0)) > maxWaitSteps();
     }
-    assertTrue(seen, "with nothing for the oldest some job waits for ever");
+    assertTrue(starved, "some job must starve without a share for the oldest job");
   }
 
   /**
-   * In steps of ten seconds: 12 until it counts, and 10 jobs of up to 60 tasks before it, of which
-   * at least 6 a step (a quarter of half of an even share of two) are started.
+   * Returns the bound in steps of ten seconds: 12 until the waiting threshold, then 10 jobs of up
+   * to 60 tasks, of which at least 6 per step (a quarter of half of an even share of two) are
+   * started.
    */
-  private static int bound() {
+  private static int maxWaitSteps() {
     return 12 + 10 * 60 / 6;
   }
 
-  /** When the last of ten first jobs is begun; 200: never. */
-  private static int worstWait(long seed, FairShareRules rules) {
+  /** Returns the step at which the last of the first ten jobs starts, or 200 if it never does. */
+  private static int worstWaitSteps(long seed, FairShareRules rules) {
     UniformRandomProvider random = new SplitMix64(seed);
     Map<Integer, Integer> pending = new LinkedHashMap<>();
-    Map<Integer, Integer> arrived = new HashMap<>();
-    Set<Integer> waiting = new HashSet<>();
+    Map<Integer, Integer> arrivalSteps = new HashMap<>();
+    Set<Integer> notStarted = new HashSet<>();
     for (int id = 0; id < 10; id++) {
       pending.put(id, 1 + random.nextInt(60));
-      arrived.put(id, 0);
-      waiting.add(id);
+      arrivalSteps.put(id, 0);
+      notStarted.add(id);
     }
     for (int step = 0; step < 200; step++) {
-      // Short ones of the same class, for ever; and a class beside it that wants everything.
+      // Short jobs of the same class keep arriving, and another class demands the whole cluster.
       for (int i = 0; i < 6; i++) {
         int id = 10 + 6 * step + i;
         pending.put(id, 1 + random.nextInt(10));
-        arrived.put(id, step);
+        arrivalSteps.put(id, step);
       }
       List<ShareRequest> requests = new ArrayList<>();
       for (Map.Entry<Integer, Integer> entry : pending.entrySet()) {
-        int waitS = 10 * (step - arrived.get(entry.getKey()));
+        int waitS = 10 * (step - arrivalSteps.get(entry.getKey()));
         requests.add(request(entry.getKey(), "c", entry.getValue(), 0, entry.getValue(), waitS));
       }
       requests.add(request(999_999, "other", 1000, 0, 1000, 1000));
       FairSharePlan plan = FairSharePlan.of(requests, rules);
-      double held = 0;
+      double heldShare = 0;
       for (ShareGrant grant : plan.grants()) {
         if (!grant.group().equals(ShareGroup.ofClass("c"))) {
           continue;
         }
         int id = Integer.parseInt(grant.job().text().substring(4));
         for (int started = 0;
-            started < grant.maxTasks() && plan.isOwedMinimumShare(grant.group(), held);
+            started < grant.maxTasks() && plan.isOwedMinimumShare(grant.group(), heldShare);
             started++) {
-          held += 0.01;
-          waiting.remove(id);
+          heldShare += 0.01;
+          notStarted.remove(id);
           pending.computeIfPresent(id, (i, left) -> left > 1 ? left - 1 : null);
         }
       }
-      if (waiting.isEmpty()) {
+      if (notStarted.isEmpty()) {
         return step;
       }
     }
