--- a/src/main/java/io/saltflow/priority/AdmissionPosition.java
+++ b/src/main/java/io/saltflow/priority/AdmissionPosition.java
@@ -3,10 +3,10 @@
 import java.util.Comparator;
 
 /**
- * A job's position in the order of admission, which never changes.
+ * A job's immutable position in the order of admission.
  *
- * @param revision the store's revision at which it was admitted
- * @param index its number among the jobs that were admitted by the same write
+ * @param revision the store revision at which the job was admitted
+ * @param index the job's index among those admitted by the same write
  */
 public record AdmissionPosition(long revision, int index) implements Comparable<AdmissionPosition> {
   private static final Comparator<AdmissionPosition> ORDER =
--- a/src/main/java/io/saltflow/priority/Lane.java
+++ b/src/main/java/io/saltflow/priority/Lane.java
@@ -4,13 +4,14 @@
 import io.saltflow.protocol.PriorityNames;
 
 /**
- * A priority lane, the part of the queue that a job waits in.
+ * A priority lane: the part of the queue in which a job waits.
  *
- * @param rank 0 is served first
- * @param name as operators call it; empty: the lane of a priority, where operators configured none
+ * @param rank the position in service order; 0 is served first
+ * @param name the configured name, or empty for a priority's default lane if no lanes are
+ *     configured
  */
 public record Lane(int rank, String name) {
-  /** The lane of a priority, where operators configured none. */
+  /** Returns the default lane of a priority, used if no lanes are configured. */
   public static Lane of(Priority priority) {
     return new Lane(Priority.values().length - 1 - priority.ordinal(), "");
   }
--- a/src/main/java/io/saltflow/priority/LaneRule.java
+++ b/src/main/java/io/saltflow/priority/LaneRule.java
@@ -4,10 +4,10 @@
 import java.util.Set;
 
 /**
- * An operator's rule for a lane: it takes a job when all sets that are given match. An empty set is
- * not given.
+ * An operator's rule for a lane: the lane accepts a job if all its non-empty sets match. An empty
+ * set matches every job.
  *
- * @param name as operators call the lane
+ * @param name the configured name of the lane
  */
 public record LaneRule(
     String name, Set<String> classes, Set<String> teams, Set<Priority> priorities) {
@@ -21,7 +21,7 @@
     return classes.isEmpty() && teams.isEmpty() && priorities.isEmpty();
   }
 
-  /** Whether whatever matches the other rule matches this one, too. */
+  /** Returns whether every job that matches the other rule also matches this one. */
   boolean covers(LaneRule other) {
     return covers(classes, other.classes)
         && covers(teams, other.teams)
--- a/src/main/java/io/saltflow/priority/LaneRules.java
+++ b/src/main/java/io/saltflow/priority/LaneRules.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.Set;
 
-/** The operators' lanes in order of rank; none: one for each priority. */
+/** The configured lanes in order of rank. If there are none, each priority has its own lane. */
 public record LaneRules(List<LaneRule> rules) {
-  /** No lane is configured. */
+  /** Rules of a site without configured lanes. */
   public static final LaneRules NONE = new LaneRules(List.of());
 
-  /** The lane of a job that is admitted now. */
+  /** Returns the lane that a job is assigned on admission. */
   public Lane laneFor(JobSpec spec) {
     for (int i = 0; i < rules.size(); i++) {
       boolean last = i == rules.size() - 1;
@@ -22,7 +22,7 @@
     return Lane.of(spec.priority());
   }
 
-  /** The lane of that name; null: there is none. */
+  /** Returns the lane with this name, or {@code null} if there is none. */
   public Lane named(String name) {
     for (int i = 0; i < rules.size(); i++) {
       if (rules.get(i).name().equals(name)) {
@@ -32,7 +32,7 @@
     return null;
   }
 
-  /** The errors in the rules, each with the setting's field. */
+  /** Returns the errors in the rules, each prefixed with the field of the setting. */
   public List<String> validationErrors() {
     List<String> errors = new ArrayList<>();
     Set<String> names = new HashSet<>();
@@ -44,29 +44,25 @@
       for (int earlier = 0; earlier < i; earlier++) {
         if (rules.get(earlier).covers(rule) && !(i == rules.size() - 1 && rule.matchesAll())) {
           errors.add(
-              "lanes["
-                  + i
-                  + "]: nothing comes to it, '"
-                  + rules.get(earlier).name()
-                  + "' takes all");
+              "lanes[" + i + "]: is never reached, '" + rules.get(earlier).name() + "' takes all");
           break;
         }
       }
       if (rule.matchesAll() && i < rules.size() - 1) {
-        errors.add("lanes[" + i + "]: only the last lane takes whatever no other does");
+        errors.add("lanes[" + i + "]: only the last lane may match all jobs");
       }
     }
     return errors;
   }
 
-  /** Warnings for a site with these classes and teams. */
+  /** Returns the warnings for a site with these classes and teams. */
   public List<String> warnings(Set<String> classes, Set<String> teams) {
     List<String> warnings = new ArrayList<>();
     for (LaneRule rule : rules) {
       for (String jobClass : rule.classes()) {
         if (!classes.contains(jobClass)) {
           warnings.add(
-              "lane '" + rule.name() + "': no aim of this site names the class " + jobClass);
+              "lane '" + rule.name() + "': no objective of this site names the class " + jobClass);
         }
       }
       for (String team : rule.teams()) {
--- a/src/main/java/io/saltflow/priority/OperatorOverride.java
+++ b/src/main/java/io/saltflow/priority/OperatorOverride.java
@@ -1,9 +1,10 @@
 package io.saltflow.priority;
 
 /**
- * An operator's change of a job's place in the queue, as it is recorded.
+ * An operator's recorded change of a job's place in the queue.
  *
- * @param lane the lane it waits in now; null: the lane of its admission
- * @param frontRevision the revision at which it was put in front of its lane; 0: it was not
+ * @param lane the lane in which the job waits now, or {@code null} for its lane at admission
+ * @param frontRevision the revision at which it was moved to the front of its lane, or 0 if it was
+ *     not
  */
 public record OperatorOverride(Lane lane, long frontRevision) {}
--- a/src/main/java/io/saltflow/priority/OrderKey.java
+++ b/src/main/java/io/saltflow/priority/OrderKey.java
@@ -3,19 +3,19 @@
 import io.saltflow.model.JobId;
 
 /**
- * What a waiting job is ordered by.
+ * The attributes that determine a waiting job's place in the queue order.
  *
- * @param lane the lane of its admission
- * @param override what an operator changed; null: nothing
- * @param arrivedMs the time of day that was recorded at admission
- * @param remainingCoreS what is left of it by its owner's estimate and the recorded progress, in
+ * @param lane the lane assigned at admission
+ * @param override an operator's change, or {@code null} if there is none
+ * @param arrivedMs the wall-clock time recorded at admission, in milliseconds
+ * @param remainingCoreS the remaining work by its owner's estimate and the recorded progress, in
  *     core-seconds
- * @param boostRank its number among the jobs that a daily deadline boosts, as recorded; {@link
- *     Integer#MAX_VALUE}: it is not boosted
- * @param lowSlack it has little slack before its deadline
- * @param guaranteed it lies within its team's guarantee
- * @param failing it fails wherever it is started
- * @param fixedInClass it does not exchange its place with shorter jobs of its class
+ * @param boostRank the recorded rank among the jobs boosted by a daily deadline, or {@link
+ *     Integer#MAX_VALUE} if the job is not boosted
+ * @param lowSlack whether there is little slack before its deadline
+ * @param guaranteed whether it is within its team's guaranteed quota
+ * @param failing whether it fails on every machine
+ * @param fixedInClass whether it keeps its place among shorter jobs of its class
  */
 public record OrderKey(
     JobId id,
--- a/src/main/java/io/saltflow/priority/QueueOrder.java
+++ b/src/main/java/io/saltflow/priority/QueueOrder.java
@@ -10,12 +10,12 @@
 import java.util.PriorityQueue;
 
 /**
- * Orders waiting jobs: guarantee, lane, what an operator put in front, what a daily deadline
- * boosts, then admission, a long job letting shorter ones pass that were admitted a little later.
- * The result depends on the arguments alone, never on the order in which they come.
+ * Orders waiting jobs by guaranteed quota, lane, operator override, daily deadline boost, then
+ * admission, where a long job may be passed by shorter ones admitted a little later. The result
+ * depends on the arguments alone, not on the iteration order of the keys.
  */
 public final class QueueOrder {
-  /** The rank of the lowest priority's lane, where operators configured no lanes. */
+  /** Rank of the lowest priority's default lane. */
   private static final int LOWEST_PRIORITY_RANK = 3;
 
   private QueueOrder() {}
@@ -34,9 +34,10 @@
           .thenComparing(p -> p.key.id());
 
   /**
-   * The jobs' ids in order.
+   * Returns the IDs of the jobs in queue order.
    *
-   * @param lengthWeight how much a long job lets shorter ones pass; 0: order of admission
+   * @param lengthWeight the factor by which a job's length delays it relative to shorter jobs; 0
+   *     keeps the order of admission
    */
   public static List<JobId> of(
       Collection<OrderKey> keys, QueueOrderInputs inputs, double lengthWeight) {
@@ -48,9 +49,9 @@
     List<RankedJob> ranked = new ArrayList<>();
     long arrivalMs = Long.MIN_VALUE;
     for (OrderKey key : byPosition) {
-      // Clocks of nodes differ: a job that was admitted later did not arrive earlier.
+      // Wall clocks of nodes differ; admission order takes precedence over recorded arrival times.
       arrivalMs = Math.max(arrivalMs, key.arrivedMs());
-      double lengthMs = 1000 * remainingS(key, inputs) / Math.max(1, inputs.fleetCores());
+      double lengthMs = 1000 * correctedCoreS(key, inputs) / Math.max(1, inputs.fleetCores());
       ranked.add(new RankedJob(key, rank(key), arrivalMs + lengthWeight * lengthMs));
     }
     ranked.sort(QUEUE_ORDER);
@@ -58,8 +59,8 @@
   }
 
   /**
-   * The rank of the job's lane; the lowest priority counts as the one before when its deadline is
-   * at risk.
+   * Returns the rank of the job's lane; a job of the lowest priority is promoted by one rank if its
+   * deadline is at risk.
    */
   private static int rank(OrderKey key) {
     Lane lane = key.effectiveLane();
@@ -67,15 +68,15 @@
     return promoted ? lane.rank() - 1 : lane.rank();
   }
 
-  private static double remainingS(OrderKey key, QueueOrderInputs inputs) {
+  private static double correctedCoreS(OrderKey key, QueueOrderInputs inputs) {
     return key.remainingCoreS() * inputs.estimateCorrection(key.jobClass());
   }
 
-  /** Lets jobs of underserved classes exchange places among themselves, the shortest first. */
+  /** Reorders jobs of underserved classes within the places they hold, the shortest first. */
   private static List<JobId> shortestFirst(List<RankedJob> ranked, QueueOrderInputs inputs) {
     Map<String, PriorityQueue<OrderKey>> byGroup = new HashMap<>();
     Comparator<OrderKey> byRemaining =
-        Comparator.comparingDouble((OrderKey key) -> remainingS(key, inputs))
+        Comparator.comparingDouble((OrderKey key) -> correctedCoreS(key, inputs))
             .thenComparing(OrderKey::id);
     for (RankedJob rankedJob : ranked) {
       if (reorderable(rankedJob.key, inputs)) {
--- a/src/main/java/io/saltflow/priority/QueueOrderInputs.java
+++ b/src/main/java/io/saltflow/priority/QueueOrderInputs.java
@@ -6,14 +6,13 @@
 import java.util.TreeSet;
 
 /**
- * What the queue order depends on beside the jobs' own records. A leader learns it, records it, and
- * orders jobs by what is recorded only: the next leader begins with the same. Values move in steps
- * of a fifth, so that they are seldom written.
+ * Inputs of the queue order apart from the jobs' own records. A leader observes and records them,
+ * and orders jobs by the recorded values only, so that the order survives a failover. Values change
+ * in steps of 20 percent to limit writes.
  *
- * @param fleetCores the cores of the usable machines, by which a job's length is measured
- * @param estimateCorrections by class, the factor that tasks were seen to take by estimate
- * @param shortestFirstClasses classes that hold less than they are due, whose jobs are ordered by
- *     what is left of them
+ * @param fleetCores the number of cores of the usable machines, by which a job's length is measured
+ * @param estimateCorrections the observed ratio of run time to estimate, by class
+ * @param shortestFirstClasses the underserved classes, whose jobs are ordered by remaining work
  */
 public record QueueOrderInputs(
     double fleetCores, Map<String, Double> estimateCorrections, Set<String> shortestFirstClasses) {
@@ -21,21 +20,21 @@
   private static final int MAX_CLASSES = 64;
   private static final double HYSTERESIS_STEPS = 0.75;
 
-  /** Nothing is known yet. */
+  /** Inputs before the first observation. */
   public static final QueueOrderInputs NONE = new QueueOrderInputs(1, Map.of(), Set.of());
 
-  /** The factor by which the class's estimates are multiplied; 1: none is known. */
+  /** Returns the factor by which the class's estimates are multiplied, or 1 if it is unknown. */
   public double estimateCorrection(String jobClass) {
     return estimateCorrections.getOrDefault(jobClass, 1.0);
   }
 
   /**
-   * The inputs after an observation, in steps: what stays within three quarters of a step of the
-   * recorded value stays as recorded.
+   * Returns the inputs after an observation, quantized in steps. A value within three quarters of a
+   * step of the recorded one is left unchanged.
    */
   public QueueOrderInputs updatedWith(
       double cores, Map<String, Double> observedCorrections, Set<String> underservedClasses) {
-    // A class that was not observed lately keeps its recorded correction.
+    // A class without a recent observation keeps its recorded correction.
     Map<String, Double> next = new TreeMap<>(estimateCorrections);
     observedCorrections.forEach(
         (jobClass, correction) -> {
--- a/src/main/java/io/saltflow/priority/package-info.java
+++ b/src/main/java/io/saltflow/priority/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The order of waiting jobs, as a function of what is recorded and of the time alone, so that every
- * controller that leads orders them the same: a job's lane and its position within it are fixed at
- * admission, what else moves it is recorded when it happens. Pure. {@code docs/design/lanes.md}
+ * The order of waiting jobs. It is a pure function of recorded data and the time, so that every
+ * leader computes the same order: a job's lane and its position within it are fixed at admission,
+ * and every other change of its place is recorded when it happens. {@code docs/design/lanes.md}
  * compares the alternatives.
  */
 package io.saltflow.priority;
