--- a/src/main/java/io/saltflow/deadlines/ClockAgreement.java
+++ b/src/main/java/io/saltflow/deadlines/ClockAgreement.java
@@ -6,24 +6,25 @@
 import java.util.List;
 
 /**
- * Checks a node's time of day against its peers'. Daily deadlines depend on it; no lease and no
- * fencing proof does.
+ * Checks a node's wall clock against its peers' clocks. Daily deadlines depend on the wall clock;
+ * leases and fencing do not.
  */
 public final class ClockAgreement {
   private ClockAgreement() {}
 
   /**
-   * The correction to add to the node's clock, in milliseconds; 0: it agrees, or nobody can say
-   * that it does not.
+   * Returns the correction to add to the node's clock, in milliseconds, or 0 if it agrees with its
+   * peers or too few clocks agree on a correction.
    *
-   * @param aheadMs how far each peer's clock is ahead of the node's
-   * @param maxSkewMs how far two healthy clocks may be apart
+   * @param aheadMs the offset of each peer's clock from the node's, positive if it is ahead, in
+   *     milliseconds
+   * @param maxSkewMs the maximum offset between two healthy clocks, in milliseconds
    */
   public static long correction(Collection<Long> aheadMs, long maxSkewMs) {
     List<Long> offsets = new ArrayList<>(aheadMs);
     offsets.add(0L);
     if (offsets.size() < 3) {
-      // Of two that differ either may be wrong.
+      // If two clocks differ, either may be wrong.
       return 0;
     }
     Collections.sort(offsets);
--- a/src/main/java/io/saltflow/deadlines/CompletionForecast.java
+++ b/src/main/java/io/saltflow/deadlines/CompletionForecast.java
@@ -8,20 +8,21 @@
 import java.util.Map;
 
 /**
- * Forecasts which jobs will be done in time: as the queue goes now, and at best. All are due
- * together, so the fewest are late when the shortest go first: Moore's rule (Management Science 15,
- * 1968) for one machine with one due date. Here many machines work on one job, and a job has a
- * least time of its own, its longest task: what can't be in time by that is left out first.
+ * Forecasts which jobs complete in time in the current order and with boosting. As all jobs are due
+ * at the same time, running the shortest first minimizes the number of late jobs: Moore's rule
+ * (Management Science 15, 1968) for one machine with one due date. Here several machines work on
+ * one job, whose longest task bounds its duration, so jobs that cannot be in time for that reason
+ * are excluded first.
  */
 public final class CompletionForecast {
-  /** What is forecast of a job. */
+  /** Forecast for one job. */
   public enum Verdict {
     IN_TIME,
-    /** Late as things go, and in time when it is boosted. */
+    /** Late in the current order, and in time if boosted. */
     LATE_UNLESS_BOOSTED,
-    /** Late whatever is done, though its longest task alone would be in time. */
+    /** Late even if boosted, though its longest task alone would be in time. */
     EXCEEDS_CAPACITY,
-    /** Its longest task alone ends after the deadline. */
+    /** The longest task alone ends after the deadline, or the job fails on every machine. */
     LONGEST_TASK_LATE
   }
 
@@ -35,8 +36,8 @@
   /**
    * Computes the forecast.
    *
-   * @param jobs in the order in which they are worked on now
-   * @param untilDueS seconds until the deadline
+   * @param jobs the pending jobs in their current order of execution
+   * @param untilDueS the time until the deadline, in seconds
    */
   public static CompletionForecast of(List<PendingJob> jobs, CoreSupply supply, double untilDueS) {
     CompletionForecast forecast = new CompletionForecast();
@@ -72,22 +73,24 @@
     return forecast;
   }
 
-  /** The verdict on the job; null: it is not part of the forecast. */
+  /** Returns the verdict on the job, or {@code null} if it is not part of the forecast. */
   public Verdict of(JobId id) {
     return verdicts.get(id);
   }
 
-  /** How many jobs will be done in time as things go. */
+  /** Returns the number of jobs that complete in time in the current order. */
   public int inTime() {
     return inTime;
   }
 
-  /** How many jobs will be late as things go, and in time when they are boosted. */
+  /** Returns the number of jobs that are late in the current order and in time if boosted. */
   public int savable() {
     return savable;
   }
 
-  /** The jobs that could be in time by themselves, those first that leave most others in time. */
+  /**
+   * Returns the jobs that could be in time on their own, in the order with the fewest late jobs.
+   */
   public List<JobId> boostOrder() {
     return boostOrder;
   }
--- a/src/main/java/io/saltflow/deadlines/CoreSupply.java
+++ b/src/main/java/io/saltflow/deadlines/CoreSupply.java
@@ -1,10 +1,10 @@
 package io.saltflow.deadlines;
 
 /**
- * The cores that work for a daily deadline.
+ * The numbers of cores available to the jobs of a daily deadline.
  *
- * @param currentCores cores that its jobs get as things go
- * @param boostedCores cores that they could get when boosted: the fleet's, within their teams'
- *     limits
+ * @param currentCores the cores that its jobs get in the current order
+ * @param boostedCores the cores that they could get if boosted: all cores of the cluster, within
+ *     their teams' limits
  */
 public record CoreSupply(double currentCores, double boostedCores) {}
--- a/src/main/java/io/saltflow/deadlines/DailyDeadline.java
+++ b/src/main/java/io/saltflow/deadlines/DailyDeadline.java
@@ -7,22 +7,23 @@
 import java.util.List;
 
 /**
- * A queue's deadline on one day, as it is recorded. When it is due is fixed when it opens: no later
- * change of the clock or of settings moves it.
+ * A recorded deadline of a queue on one day. Its due time is fixed when it opens and is not
+ * affected by later changes of the clock or the settings.
  *
  * @param day the day on which it is due, in the queue's time zone
- * @param openedMs since when jobs count for it, by the time of day
- * @param dueMs when it is due, by the time of day
- * @param targetShare the share of its jobs that are to be ready, 0 to 1
- * @param readyJobs jobs that were done while it was open
- * @param pendingJobs jobs that are not done
- * @param forecastInTime how many of all jobs are forecast to be ready
- * @param lastSeenRevision the latest revision at which one of its jobs was admitted: of the jobs up
- *     to it, those neither pending nor counted as ready have ended since
- * @param atRiskSinceMs since when too few are forecast to be ready; 0: enough are
- * @param boosted the jobs that go first, in this order
- * @param lateJobs the first of the jobs that will be late by forecast, for operators
- * @param outcome null: it is open
+ * @param openedMs the wall-clock time from which jobs count for it, in milliseconds
+ * @param dueMs the wall-clock time at which it is due, in milliseconds
+ * @param targetShare the share of its jobs that must complete in time, 0 to 1
+ * @param readyJobs the number of jobs that completed while it was open
+ * @param pendingJobs the number of jobs that are not complete
+ * @param forecastInTime the number of all jobs that are forecast to complete in time
+ * @param lastSeenRevision the latest revision at which one of its jobs was admitted; jobs admitted
+ *     up to it that are neither pending nor counted as ready have ended since
+ * @param atRiskSinceMs the wall-clock time since which too few jobs are forecast to complete in
+ *     time, or 0 if enough are
+ * @param boosted the jobs that run first, in this order
+ * @param lateJobs the first jobs that are forecast to be late, for operators
+ * @param outcome the outcome, or {@code null} while the deadline is open
  */
 public record DailyDeadline(
     String queue,
@@ -42,15 +43,15 @@
   private static final DateTimeFormatter TIME_FORMAT =
       DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm");
 
-  /** A job that will be late by forecast, since when, and why. */
+  /** A job that is forecast to be late, with the time since when and the reason. */
   public record LateJob(JobId id, long sinceMs, String reason) {}
 
   /**
-   * How a deadline ended.
+   * Outcome of a deadline.
    *
-   * @param missedJobs jobs that were not ready when it was due
-   * @param met enough jobs were ready
-   * @param atMs when enough were ready, or when it was due
+   * @param missedJobs the number of jobs that were not complete when it was due
+   * @param met whether enough jobs completed in time
+   * @param atMs the wall-clock time at which enough jobs were complete, or at which it was due
    */
   public record DeadlineOutcome(int missedJobs, boolean met, long atMs) {}
 
@@ -61,8 +62,8 @@
   }
 
   /**
-   * The deadline as text for operators, from its record alone: the same by every node, before and
-   * after a failover.
+   * Returns the deadline as text for operators. It is derived from the record alone, so that all
+   * nodes return the same text, also after a failover.
    *
    * @param zone the operators' time zone
    */
@@ -93,12 +94,12 @@
     return TIME_FORMAT.format(Instant.ofEpochMilli(wallMs).atZone(zone));
   }
 
-  /** The name of its record, unique among all deadlines. */
+  /** Returns the name of the record, unique among all deadlines. */
   public String recordName() {
     return queue + "/" + day;
   }
 
-  /** The deadline with the outcome, otherwise as it is. */
+  /** Returns a copy with this outcome. */
   public DailyDeadline withOutcome(DeadlineOutcome ended) {
     return new DailyDeadline(
         queue,
@@ -116,7 +117,7 @@
         ended);
   }
 
-  /** The deadline as it is recorded at its end: nothing is boosted any more. */
+  /** Returns the deadline as recorded at its end, without boosted jobs. */
   public DailyDeadline closed(int ready, DeadlineOutcome ended) {
     return new DailyDeadline(
         queue,
--- a/src/main/java/io/saltflow/deadlines/DeadlineBoost.java
+++ b/src/main/java/io/saltflow/deadlines/DeadlineBoost.java
@@ -9,29 +9,29 @@
 import java.util.Set;
 
 /**
- * Updates a daily deadline: whether too few jobs are forecast to be in time, and which are boosted
- * in which order. Nothing is boosted while the forecast is good. A job that is boosted stays so,
- * and before those that it was before, until it is done or can't be in time any more; another comes
- * in where its length puts it.
+ * Updates a daily deadline: whether too few jobs are forecast to be in time, and which jobs are
+ * boosted in which order. No job is added to the boost while enough jobs are forecast to be in
+ * time. A boosted job stays boosted, and keeps its order relative to the others, until it completes
+ * or can no longer be in time; new jobs are inserted by their length.
  */
 public final class DeadlineBoost {
-  /** Late jobs that are listed for operators. */
+  /** Maximum number of late jobs listed for operators. */
   private static final int MAX_LATE_JOBS = 20;
 
-  /** A record has eight kilobytes. */
+  /** Maximum number of boosted jobs; keeps the record within its limit of eight kilobytes. */
   private static final int MAX_BOOSTED_JOBS = 200;
 
-  /** A deadline at risk is so no longer when the forecast exceeds its target share by this. */
+  /** Margin above the target share at which a deadline at risk counts as recovered. */
   private static final double RECOVERY_MARGIN = 0.02;
 
   private DeadlineBoost() {}
 
   /**
-   * The deadline after this update.
+   * Returns the updated deadline.
    *
-   * @param pending jobs that are not done, in the order in which they are worked on
-   * @param readyJobs how many are done
-   * @param lastSeenRevision the latest revision at which one of them was admitted
+   * @param pending the jobs that are not complete, in their current order of execution
+   * @param readyJobs the number of completed jobs
+   * @param lastSeenRevision the latest revision at which one of the jobs was admitted
    */
   public static DailyDeadline update(
       DailyDeadline before,
@@ -82,10 +82,10 @@
         boosted.add(id);
       }
     }
-    Set<JobId> already = new HashSet<>(boosted);
-    // Where late jobs can't be brought in time, a boost helps nobody.
+    Set<JobId> alreadyBoosted = new HashSet<>(boosted);
+    // Boosting has no effect if it cannot bring any late job in time.
     for (JobId id : atRisk && forecast.savable() > 0 ? forecast.boostOrder() : List.<JobId>of()) {
-      if (already.contains(id)) {
+      if (alreadyBoosted.contains(id)) {
         continue;
       }
       int position = 0;
--- a/src/main/java/io/saltflow/deadlines/DeadlineRule.java
+++ b/src/main/java/io/saltflow/deadlines/DeadlineRule.java
@@ -9,15 +9,15 @@
 import java.util.Set;
 
 /**
- * An operator's daily deadline for a queue, a set of classes and teams. An empty set is all; a job
- * belongs to the queue when both match.
+ * An operator's daily deadline for a queue, which is a set of job classes and teams. An empty set
+ * matches all; a job belongs to the queue if both its class and its team match.
  *
- * @param opens from then on jobs count for the next deadline; later than {@code dueBy}: the evening
- *     before
- * @param dueBy when it is due
+ * @param opens the time from which jobs count for the deadline, on the day before if it is later
+ *     than {@code dueBy}
+ * @param dueBy the time at which it is due
  * @param zone the time zone of both times
- * @param days on which there is a deadline
- * @param targetShare the share of its jobs that are to be ready, 0 to 1
+ * @param days the days of the week on which there is a deadline
+ * @param targetShare the share of its jobs that must complete in time, 0 to 1
  */
 public record DeadlineRule(
     String queue,
@@ -29,15 +29,16 @@
     Set<DayOfWeek> days,
     double targetShare) {
 
-  /** Whether a job of the class and team belongs to the queue. */
+  /** Returns whether a job of this class and team belongs to the queue. */
   public boolean matches(String jobClass, String team) {
     return (classes.isEmpty() || classes.contains(jobClass))
         && (teams.isEmpty() || teams.contains(team));
   }
 
   /**
-   * The deadline that is open at that time of day; null: none is. Where the clock is put forward, a
-   * time that does not exist is as much later; where it is put back, the first of the two counts.
+   * Returns the deadline that is open at this wall-clock time, or {@code null} if there is none. A
+   * local time skipped when clocks go forward is shifted later by the length of the gap; of a local
+   * time that occurs twice when clocks go back, the first occurrence counts.
    */
   public DailyDeadline openAt(long wallMs) {
     LocalDate today = java.time.Instant.ofEpochMilli(wallMs).atZone(zone).toLocalDate();
@@ -54,13 +55,13 @@
     return null;
   }
 
-  /** The errors in several rules, each with the setting's field. */
+  /** Returns the errors in the rules, each prefixed with the field of the setting. */
   public static List<String> validationErrors(List<DeadlineRule> rules) {
     List<String> errors = new ArrayList<>();
     for (int i = 0; i < rules.size(); i++) {
       DeadlineRule rule = rules.get(i);
       if (rule.opens.equals(rule.dueBy)) {
-        errors.add("readiness[" + i + "].opens: the same as by, nothing is ever open");
+        errors.add("readiness[" + i + "].opens: the same as by, so the deadline is never open");
       }
       for (int j = 0; j < i; j++) {
         if (rules.get(j).queue.equals(rule.queue)) {
@@ -69,7 +70,7 @@
         if (overlap(rules.get(j).classes, rule.classes)
             && overlap(rules.get(j).teams, rule.teams)) {
           errors.add(
-              "readiness[" + i + "].classes: some of them belong to '" + rules.get(j).queue + "'");
+              "readiness[" + i + "].classes: overlap with queue '" + rules.get(j).queue + "'");
         }
       }
     }
--- a/src/main/java/io/saltflow/deadlines/PendingJob.java
+++ b/src/main/java/io/saltflow/deadlines/PendingJob.java
@@ -3,12 +3,13 @@
 import io.saltflow.model.JobId;
 
 /**
- * A job of a daily deadline that is not done.
+ * An incomplete job of a daily deadline.
  *
- * @param remainingCoreS what is left of it, in core-seconds, by corrected estimates
- * @param longestTaskS seconds that it takes at the least, whatever it gets: its longest task
- * @param failing it fails wherever it is started
- * @param reason why it is not done, for operators
+ * @param remainingCoreS the remaining work by corrected estimates, in core-seconds
+ * @param longestTaskS the duration of its longest task, in seconds, which is a lower bound for the
+ *     job regardless of resources
+ * @param failing whether it fails on every machine
+ * @param reason the reason why it is not complete, for operators
  */
 public record PendingJob(
     JobId id, double remainingCoreS, double longestTaskS, boolean failing, String reason) {}
--- a/src/test/java/io/saltflow/deadlines/DailyDeadlineTest.java
+++ b/src/test/java/io/saltflow/deadlines/DailyDeadlineTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Daily deadlines: when they are due, what is forecast, which jobs are boosted. */
+/** Tests of daily deadlines: due times, forecasts, and boosted jobs. */
 class DailyDeadlineTest {
   private static DeadlineRule rule(String opens, String dueBy, String zone) {
     return new DeadlineRule(
@@ -32,7 +32,7 @@
         0.9);
   }
 
-  /** Evenings, midnight between, nights in which the clock is changed, days that have none. */
+  /** Guards against wrong due times across midnight, clock changes, and days without a deadline. */
   @ParameterizedTest
   @CsvSource({
     "18:00, 07:30, Asia/Almaty, 2026-12-01T18:00:00Z, 2026-12-02T02:30:00Z",
@@ -57,9 +57,9 @@
     assertEquals(
         2,
         DeadlineRule.validationErrors(List.of(rule, rule)).size(),
-        "a name twice, and a class of two queues");
+        "duplicate name and overlapping classes");
     assertEquals(
-        List.of("readiness[0].opens: the same as by, nothing is ever open"),
+        List.of("readiness[0].opens: the same as by, so the deadline is never open"),
         DeadlineRule.validationErrors(List.of(rule("07:30", "07:30", "UTC"))));
   }
 
@@ -68,30 +68,28 @@
         new JobId("req-" + number), remainingCoreS, longestTaskS, false, "it waits for machines");
   }
 
-  /** The most jobs that can be in time: every subset that fits. */
-  private static int best(List<PendingJob> jobs, double cores, double untilDueS) {
-    int best = 0;
-    for (int set = 0; set < 1 << jobs.size(); set++) {
+  /** Returns the maximum number of jobs that can be in time, by trying every subset. */
+  private static int maxJobsInTime(List<PendingJob> jobs, double cores, double untilDueS) {
+    int maxCount = 0;
+    for (int subset = 0; subset < 1 << jobs.size(); subset++) {
       double sum = 0;
       boolean fits = true;
       for (int i = 0; i < jobs.size(); i++) {
-        if ((set >> i & 1) == 1) {
+        if ((subset >> i & 1) == 1) {
           sum += jobs.get(i).remainingCoreS();
           fits &= jobs.get(i).longestTaskS() <= untilDueS;
         }
       }
       if (fits && sum <= cores * untilDueS + 1e-6) {
-        best = Math.max(best, Integer.bitCount(set));
+        maxCount = Math.max(maxCount, Integer.bitCount(subset));
       }
     }
-    return best;
+    return maxCount;
   }
 
-  /**
-   * What is pushed is the most that can be saved, in 2,000 small trials, whatever the order was.
-   */
+  /** Guards against a boost order that saves fewer jobs than an exhaustive search. */
   @Test
-  void boostSavesAsManyJobsAsPossible() {
+  void boostSavesMaximumNumberOfJobs() {
     Random random = new Random(4);
     for (int trial = 0; trial < 2000; trial++) {
       List<PendingJob> jobs = new ArrayList<>();
@@ -111,29 +109,29 @@
         sum += job.remainingCoreS();
         saved += sum <= cores * untilDueS + 1e-6 ? 1 : 0;
       }
-      assertEquals(best(jobs, cores, untilDueS), saved, "night " + trial);
+      assertEquals(maxJobsInTime(jobs, cores, untilDueS), saved, "trial " + trial);
       assertTrue(forecast.inTime() <= saved);
     }
   }
 
-  /** Pushed in an order that stays: no job goes back and forth as forecasts come and go. */
+  /** Guards against boosted jobs that change places as forecasts fluctuate. */
   @Test
   void boostOrderIsStable() {
     DailyDeadline deadline = DailyDeadline.opened("chapters", "2026-12-02", 0, 100_000, 0.9);
     List<PendingJob> all = List.of(pending(1, 4000, 20), pending(2, 300, 20), pending(3, 500, 90));
     deadline = DeadlineBoost.update(deadline, all, 0, 1, new CoreSupply(100, 100), 1000);
-    assertEquals(0, deadline.atRiskSinceMs(), "it is good: nothing is pushed");
+    assertEquals(0, deadline.atRiskSinceMs(), "no job is boosted while the forecast is good");
     assertEquals(List.of(), deadline.boosted());
     deadline = DeadlineBoost.update(deadline, all, 0, 1, new CoreSupply(30, 60), 5000);
     assertEquals(5000, deadline.atRiskSinceMs());
     assertEquals("[req-2, req-3, req-1]", deadline.boosted().toString());
-    // Good again: what is pushed goes on. One more comes while it is bad: by its length.
+    // Boosted jobs stay boosted when the forecast recovers; a new one is inserted by its length.
     deadline = DeadlineBoost.update(deadline, all, 0, 1, new CoreSupply(90, 90), 6000);
     assertEquals("[req-2, req-3, req-1]", deadline.boosted().toString());
     List<PendingJob> more = List.of(all.get(0), pending(4, 400, 20), all.get(1), all.get(2));
     deadline = DeadlineBoost.update(deadline, more, 0, 1, new CoreSupply(20, 60), 7000);
     assertEquals("[req-2, req-4, req-3, req-1]", deadline.boosted().toString());
-    // The third can't be saved any more: its longest task alone ends after the deadline.
+    // The third job can no longer be in time: its longest task alone ends after the deadline.
     deadline = DeadlineBoost.update(deadline, more, 0, 1, new CoreSupply(20, 60), 12_000);
     assertEquals("[req-2, req-4, req-1]", deadline.boosted().toString());
     assertTrue(
@@ -145,7 +143,7 @@
         "" + deadline.lateJobs());
   }
 
-  /** How far peers' clocks are ahead: only where most agree is one's own not believed. */
+  /** Guards against correcting the clock when the peers' clocks do not agree. */
   @ParameterizedTest
   @CsvSource({
     "0 0, 0",
@@ -156,9 +154,9 @@
     "3600000, 0",
     "3600000 5, 0"
   })
-  void clockIsCorrectedWhenTwoSiblingsAgree(String ahead, long correction) {
+  void clockIsCorrectedWhenTwoPeersAgree(String offsets, long correction) {
     List<Long> all = new ArrayList<>();
-    for (String offset : ahead.split(" ")) {
+    for (String offset : offsets.split(" ")) {
       all.add(Long.parseLong(offset));
     }
     assertEquals(correction, ClockAgreement.correction(all, 1500));
