--- a/src/main/java/io/saltflow/dependencies/DependencyGraph.java
+++ b/src/main/java/io/saltflow/dependencies/DependencyGraph.java
@@ -13,41 +13,41 @@
 import java.util.TreeMap;
 
 /**
- * The live jobs and the jobs that they depend on. Recorded facts go in; what follows comes out:
- * which jobs may start, which completions have to be read, and which jobs have to be cancelled.
+ * Graph of live jobs and the jobs that they depend on. From recorded events it derives which jobs
+ * may start, which completions have to be read, and which jobs have to be cancelled.
  *
  * <p>A job may start only when the completion of each job that it depends on is known to be
- * recorded. That a job's live record is gone proves neither that it is done nor that it was
- * cancelled: its end is read.
+ * recorded. The absence of a live record proves neither completion nor cancellation, so the
+ * completion has to be read.
  *
- * <p>Every walk is iterative and visits a job once, so that a damaged record by which jobs depend
- * on each other in a cycle neither hangs the process nor overflows its stack. Such jobs never
- * start, and are live until their users cancel them.
+ * <p>Every traversal is iterative and visits a job once, so that a dependency cycle caused by a
+ * damaged record neither hangs the process nor overflows the stack. Jobs on a cycle never start,
+ * and stay live until their users cancel them.
  */
 public final class DependencyGraph {
-  /** What is known of a job that is not over. */
+  /** State of a job whose end is not known. */
   private enum State {
-    /** It has a live record. */
+    /** The job has a live record. */
     LIVE,
-    /** A live job names it; its own record has not been seen, or is gone. */
+    /** A live job depends on it, and its own record has not been seen or is gone. */
     UNRESOLVED
   }
 
   /**
-   * A job of which every dependency is done.
+   * A job whose dependencies are all done.
    *
-   * @param lastEndMs the time of day at which the last of them ended
+   * @param lastEndMs the wall-clock time at which the last of them ended, in milliseconds
    */
   public record ReleasedJob(JobId job, long lastEndMs) {}
 
   /**
    * A job that has to be recorded as cancelled.
    *
-   * @param cause the cancelled job that it needs, directly or through others
+   * @param cause the cancelled job that it depends on, directly or transitively
    */
   public record PendingCancellation(JobId job, JobId cause) {}
 
-  /** One job and its edges in both directions; dependencies that are done are removed. */
+  /** A job and its edges in both directions; edges to dependencies that are done are removed. */
   private static final class Node {
     final JobId id;
     State state = State.UNRESOLVED;
@@ -55,30 +55,30 @@
     final Set<JobId> dependents = new LinkedHashSet<>();
 
     /**
-     * It was released in an earlier term: its dependencies are read only for the times of their
-     * ends.
+     * Whether the job was released in an earlier term, so that its dependencies are read only for
+     * their end times.
      */
     boolean started;
 
     long lastEndMs = Long.MIN_VALUE;
 
-    /** The cancelled job because of which it is to be cancelled; null: there is none. */
+    /** The cancelled job that causes this one to be cancelled, or {@code null} if there is none. */
     JobId cause;
 
     Node(JobId id) {
       this.id = id;
     }
 
-    boolean live() {
+    boolean isLive() {
       return state == State.LIVE;
     }
 
-    boolean toBeCancelled() {
+    boolean isToBeCancelled() {
       return cause != null;
     }
 
-    boolean waiting() {
-      return live() && !started && !toBeCancelled();
+    boolean isWaiting() {
+      return isLive() && !started && !isToBeCancelled();
     }
   }
 
@@ -89,14 +89,15 @@
   private boolean changed;
 
   /**
-   * A live record was found. Repeating it changes nothing.
+   * Adds a job with a live record. Has no effect if the job was added before.
    *
-   * @param dependencies the jobs that were not known to be done when it was admitted
-   * @param started it is recorded that it may start, so all its dependencies are done
+   * @param dependencies the jobs that were not known to be done when this job was admitted
+   * @param started whether the record says that the job may start, which implies that all its
+   *     dependencies are done
    */
   public void onJobAdded(JobId id, Collection<JobId> dependencies, boolean started) {
-    Node node = node(id);
-    if (node.live()) {
+    Node node = getOrCreateNode(id);
+    if (node.isLive()) {
       return;
     }
     node.state = State.LIVE;
@@ -104,24 +105,24 @@
     unresolved.remove(id);
     changed = true;
     for (JobId dependencyId : dependencies) {
-      Node dependency = node(dependencyId);
-      if (!dependency.live()) {
+      Node dependency = getOrCreateNode(dependencyId);
+      if (!dependency.isLive()) {
         unresolved.add(dependencyId);
       }
       node.unmetDependencies.add(dependencyId);
       dependency.dependents.add(id);
-      if (dependency.toBeCancelled()) {
+      if (dependency.isToBeCancelled()) {
         markForCancellation(node, dependency.cause);
       }
     }
-    if (node.toBeCancelled()) {
+    if (node.isToBeCancelled()) {
       markDependentsForCancellation(node);
     } else if (!dependencies.isEmpty() && node.unmetDependencies.isEmpty()) {
       released.add(new ReleasedJob(id, node.lastEndMs));
     }
   }
 
-  /** The job's completion is recorded, for good. */
+  /** Handles the recorded completion of a job, which is final. */
   public void onDone(JobId id, long endedMs) {
     Node node = remove(id);
     if (node == null) {
@@ -133,19 +134,21 @@
         continue;
       }
       dependent.lastEndMs = Math.max(dependent.lastEndMs, endedMs);
-      if (dependent.unmetDependencies.isEmpty() && dependent.live() && !dependent.toBeCancelled()) {
+      if (dependent.unmetDependencies.isEmpty()
+          && dependent.isLive()
+          && !dependent.isToBeCancelled()) {
         released.add(new ReleasedJob(dependentId, dependent.lastEndMs));
       }
     }
   }
 
-  /** The job's cancellation is recorded, for good; what depends on it is to be cancelled too. */
+  /** Handles the recorded cancellation of a job, which is final and cascades to its dependents. */
   public void onCancelled(JobId id) {
     Node node = remove(id);
     if (node == null) {
       return;
     }
-    node.cause = node.toBeCancelled() ? node.cause : id;
+    node.cause = node.isToBeCancelled() ? node.cause : id;
     markDependentsForCancellation(node);
     for (JobId dependentId : node.dependents) {
       Node dependent = nodes.get(dependentId);
@@ -156,15 +159,16 @@
   }
 
   /**
-   * The job's live record is gone. How it ended is not known, unless it was to be cancelled anyway.
+   * Handles the removal of a job's live record. How the job ended is unknown, unless it was marked
+   * for cancellation.
    */
   public void onRecordRemoved(JobId id) {
     Node node = nodes.get(id);
-    if (node == null || !node.live()) {
+    if (node == null || !node.isLive()) {
       return;
     }
-    if (node.toBeCancelled()) {
-      // Whoever recorded its end, all that needs it is to be cancelled already.
+    if (node.isToBeCancelled()) {
+      // Its dependents are marked for cancellation already, whichever writer recorded its end.
       onCancelled(id);
       return;
     }
@@ -179,12 +183,12 @@
     }
   }
 
-  /** Whether a job that it depends on is live: then nobody can have started it. */
+  /** Returns whether the job depends on a live job, in which case it cannot have been started. */
   public boolean dependsOnLiveJob(JobId id) {
     return nodes.containsKey(id) && !liveDependencies(id).isEmpty();
   }
 
-  /** The jobs whose dependencies all became done since the last call. */
+  /** Returns and clears the jobs released since the last call. */
   public List<ReleasedJob> takeReleased() {
     if (released.isEmpty()) {
       return List.of();
@@ -194,12 +198,12 @@
     return out;
   }
 
-  /** The jobs whose completions must be read: a job that has not started waits for each. */
+  /** Returns the jobs whose completions must be read because jobs not yet started wait for them. */
   public List<JobId> completionsToRead() {
     return unresolvedDependencies(true);
   }
 
-  /** The jobs whose completions are read only for the times of jobs that have started. */
+  /** Returns the jobs whose completions are read only for their end times, for started jobs. */
   public List<JobId> completionsToReadForTimes() {
     return unresolvedDependencies(false);
   }
@@ -211,8 +215,8 @@
       boolean started = false;
       for (JobId dependentId : nodes.get(id).dependents) {
         Node dependent = nodes.get(dependentId);
-        waitedFor |= dependent.waiting();
-        started |= dependent.live() && dependent.started;
+        waitedFor |= dependent.isWaiting();
+        started |= dependent.isLive() && dependent.started;
       }
       if (awaited ? waitedFor : started && !waitedFor) {
         unresolvedIds.add(id);
@@ -222,49 +226,49 @@
   }
 
   /**
-   * Jobs to record as cancelled, until {@link #onCancelled}, {@link #onRecordRemoved} or {@link
-   * #onDone}.
+   * Returns the jobs to record as cancelled. A job is listed until {@link #onCancelled}, {@link
+   * #onRecordRemoved} or {@link #onDone} is called for it.
    */
   public Collection<PendingCancellation> pendingCancellations() {
     return List.copyOf(pendingCancellations.values());
   }
 
-  /** Whether anything was added or removed since this was last asked: ranks are computed anew. */
+  /** Returns whether the graph changed since the last call, so that ranks must be recomputed. */
   public boolean takeChanged() {
-    boolean was = changed;
+    boolean wasChanged = changed;
     changed = false;
-    return was;
+    return wasChanged;
   }
 
-  /** Live jobs that depend on others or that others depend on. */
+  /** Returns the live jobs that have dependencies or dependents. */
   Collection<JobId> linked() {
     List<JobId> out = new ArrayList<>();
     for (Node node : nodes.values()) {
       boolean linked = !node.dependents.isEmpty() || !node.unmetDependencies.isEmpty();
-      if (node.live() && linked && !node.toBeCancelled()) {
+      if (node.isLive() && linked && !node.isToBeCancelled()) {
         out.add(node.id);
       }
     }
     return out;
   }
 
-  /** The job's unmet dependencies that are live. */
+  /** Returns the job's unmet dependencies that are live. */
   List<JobId> liveDependencies(JobId id) {
     List<JobId> live = new ArrayList<>();
     for (JobId dependencyId : nodes.get(id).unmetDependencies) {
       Node dependency = nodes.get(dependencyId);
-      if (dependency != null && dependency.live()) {
+      if (dependency != null && dependency.isLive()) {
         live.add(dependencyId);
       }
     }
     return live;
   }
 
-  private Node node(JobId id) {
+  private Node getOrCreateNode(JobId id) {
     return nodes.computeIfAbsent(id, Node::new);
   }
 
-  /** Removes the job; those that depend on it still name it. */
+  /** Removes the job, but not the edges of its dependents. */
   private Node remove(JobId id) {
     Node node = nodes.remove(id);
     if (node != null) {
@@ -277,13 +281,13 @@
     return node;
   }
 
-  /** Drops the job's dependencies, and forgets those that only it named. */
+  /** Removes the job's dependency edges, and unresolved dependencies without other dependents. */
   private void detach(Node node) {
     for (JobId dependencyId : node.unmetDependencies) {
       Node dependency = nodes.get(dependencyId);
       if (dependency != null) {
         dependency.dependents.remove(node.id);
-        if (!dependency.live() && dependency.dependents.isEmpty()) {
+        if (!dependency.isLive() && dependency.dependents.isEmpty()) {
           nodes.remove(dependencyId);
           unresolved.remove(dependencyId);
         }
@@ -292,9 +296,9 @@
     node.unmetDependencies.clear();
   }
 
-  /** Marks the job; returns whether it was not marked before. */
+  /** Marks a waiting job for cancellation; returns whether it was newly marked. */
   private boolean markForCancellation(Node node, JobId cause) {
-    if (!node.waiting()) {
+    if (!node.isWaiting()) {
       return false;
     }
     node.cause = cause;
@@ -305,19 +309,19 @@
   }
 
   private void markDependentsForCancellation(Node root) {
-    Deque<Node> open = new ArrayDeque<>(List.of(root));
-    while (!open.isEmpty()) {
-      Node next = open.poll();
+    Deque<Node> queue = new ArrayDeque<>(List.of(root));
+    while (!queue.isEmpty()) {
+      Node next = queue.poll();
       for (JobId dependentId : next.dependents) {
         Node dependent = nodes.get(dependentId);
         if (dependent != null && markForCancellation(dependent, root.cause)) {
-          open.add(dependent);
+          queue.add(dependent);
         }
       }
     }
   }
 
-  /** The whole state as text, equal for graphs that behave alike. */
+  /** Returns the whole state as text, equal for graphs that behave identically. */
   @Override
   public String toString() {
     Map<JobId, String> nodesById = new TreeMap<>();
--- a/src/main/java/io/saltflow/dependencies/DependencyRanks.java
+++ b/src/main/java/io/saltflow/dependencies/DependencyRanks.java
@@ -10,31 +10,32 @@
 import java.util.Map;
 
 /**
- * What a job inherits from the jobs that need it, directly or through others: the highest priority,
- * and the latest completion by which all of them can still be in time. The latter goes backward
- * along the critical path of estimates, as in HEFT's upward rank (Topcuoglu, Hariri and Wu, 2002).
+ * Computes what a job inherits from its direct and transitive dependents: the highest priority, and
+ * the latest completion with which all of them can still be in time. The latter is propagated
+ * backward along the critical path of estimates, as in HEFT's upward rank (Topcuoglu, Hariri and
+ * Wu, 2002).
  */
 public final class DependencyRanks {
-  /** There is no time by which it has to be complete. */
+  /** Value for jobs that do not have to complete by any time. */
   public static final long NO_DEADLINE = Long.MAX_VALUE;
 
-  /** What a job says of itself. */
+  /** Attributes of a job itself, without those inherited from its dependents. */
   public interface JobAttributes {
-    /** The job's own priority. */
+    /** Returns the job's own priority. */
     Priority priority(JobId id);
 
-    /** Its own deadline, as a time of day, or {@link #NO_DEADLINE}. */
+    /** Returns the job's own deadline as wall-clock time in ms, or {@link #NO_DEADLINE}. */
     long deadlineMs(JobId id);
 
-    /** How long it takes by estimate from when it may start until its end is recorded. */
+    /** Returns the estimated time in ms from the job's release until its end is recorded. */
     long expectedMs(JobId id);
   }
 
   /**
-   * What a job's dependents ask of it.
+   * The requirements of a job and its dependents.
    *
-   * @param priority the highest of its own and of those that need it
-   * @param latestEndMs the earliest of its own deadline and of what those that need it leave
+   * @param priority the highest priority of the job and its dependents
+   * @param latestEndMs the latest completion that meets the deadlines of the job and its dependents
    */
   public record InheritedRank(Priority priority, long latestEndMs) {
     private InheritedRank combinedWith(Priority otherPriority, long otherLatestEndMs) {
@@ -47,9 +48,9 @@
   private DependencyRanks() {}
 
   /**
-   * The ranks of all live jobs that depend on others or are depended on. Each job comes after all
-   * jobs that need it; those that need each other in a circle, which only a damaged record can say,
-   * are left out.
+   * Returns the ranks of all live jobs that have dependencies or dependents. Each job comes after
+   * all its dependents. Jobs on a dependency cycle, which only a damaged record can cause, and
+   * their dependencies are left out.
    */
   public static Map<JobId, InheritedRank> of(DependencyGraph graph, JobAttributes jobs) {
     Map<JobId, InheritedRank> ranks = new LinkedHashMap<>();
--- a/src/main/java/io/saltflow/dependencies/package-info.java
+++ b/src/main/java/io/saltflow/dependencies/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Jobs that depend on others: which of them may start, which are cancelled with a job that they
- * depend on, and which priority and latest completion they inherit from their dependents. Pure and
- * deterministic: events in, effects out. {@code docs/design/job-dependencies.md} compares the
+ * Dependencies between jobs: which jobs may start, which are cancelled by cascade, and which
+ * priority and latest completion they inherit from their dependents. Pure and deterministic: events
+ * are passed in, and effects are returned. {@code docs/design/job-dependencies.md} compares the
  * alternatives.
  */
 package io.saltflow.dependencies;
--- a/src/test/java/io/saltflow/dependencies/DependencyExplorationTest.java
+++ b/src/test/java/io/saltflow/dependencies/DependencyExplorationTest.java
@@ -18,52 +18,52 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every interleaving of small pipelines: submissions, starts, ends and cancellations; writes of the
- * leader whose answer is lost, that are carried out late, or never; a failover at any step. After
- * each of them all that is open is delivered, and each job has to be over as it should.
+ * Explores every interleaving of small dependency graphs: submissions, starts, ends, cancellations,
+ * failovers, and leader writes that are delayed, lost, or whose answer is lost. From each state
+ * reached, the remaining steps run without further faults, and each job must end as done or
+ * cancelled as expected.
  */
 class DependencyExplorationTest {
-  private enum Kind {
-    /** A node accepts the job. */
+  private enum StepKind {
     SUBMIT,
-    /** A user cancels it. */
+    /** A user cancels the job. */
     CANCEL,
-    /** The leader's watch tells of its record, or that it is gone. */
+    /** The leader's watch reports that the record was added or removed. */
     WATCH,
-    /** The leader marks and starts it. */
+    /** The leader records the start and runs all tasks. */
     START,
-    /** Its tasks are done: the leader writes that down. */
+    /** The leader records the completion. */
     END,
-    END_UNANSWERED,
-    END_LATE,
-    /** The leader reads its end, which it waits for or is unsure of. */
+    END_ANSWER_LOST,
+    END_DELAYED,
+    /** The leader reads a completion that it waits for, or a write in doubt. */
     READ,
-    /** The leader writes that it is cancelled with what it needs. */
+    /** The leader records the cancellation by cascade. */
     CASCADE,
-    CASCADE_UNANSWERED,
-    CASCADE_LATE,
-    CASCADE_NEVER,
-    /** A write that is on its way is carried out. */
-    ARRIVE,
-    TAKEOVER
+    CASCADE_ANSWER_LOST,
+    CASCADE_DELAYED,
+    CASCADE_LOST,
+    /** A delayed write is applied. */
+    APPLY_DELAYED,
+    FAILOVER
   }
 
-  /** What a leader might get wrong. */
-  private enum Mistake {
+  /** A bug planted in the simulated leader. */
+  private enum PlantedBug {
     NONE,
-    /** It goes on once it has sent an end, before that is recorded. */
-    TAKES_SENT_FOR_RECORDED,
-    TAKES_GONE_FOR_DONE,
-    TAKES_GONE_FOR_CANCELLED,
-    /** Any end that is read counts as done. */
-    TAKES_ANY_END_FOR_DONE,
-    /** A successor takes needs without a live record for done. */
-    SUCCESSOR_TAKES_ABSENT_FOR_DONE,
-    /** A successor does not read the ends of what it never saw live. */
-    SUCCESSOR_NEVER_READS,
-    /** A cancellation that was sent is not looked at again. */
-    TAKES_SENT_CANCEL_FOR_RECORDED,
-    /** Only what needs the cancelled job itself is cancelled, and nobody looks for the rest. */
+    /** The leader treats a completion as recorded once it is sent. */
+    TREATS_SENT_END_AS_RECORDED,
+    TREATS_REMOVED_AS_DONE,
+    TREATS_REMOVED_AS_CANCELLED,
+    /** The leader treats a cancellation that it reads as a completion. */
+    TREATS_ANY_END_AS_DONE,
+    /** A new leader treats dependencies without a live record as done. */
+    NEW_LEADER_TREATS_ABSENT_AS_DONE,
+    /** A new leader does not read the completions of jobs that it has not seen live. */
+    NEW_LEADER_SKIPS_UNSEEN_COMPLETIONS,
+    /** The leader does not verify a cancellation that was sent. */
+    TREATS_SENT_CANCELLATION_AS_RECORDED,
+    /** Only direct dependents of a cancelled job are cancelled, not transitive ones. */
     CANCELS_DIRECT_DEPENDENTS_ONLY
   }
 
@@ -74,279 +74,302 @@
     CANCELLED
   }
 
-  private record Step(Kind kind, int job) {}
+  private record Step(StepKind kind, int job) {}
 
-  /** What faults are left of each sort: they bound the space. */
-  private static final Map<Kind, Integer> MOST =
-      new EnumMap<>(Map.of(Kind.CANCEL, 1, Kind.TAKEOVER, 2));
+  /** Maximum occurrences of a kind of step per path; bounds the state space. */
+  private static final Map<StepKind, Integer> MAX_OCCURRENCES =
+      new EnumMap<>(Map.of(StepKind.CANCEL, 1, StepKind.FAILOVER, 2));
 
-  private static final int MOST_BAD_WRITES = 1;
+  private static final int MAX_FAULTY_WRITES = 1;
 
-  private final class Run {
-    final int[][] needs;
-    final Phase[] phase;
-    final BitSet marked = new BitSet();
-    final BitSet ranAll = new BitSet();
-    final Map<Kind, Integer> used = new EnumMap<>(Kind.class);
-    int badWrites;
+  private final class Simulation {
+    final int[][] dependencies;
+    final Phase[] phases;
+    final BitSet startRecorded = new BitSet();
+    final BitSet tasksRan = new BitSet();
+    final Map<StepKind, Integer> occurrences = new EnumMap<>(StepKind.class);
+    int faultyWrites;
 
-    /** Late writes of the present leader: an end, or a cancellation. */
-    final Set<Step> onTheirWay = new HashSet<>();
+    /** Delayed writes of the current leader: ends or cancellations. */
+    final Set<Step> delayedWrites = new HashSet<>();
 
     DependencyGraph graph = new DependencyGraph();
-    final BitSet seen = new BitSet();
-    final BitSet mayStart = new BitSet();
-    final BitSet unsure = new BitSet();
-    final BitSet cancelSent = new BitSet();
-    boolean successor;
-    String fault;
-
-    Run(int[][] needs) {
-      this.needs = needs;
-      phase = new Phase[needs.length];
-      Arrays.fill(phase, Phase.UNKNOWN);
-      for (int i = 0; i < needs.length - 1; i++) {
-        phase[i] = Phase.LIVE;
+    final BitSet observedLive = new BitSet();
+    final BitSet startable = new BitSet();
+    final BitSet inDoubt = new BitSet();
+    final BitSet cancellationSent = new BitSet();
+    boolean afterFailover;
+    String violation;
+
+    Simulation(int[][] dependencies) {
+      this.dependencies = dependencies;
+      phases = new Phase[dependencies.length];
+      Arrays.fill(phases, Phase.UNKNOWN);
+      for (int i = 0; i < dependencies.length - 1; i++) {
+        phases[i] = Phase.LIVE;
       }
-      lead();
+      becomeLeader();
     }
 
-    private void lead() {
+    private void becomeLeader() {
       graph = new DependencyGraph();
-      seen.clear();
-      mayStart.clear();
-      unsure.clear();
-      cancelSent.clear();
-      onTheirWay.clear();
-      for (int i = 0; i < phase.length; i++) {
-        if (phase[i] == Phase.LIVE) {
-          add(i, marked.get(i));
+      observedLive.clear();
+      startable.clear();
+      inDoubt.clear();
+      cancellationSent.clear();
+      delayedWrites.clear();
+      for (int i = 0; i < phases.length; i++) {
+        if (phases[i] == Phase.LIVE) {
+          add(i, startRecorded.get(i));
         }
       }
-      if (successor && mistake == Mistake.SUCCESSOR_TAKES_ABSENT_FOR_DONE) {
+      if (afterFailover && plantedBug == PlantedBug.NEW_LEADER_TREATS_ABSENT_AS_DONE) {
         graph.completionsToRead().forEach(id -> graph.onDone(id, 0));
       }
-      released();
+      collectReleased();
     }
 
-    private void add(int i, boolean started) {
-      seen.set(i);
-      graph.onJobAdded(id(i), IntStream.of(needs[i]).mapToObj(n -> id(n)).toList(), started);
-      if (started || needs[i].length == 0) {
-        mayStart.set(i);
+    private void add(int job, boolean started) {
+      observedLive.set(job);
+      graph.onJobAdded(
+          id(job), IntStream.of(dependencies[job]).mapToObj(n -> id(n)).toList(), started);
+      if (started || dependencies[job].length == 0) {
+        startable.set(job);
       }
     }
 
-    private void released() {
-      graph.takeReleased().forEach(r -> mayStart.set(number(r.job())));
+    private void collectReleased() {
+      graph.takeReleased().forEach(r -> startable.set(number(r.job())));
     }
 
     List<Step> steps() {
-      List<Step> out = new ArrayList<>();
-      for (int i = 0; i < phase.length; i++) {
+      List<Step> steps = new ArrayList<>();
+      for (int i = 0; i < phases.length; i++) {
         int job = i;
-        boolean live = phase[i] == Phase.LIVE;
-        boolean bad = badWrites < MOST_BAD_WRITES;
-        boolean ends = live && ranAll.get(i) && !unsure.get(i) && seen.get(i);
-        boolean cascades = live && toCancel(i) && !cancelSent.get(i);
-        offer(out, Kind.SUBMIT, i, phase[i] == Phase.UNKNOWN && all(i, n -> accepted(n)));
-        offer(out, Kind.CANCEL, i, live && left(Kind.CANCEL));
-        offer(out, Kind.WATCH, i, accepted(i) && live != seen.get(i));
-        offer(out, Kind.START, i, live && mayStart.get(i) && !ranAll.get(i));
-        offer(out, Kind.END, i, ends);
-        offer(out, Kind.END_UNANSWERED, i, ends && bad);
-        offer(out, Kind.END_LATE, i, ends && bad);
-        offer(out, Kind.READ, i, unsure.get(i) || reads(i));
-        offer(out, Kind.CASCADE, i, cascades);
-        offer(out, Kind.CASCADE_UNANSWERED, i, cascades && bad);
-        offer(out, Kind.CASCADE_LATE, i, cascades && bad);
-        offer(out, Kind.CASCADE_NEVER, i, cascades && bad);
-        offer(out, Kind.ARRIVE, i, onTheirWay.stream().anyMatch(s -> s.job == job));
+        boolean live = phases[i] == Phase.LIVE;
+        boolean writeMayFail = faultyWrites < MAX_FAULTY_WRITES;
+        boolean canEnd = live && tasksRan.get(i) && !inDoubt.get(i) && observedLive.get(i);
+        boolean canCascade = live && shouldCascade(i) && !cancellationSent.get(i);
+        addIfPossible(
+            steps,
+            StepKind.SUBMIT,
+            i,
+            phases[i] == Phase.UNKNOWN && allDependencies(i, n -> isAccepted(n)));
+        addIfPossible(steps, StepKind.CANCEL, i, live && hasOccurrencesLeft(StepKind.CANCEL));
+        addIfPossible(steps, StepKind.WATCH, i, isAccepted(i) && live != observedLive.get(i));
+        addIfPossible(steps, StepKind.START, i, live && startable.get(i) && !tasksRan.get(i));
+        addIfPossible(steps, StepKind.END, i, canEnd);
+        addIfPossible(steps, StepKind.END_ANSWER_LOST, i, canEnd && writeMayFail);
+        addIfPossible(steps, StepKind.END_DELAYED, i, canEnd && writeMayFail);
+        addIfPossible(steps, StepKind.READ, i, inDoubt.get(i) || shouldRead(i));
+        addIfPossible(steps, StepKind.CASCADE, i, canCascade);
+        addIfPossible(steps, StepKind.CASCADE_ANSWER_LOST, i, canCascade && writeMayFail);
+        addIfPossible(steps, StepKind.CASCADE_DELAYED, i, canCascade && writeMayFail);
+        addIfPossible(steps, StepKind.CASCADE_LOST, i, canCascade && writeMayFail);
+        addIfPossible(
+            steps,
+            StepKind.APPLY_DELAYED,
+            i,
+            delayedWrites.stream().anyMatch(write -> write.job == job));
       }
-      offer(out, Kind.TAKEOVER, 0, left(Kind.TAKEOVER));
-      return out;
+      addIfPossible(steps, StepKind.FAILOVER, 0, hasOccurrencesLeft(StepKind.FAILOVER));
+      return steps;
     }
 
-    private void offer(List<Step> out, Kind kind, int job, boolean possible) {
+    private void addIfPossible(List<Step> steps, StepKind kind, int job, boolean possible) {
       if (possible) {
-        out.add(new Step(kind, job));
+        steps.add(new Step(kind, job));
       }
     }
 
-    private boolean left(Kind kind) {
-      return used.getOrDefault(kind, 0) < MOST.get(kind);
+    private boolean hasOccurrencesLeft(StepKind kind) {
+      return occurrences.getOrDefault(kind, 0) < MAX_OCCURRENCES.get(kind);
     }
 
-    private boolean accepted(int i) {
-      return phase[i] != Phase.UNKNOWN;
+    private boolean isAccepted(int job) {
+      return phases[job] != Phase.UNKNOWN;
     }
 
-    private boolean all(int i, IntPredicate of) {
-      return IntStream.of(needs[i]).allMatch(of);
+    private boolean allDependencies(int job, IntPredicate predicate) {
+      return IntStream.of(dependencies[job]).allMatch(predicate);
     }
 
-    private boolean any(int i, IntPredicate of) {
-      return IntStream.of(needs[i]).anyMatch(of);
+    private boolean anyDependency(int job, IntPredicate predicate) {
+      return IntStream.of(dependencies[job]).anyMatch(predicate);
     }
 
-    private boolean reads(int i) {
-      boolean never = successor && mistake == Mistake.SUCCESSOR_NEVER_READS && !seen.get(i);
-      return !never && graph.completionsToRead().contains(id(i));
+    private boolean shouldRead(int job) {
+      boolean skipped =
+          afterFailover
+              && plantedBug == PlantedBug.NEW_LEADER_SKIPS_UNSEEN_COMPLETIONS
+              && !observedLive.get(job);
+      return !skipped && graph.completionsToRead().contains(id(job));
     }
 
-    private boolean toCancel(int i) {
-      boolean direct =
-          mistake != Mistake.CANCELS_DIRECT_DEPENDENTS_ONLY
-              || (any(i, n -> phase[n] == Phase.CANCELLED) && any(i, n -> needs[n].length == 0));
-      return direct && graph.pendingCancellations().stream().anyMatch(d -> d.job().equals(id(i)));
+    private boolean shouldCascade(int job) {
+      boolean eligible =
+          plantedBug != PlantedBug.CANCELS_DIRECT_DEPENDENTS_ONLY
+              || (anyDependency(job, n -> phases[n] == Phase.CANCELLED)
+                  && anyDependency(job, n -> dependencies[n].length == 0));
+      return eligible
+          && graph.pendingCancellations().stream().anyMatch(d -> d.job().equals(id(job)));
     }
 
-    void play(Step step) {
-      int i = step.job;
-      if (MOST.containsKey(step.kind)) {
-        used.merge(step.kind, 1, Integer::sum);
+    void apply(Step step) {
+      int job = step.job;
+      if (MAX_OCCURRENCES.containsKey(step.kind)) {
+        occurrences.merge(step.kind, 1, Integer::sum);
       }
       switch (step.kind) {
         case SUBMIT ->
-            phase[i] = any(i, n -> phase[n] == Phase.CANCELLED) ? Phase.CANCELLED : Phase.LIVE;
-        case CANCEL -> phase[i] = Phase.CANCELLED;
-        case WATCH -> watch(i);
-        case START -> start(i);
+            phases[job] =
+                anyDependency(job, n -> phases[n] == Phase.CANCELLED)
+                    ? Phase.CANCELLED
+                    : Phase.LIVE;
+        case CANCEL -> phases[job] = Phase.CANCELLED;
+        case WATCH -> onWatchEvent(job);
+        case START -> start(job);
         case END -> {
-          phase[i] = Phase.DONE;
-          graph.onDone(id(i), 0);
+          phases[job] = Phase.DONE;
+          graph.onDone(id(job), 0);
         }
-        case END_UNANSWERED -> {
-          badWrites++;
-          phase[i] = Phase.DONE;
-          sentEnd(i);
+        case END_ANSWER_LOST -> {
+          faultyWrites++;
+          phases[job] = Phase.DONE;
+          onEndInDoubt(job);
         }
-        case END_LATE -> {
-          badWrites++;
-          onTheirWay.add(new Step(Kind.END, i));
-          sentEnd(i);
+        case END_DELAYED -> {
+          faultyWrites++;
+          delayedWrites.add(new Step(StepKind.END, job));
+          onEndInDoubt(job);
         }
-        case READ -> read(i);
+        case READ -> read(job);
         case CASCADE -> {
-          cascaded(i);
-          graph.onCancelled(id(i));
+          applyCascade(job);
+          graph.onCancelled(id(job));
         }
-        case CASCADE_UNANSWERED -> {
-          badWrites++;
-          cascaded(i);
-          sentCancel(i);
+        case CASCADE_ANSWER_LOST -> {
+          faultyWrites++;
+          applyCascade(job);
+          onCancellationInDoubt(job);
         }
-        case CASCADE_LATE -> {
-          badWrites++;
-          onTheirWay.add(new Step(Kind.CASCADE, i));
-          sentCancel(i);
+        case CASCADE_DELAYED -> {
+          faultyWrites++;
+          delayedWrites.add(new Step(StepKind.CASCADE, job));
+          onCancellationInDoubt(job);
         }
-        case CASCADE_NEVER -> {
-          badWrites++;
-          sentCancel(i);
+        case CASCADE_LOST -> {
+          faultyWrites++;
+          onCancellationInDoubt(job);
         }
-        case ARRIVE -> arrive(i);
-        case TAKEOVER -> {
-          successor = true;
-          lead();
+        case APPLY_DELAYED -> applyDelayed(job);
+        case FAILOVER -> {
+          afterFailover = true;
+          becomeLeader();
         }
         default -> throw new IllegalStateException(step.toString());
       }
-      released();
+      collectReleased();
     }
 
-    private void watch(int i) {
-      if (phase[i] == Phase.LIVE) {
-        add(i, false);
+    private void onWatchEvent(int job) {
+      if (phases[job] == Phase.LIVE) {
+        add(job, false);
         return;
       }
-      seen.clear(i);
-      if (unsure.get(i) && ranAll.get(i)) {
-        // Its own end is on its way: that is read, and not taken for a user's cancellation.
+      observedLive.clear(job);
+      if (inDoubt.get(job) && tasksRan.get(job)) {
+        // The leader's own write is in doubt: it is read, not treated as a user's cancellation.
         return;
       }
-      switch (mistake) {
-        case TAKES_GONE_FOR_DONE -> graph.onDone(id(i), 0);
-        case TAKES_GONE_FOR_CANCELLED -> graph.onCancelled(id(i));
-        default -> graph.onRecordRemoved(id(i));
+      switch (plantedBug) {
+        case TREATS_REMOVED_AS_DONE -> graph.onDone(id(job), 0);
+        case TREATS_REMOVED_AS_CANCELLED -> graph.onCancelled(id(job));
+        default -> graph.onRecordRemoved(id(job));
       }
     }
 
-    private void start(int i) {
-      if (any(i, n -> phase[n] != Phase.DONE)) {
-        fault = "too_early: " + i;
+    private void start(int job) {
+      if (anyDependency(job, n -> phases[n] != Phase.DONE)) {
+        violation = "started before its dependencies were done: " + job;
       }
-      marked.set(i);
-      ranAll.set(i);
+      startRecorded.set(job);
+      tasksRan.set(job);
     }
 
-    private void sentEnd(int i) {
-      unsure.set(i);
-      if (mistake == Mistake.TAKES_SENT_FOR_RECORDED) {
-        graph.onDone(id(i), 0);
+    private void onEndInDoubt(int job) {
+      inDoubt.set(job);
+      if (plantedBug == PlantedBug.TREATS_SENT_END_AS_RECORDED) {
+        graph.onDone(id(job), 0);
       }
     }
 
-    private void sentCancel(int i) {
-      cancelSent.set(i);
-      if (mistake != Mistake.TAKES_SENT_CANCEL_FOR_RECORDED) {
-        unsure.set(i);
+    private void onCancellationInDoubt(int job) {
+      cancellationSent.set(job);
+      if (plantedBug != PlantedBug.TREATS_SENT_CANCELLATION_AS_RECORDED) {
+        inDoubt.set(job);
       }
     }
 
-    private void read(int i) {
-      boolean was = unsure.get(i);
-      unsure.clear(i);
-      cancelSent.clear(i);
-      boolean done = mistake == Mistake.TAKES_ANY_END_FOR_DONE || phase[i] == Phase.DONE;
-      if (phase[i] == Phase.LIVE) {
+    private void read(int job) {
+      boolean wasInDoubt = inDoubt.get(job);
+      inDoubt.clear(job);
+      cancellationSent.clear(job);
+      boolean done = plantedBug == PlantedBug.TREATS_ANY_END_AS_DONE || phases[job] == Phase.DONE;
+      if (phases[job] == Phase.LIVE) {
         return;
       }
       if (done) {
-        graph.onDone(id(i), 0);
-      } else if (was || phase[i] == Phase.CANCELLED) {
-        graph.onCancelled(id(i));
+        graph.onDone(id(job), 0);
+      } else if (wasInDoubt || phases[job] == Phase.CANCELLED) {
+        graph.onCancelled(id(job));
       }
     }
 
-    private void cascaded(int i) {
-      if (marked.get(i)) {
-        fault = "cancelled though it was started: " + i;
+    private void applyCascade(int job) {
+      if (startRecorded.get(job)) {
+        violation = "cancelled after start: " + job;
       }
-      if (!shouldBeCancelled(i)) {
-        fault = "went_back: cancelled without a cause: " + i;
+      if (!shouldBeCancelled(job)) {
+        violation = "cancelled without cause: " + job;
       }
-      phase[i] = Phase.CANCELLED;
+      phases[job] = Phase.CANCELLED;
     }
 
-    private void arrive(int i) {
-      for (Step write : List.copyOf(onTheirWay)) {
-        if (write.job == i && onTheirWay.remove(write) && phase[i] == Phase.LIVE) {
-          if (write.kind == Kind.END) {
-            phase[i] = Phase.DONE;
+    private void applyDelayed(int job) {
+      for (Step write : List.copyOf(delayedWrites)) {
+        if (write.job == job && delayedWrites.remove(write) && phases[job] == Phase.LIVE) {
+          if (write.kind == StepKind.END) {
+            phases[job] = Phase.DONE;
           } else {
-            cascaded(i);
+            applyCascade(job);
           }
         }
       }
     }
 
-    private boolean shouldBeCancelled(int i) {
-      return phase[i] == Phase.CANCELLED || any(i, this::shouldBeCancelled);
+    private boolean shouldBeCancelled(int job) {
+      return phases[job] == Phase.CANCELLED || anyDependency(job, this::shouldBeCancelled);
     }
 
-    /** All that is open is delivered, without further faults. */
-    void settle() {
-      Set<Kind> orderly =
+    /** Runs all remaining steps without faults, then checks how each job ended. */
+    void runToEnd() {
+      Set<StepKind> faultFreeKinds =
           Set.of(
-              Kind.SUBMIT, Kind.WATCH, Kind.START, Kind.END, Kind.READ, Kind.CASCADE, Kind.ARRIVE);
-      for (int steps = 0; steps < 100 && fault == null; steps++) {
+              StepKind.SUBMIT,
+              StepKind.WATCH,
+              StepKind.START,
+              StepKind.END,
+              StepKind.READ,
+              StepKind.CASCADE,
+              StepKind.APPLY_DELAYED);
+      for (int steps = 0; steps < 100 && violation == null; steps++) {
         Step next = null;
         for (Step step : steps()) {
-          // A read that finds nothing is repeated once something else has happened.
-          boolean vain = step.kind == Kind.READ && phase[step.job] == Phase.LIVE;
-          boolean useful = !vain || unsure.get(step.job);
-          if (orderly.contains(step.kind) && useful) {
+          // Reading a live job changes nothing unless one of its writes is in doubt.
+          boolean readsLiveJob = step.kind == StepKind.READ && phases[step.job] == Phase.LIVE;
+          boolean useful = !readsLiveJob || inDoubt.get(step.job);
+          if (faultFreeKinds.contains(step.kind) && useful) {
             next = step;
             break;
           }
@@ -354,75 +377,77 @@
         if (next == null) {
           break;
         }
-        play(next);
+        apply(next);
       }
-      for (int i = 0; i < phase.length && fault == null; i++) {
+      for (int i = 0; i < phases.length && violation == null; i++) {
         Phase expected = shouldBeCancelled(i) ? Phase.CANCELLED : Phase.DONE;
-        if (phase[i] != expected) {
-          fault = (expected == Phase.CANCELLED ? "orphaned: " : "never released: ") + i;
+        if (phases[i] != expected) {
+          violation = (expected == Phase.CANCELLED ? "not cancelled: " : "not released: ") + i;
         }
       }
     }
 
     String fingerprint() {
-      return Arrays.toString(phase)
-          + marked
-          + ranAll
-          + used
-          + badWrites
-          + onTheirWay
-          + seen
-          + mayStart
-          + unsure
-          + cancelSent
-          + successor
+      return Arrays.toString(phases)
+          + startRecorded
+          + tasksRan
+          + occurrences
+          + faultyWrites
+          + delayedWrites
+          + observedLive
+          + startable
+          + inDoubt
+          + cancellationSent
+          + afterFailover
           + graph;
     }
   }
 
-  private Mistake mistake = Mistake.NONE;
+  private PlantedBug plantedBug = PlantedBug.NONE;
   private int states;
 
-  private static JobId id(int i) {
-    return new JobId("req-00000" + i);
+  private static JobId id(int number) {
+    return new JobId("req-00000" + number);
   }
 
   private static int number(JobId id) {
     return Integer.parseInt(id.text().substring("req-".length()));
   }
 
-  /** The first fault, with the steps that lead to it; null: there is none. */
-  private String explore(int[][] needs) {
+  /**
+   * Returns the first violation with the steps that lead to it, or {@code null} if there is none.
+   */
+  private String explore(int[][] dependencies) {
     states = 0;
-    Set<String> known = new HashSet<>();
-    ArrayDeque<List<Step>> open = new ArrayDeque<>(List.of(List.of()));
-    while (!open.isEmpty()) {
-      List<Step> path = open.poll();
-      Run run = replay(needs, path);
-      if (run.fault == null && !known.add(run.fingerprint())) {
+    Set<String> visited = new HashSet<>();
+    ArrayDeque<List<Step>> queue = new ArrayDeque<>(List.of(List.of()));
+    while (!queue.isEmpty()) {
+      List<Step> path = queue.poll();
+      Simulation simulation = replay(dependencies, path);
+      if (simulation.violation == null && !visited.add(simulation.fingerprint())) {
         continue;
       }
       states++;
-      List<Step> next = run.fault == null ? run.steps() : List.of();
-      if (run.fault == null) {
-        run.settle();
+      List<Step> next = simulation.violation == null ? simulation.steps() : List.of();
+      if (simulation.violation == null) {
+        simulation.runToEnd();
       }
-      if (run.fault != null) {
-        return run.fault + " after " + path;
+      if (simulation.violation != null) {
+        return simulation.violation + " after " + path;
       }
       for (Step step : next) {
         List<Step> longer = new ArrayList<>(path);
         longer.add(step);
-        open.add(longer);
+        queue.add(longer);
       }
     }
     return null;
   }
 
-  private Run replay(int[][] needs, List<Step> path) {
-    Run run = new Run(needs);
-    path.forEach(run::play);
-    return run;
+  private Simulation replay(int[][] dependencies, List<Step> path) {
+    Simulation simulation = new Simulation(dependencies);
+    path.forEach(simulation::apply);
+    return simulation;
   }
 
   private static final int[][] CHAIN = {{}, {0}, {1}};
@@ -431,21 +456,22 @@
   private static final int[][] DIAMOND = {{}, {0}, {0}, {1, 2}};
 
   @Test
-  void smallGraphsNeverGoWrong() {
-    for (int[][] needs : List.of(CHAIN, FAN_OUT, FAN_IN, DIAMOND)) {
-      assertEquals(null, explore(needs));
-      assertTrue(states > 1000, "only " + states + " states of " + Arrays.deepToString(needs));
-      System.out.println(Arrays.deepToString(needs) + ": " + states + " states");
+  void smallGraphsEndCorrectlyInEveryInterleaving() {
+    for (int[][] dependencies : List.of(CHAIN, FAN_OUT, FAN_IN, DIAMOND)) {
+      assertEquals(null, explore(dependencies));
+      assertTrue(
+          states > 1000, "too few states: " + states + " for " + Arrays.deepToString(dependencies));
+      System.out.println(Arrays.deepToString(dependencies) + ": " + states + " states");
     }
   }
 
   @Test
-  void eachPlantedMistakeIsFound() {
-    for (Mistake each : Mistake.values()) {
-      mistake = each;
-      String fault = explore(CHAIN);
-      assertEquals(each == Mistake.NONE, fault == null, each + ": " + fault);
-      System.out.println(each + ": " + fault);
+  void eachPlantedBugIsDetected() {
+    for (PlantedBug bug : PlantedBug.values()) {
+      plantedBug = bug;
+      String violation = explore(CHAIN);
+      assertEquals(bug == PlantedBug.NONE, violation == null, bug + ": " + violation);
+      System.out.println(bug + ": " + violation);
     }
   }
 }
--- a/src/test/java/io/saltflow/dependencies/DependencyGraphTest.java
+++ b/src/test/java/io/saltflow/dependencies/DependencyGraphTest.java
@@ -9,18 +9,19 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What the graph says in large and damaged cases, and the ranks that it passes back. */
+/** Tests of the dependency graph, with deep and damaged graphs, and of inherited ranks. */
 class DependencyGraphTest {
-  private static final int DEEP = 100_000;
+  private static final int CHAIN_LENGTH = 100_000;
 
   private final DependencyGraph graph = new DependencyGraph();
 
-  private static JobId id(int i) {
-    return new JobId(String.format("req-%06d", i));
+  private static JobId id(int number) {
+    return new JobId(String.format("req-%06d", number));
   }
 
-  private void add(int job, Integer... needs) {
-    graph.onJobAdded(id(job), List.of(needs).stream().map(DependencyGraphTest::id).toList(), false);
+  private void add(int job, Integer... dependencies) {
+    graph.onJobAdded(
+        id(job), List.of(dependencies).stream().map(DependencyGraphTest::id).toList(), false);
   }
 
   private final DependencyRanks.JobAttributes jobs =
@@ -42,7 +43,7 @@
       };
 
   @Test
-  void releasedWithTheTimeOfTheLastEnd() {
+  void jobIsReleasedWithLatestEndOfDependencies() {
     add(1);
     add(2);
     add(3, 1, 2);
@@ -54,7 +55,7 @@
   }
 
   @Test
-  void unresolvedDependenciesAreReadAndNeverTakenForDone() {
+  void unresolvedDependenciesAreReadAndNotTreatedAsDone() {
     add(2, 1);
     assertEquals(List.of(id(1)), graph.completionsToRead());
     add(1);
@@ -65,9 +66,9 @@
     assertTrue(graph.pendingCancellations().isEmpty());
   }
 
-  /** Along the longer branch of a diamond; the other has more time. */
+  /** Guards against a latest completion derived from the shorter branch of a diamond. */
   @Test
-  void ranksGoBackAlongTheCriticalPath() {
+  void ranksArePropagatedAlongCriticalPath() {
     add(0);
     add(1, 0);
     add(2, 0);
@@ -82,18 +83,18 @@
   @Test
   void deepChainIsRankedAndCancelledWithoutRecursion() {
     add(0);
-    for (int i = 1; i < DEEP; i++) {
+    for (int i = 1; i < CHAIN_LENGTH; i++) {
       add(i, i - 1);
     }
-    assertEquals(DEEP, DependencyRanks.of(graph, jobs).size());
+    assertEquals(CHAIN_LENGTH, DependencyRanks.of(graph, jobs).size());
     graph.onRecordRemoved(id(0));
     graph.onCancelled(id(0));
-    assertEquals(DEEP - 1, graph.pendingCancellations().size());
+    assertEquals(CHAIN_LENGTH - 1, graph.pendingCancellations().size());
   }
 
-  /** A damaged record: the circle is left alone, and can be cancelled. */
+  /** Guards against an endless loop or a release of jobs when a damaged record causes a cycle. */
   @Test
-  void cycleNeitherHangsNorIsReleased() {
+  void cyclicJobsAreNotReleasedAndCanBeCancelled() {
     add(1, 2);
     add(2, 1, 2);
     add(3, 2);
@@ -110,9 +111,9 @@
     assertTrue(graph.pendingCancellations().isEmpty());
   }
 
-  /** Bounded by what is live and what that names. */
+  /** Guards against unbounded growth of the graph. */
   @Test
-  void endedJobsAreForgotten() {
+  void endedJobsAreRemovedFromGraph() {
     for (int i = 0; i < 100; i += 2) {
       add(i);
       add(i + 1, i);
