--- a/src/main/java/io/saltflow/binpacking/Fragmentation.java
+++ b/src/main/java/io/saltflow/binpacking/Fragmentation.java
@@ -5,22 +5,23 @@
 import java.util.Map;
 
 /**
- * Measures how many of a machine's free accelerators are of no use to the usual workload, after
- * Weng et al. ("Beware of Fragmentation", USENIX ATC 2023): a task goes where it adds least to
- * that. The workload is what waits and runs, and a little of a whole machine's worth, so that small
- * tasks don't open a machine while a part of another fits.
+ * Measures how many of a machine's free accelerators are unusable for the typical workload, after
+ * Weng et al. ("Beware of Fragmentation", USENIX ATC 2023); a task is placed where it increases
+ * this number least. The workload consists of waiting and running tasks plus a small share of
+ * whole-machine tasks, so that small tasks do not occupy an empty machine while they fit on a
+ * partially used one.
  */
 public final class Fragmentation {
-  /** Task sizes that are told apart; further ones are ignored. */
+  /** Maximum number of distinct task sizes; further ones are ignored. */
   private static final int MAX_SHAPES = 12;
 
-  /** The weight of the largest task that a machine can hold. */
+  /** Weight of a whole-machine task in the workload. */
   private static final double WHOLE_MACHINE_WEIGHT = 0.25;
 
   private final Map<Resources, Integer> shapes = new LinkedHashMap<>();
   private int totalTasks;
 
-  /** Counts tasks of that size, waiting or running. */
+  /** Adds waiting or running tasks of this size to the workload. */
   public void addWorkload(Resources size, int tasks) {
     if (size.gpus() > 0 && tasks > 0 && (shapes.size() < MAX_SHAPES || shapes.containsKey(size))) {
       shapes.merge(size, tasks, Integer::sum);
@@ -28,15 +29,16 @@
     }
   }
 
-  /** Forgets the workload. */
+  /** Clears the workload. */
   public void clear() {
     shapes.clear();
     totalTasks = 0;
   }
 
   /**
-   * The accelerators that become unusable, less those that become usable, when the task is placed;
-   * the machine's whole number where a task without accelerators would take room beside them.
+   * Returns the net increase in unusable accelerators if the task is placed on the machine. For a
+   * task without accelerators on a machine that has some, returns the machine's total number of
+   * accelerators.
    */
   public double increase(Resources machineSize, Resources free, Resources task) {
     if (machineSize.gpus() <= 0) {
--- a/src/main/java/io/saltflow/binpacking/MigrationPlan.java
+++ b/src/main/java/io/saltflow/binpacking/MigrationPlan.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * Moves after which the waiting task fits on a machine.
+ * Replica moves after which the waiting task fits on a machine.
  *
- * @param target the machine on which it fits then
- * @param costS seconds of replicas being away
+ * @param target the machine on which the task fits after the moves
+ * @param costS the total cost of the replicas' absence, in seconds
  */
 public record MigrationPlan(MachineId target, List<ReplicaMove> moves, double costS) {}
--- a/src/main/java/io/saltflow/binpacking/MigrationPlanner.java
+++ b/src/main/java/io/saltflow/binpacking/MigrationPlanner.java
@@ -9,17 +9,17 @@
 import java.util.Map;
 
 /**
- * Finds the cheapest moves that make room for one task: which machine, which of its replicas, and
- * where each goes. Depth first with bounds: cheap replicas first, a branch is left when it costs as
- * much as the best plan so far. Each replica moves once, straight to its destination; nothing is
- * moved out of the way of a replica that moves. Within its budget of steps the plan is the cheapest
- * of that kind; beyond it, the best that was found.
+ * Finds the cheapest replica moves that make room for one task: the machine, the replicas to move
+ * and their destinations. The search is a depth-first branch and bound over replicas in order of
+ * cost. Each replica moves once, directly to its destination, and no other replica is moved to make
+ * room there. The plan is the cheapest among the candidates searched, or the best found when the
+ * step budget is used up.
  */
 public final class MigrationPlanner {
-  /** Bounds the machines that are searched: those that cost least to clear. */
+  /** Maximum number of machines searched, in order of the lower bound of their cost. */
   private static final int MAX_TARGET_MACHINES = 48;
 
-  /** Bounds the destinations tried for one replica: the cheapest, then the tightest. */
+  /** Maximum number of destinations per replica: the cheapest, then those with the least room. */
   private static final int MAX_DESTINATIONS = 12;
 
   private static final int MAX_MOVES = 16;
@@ -31,7 +31,7 @@
   private int stepsLeft;
   private MigrationPlan best;
 
-  /** One machine's search. */
+  /** Machine that is being searched. */
   private Bin target;
 
   private List<MovableReplica> movable;
@@ -47,9 +47,10 @@
   }
 
   /**
-   * Searches for a plan; null: there is none, or none was found within the budget.
+   * Returns a plan, or {@code null} if none was found within the budget.
    *
-   * @param budget steps of the search, each of which looks at one replica and its best destinations
+   * @param budget the maximum number of search steps; each tries one replica with its best
+   *     destinations
    */
   public static MigrationPlan plan(
       Resources requested, List<Bin> bins, PlacementConstraints constraints, int budget) {
@@ -94,8 +95,8 @@
   }
 
   /**
-   * A lower bound of the cost to clear the machine: the cheapest replicas, as many as must go at
-   * least.
+   * Returns a lower bound of the cost to make room on the machine: the minimum number of replicas
+   * to move, times the lowest cost of a replica.
    */
   private double costLowerBound(Bin bin) {
     if (bin.movable().isEmpty()) {
@@ -126,7 +127,7 @@
     return amount <= 1e-6 ? 0 : unit <= 0 ? 1e6 : Math.ceil(amount / unit - 1e-6);
   }
 
-  /** Decides which of the replicas from the given one on are moved as well. */
+  /** Extends the current moves by replicas from the given index on. */
   private void searchMoves(int from, Resources free, double costS) {
     if (best != null && costS >= best.costS()) {
       return;
@@ -158,7 +159,7 @@
     }
   }
 
-  /** Whether the replica is equivalent to the one before, which was left out and stands for it. */
+  /** Returns whether the replica is equivalent to its predecessor, which was already skipped. */
   private boolean equivalentToSkipped(int index, int from) {
     MovableReplica replica = movable.get(index);
     MovableReplica previous = index > from ? movable.get(index - 1) : null;
@@ -190,7 +191,7 @@
             .thenComparingDouble(destination -> destination.room.gpus())
             .thenComparingDouble(destination -> destination.room.cores())
             .thenComparing(destination -> destination.id.text()));
-    // Equivalent destinations count once.
+    // Equivalent destinations lead to equivalent plans, so only one of them is kept.
     List<Destination> distinct = new ArrayList<>();
     for (Destination destination : all) {
       boolean equivalent =
--- a/src/main/java/io/saltflow/binpacking/MovableReplica.java
+++ b/src/main/java/io/saltflow/binpacking/MovableReplica.java
@@ -6,6 +6,7 @@
 /**
  * A replica that may be moved.
  *
- * @param costS what its absence costs, in seconds, without the fetch at its destination
+ * @param costS the cost of the replica's absence, in seconds, excluding the image fetch at its
+ *     destination
  */
 public record MovableReplica(TaskId task, Resources size, double costS) {}
--- a/src/main/java/io/saltflow/binpacking/PlacementConstraints.java
+++ b/src/main/java/io/saltflow/binpacking/PlacementConstraints.java
@@ -2,11 +2,11 @@
 
 import io.saltflow.model.MachineId;
 
-/** Where a replica may be moved, apart from free resources, and what it has to fetch there. */
+/** Constraints on moving a replica apart from free resources, and the time to fetch its image. */
 public interface PlacementConstraints {
-  /** Whether the replica may run on the machine. */
+  /** Returns whether the replica may run on the machine. */
   boolean mayPlace(MovableReplica replica, MachineId to);
 
-  /** Seconds of image fetch until the replica could run there. */
+  /** Returns the time to fetch the replica's image on the machine, in seconds. */
   double fetchS(MovableReplica replica, MachineId to);
 }
--- a/src/main/java/io/saltflow/binpacking/RecordedPlan.java
+++ b/src/main/java/io/saltflow/binpacking/RecordedPlan.java
@@ -5,15 +5,15 @@
 import java.util.List;
 
 /**
- * A plan of replica migrations as it is recorded before its first move and after its last. What
- * became of each move shows in the heartbeats alone: a replica is where it was, at its destination,
- * or on neither.
+ * A plan of replica migrations, recorded before its first move and after its last. The progress of
+ * each move is derived from heartbeats alone: a replica is on its source, on its destination, or on
+ * neither.
  *
- * @param name unique; never used again
- * @param waitingJob the job for whose task room is made
- * @param target the machine that is cleared for that task
- * @param plannedMs when it was planned, by the time of day
- * @param outcome null: it is being carried out
+ * @param name the unique name, never reused
+ * @param waitingJob the job for whose task resources are freed
+ * @param target the machine on which resources are freed for the task
+ * @param plannedMs the wall-clock time at which it was planned, in milliseconds
+ * @param outcome the outcome, or {@code null} while the plan is in progress
  */
 public record RecordedPlan(
     String name,
@@ -24,15 +24,15 @@
     PlanOutcome outcome) {
 
   /**
-   * How a plan ended.
+   * Outcome of a plan.
    *
-   * @param succeeded the waiting task runs on the cleared machine
-   * @param reason why it was abandoned, for operators; empty when it succeeded
-   * @param atMs when it ended, by the time of day
+   * @param succeeded whether the waiting task runs on the target machine
+   * @param reason the reason why it was abandoned, for operators; empty if it succeeded
+   * @param atMs the wall-clock time at which it ended, in milliseconds
    */
   public record PlanOutcome(boolean succeeded, String reason, long atMs) {}
 
-  /** The plan with the outcome. */
+  /** Returns a copy with this outcome. */
   public RecordedPlan withOutcome(PlanOutcome ended) {
     return new RecordedPlan(name, waitingJob, target, moves, plannedMs, ended);
   }
