--- a/src/main/java/io/saltflow/binpacking/MigrationPlanner.java
+++ b/src/main/java/io/saltflow/binpacking/MigrationPlanner.java
@@ -27,7 +27,7 @@
   private final Resources requested;
   private final List<Bin> bins;
   private final PlacementConstraints constraints;
-  private final Map<MachineId, Resources> room = new HashMap<>();
+  private final Map<MachineId, Resources> freeByMachine = new HashMap<>();
   private int stepsLeft;
   private MigrationPlan best;
 
@@ -43,7 +43,7 @@
     this.bins = bins;
     this.constraints = constraints;
     this.stepsLeft = budget;
-    bins.forEach(bin -> room.put(bin.id(), bin.free()));
+    bins.forEach(bin -> freeByMachine.put(bin.id(), bin.free()));
   }
 
   /**
@@ -61,9 +61,9 @@
 
   private void search() {
     List<Bin> eligible = new ArrayList<>();
-    Resources freeInAll = Resources.ZERO;
+    Resources totalFree = Resources.ZERO;
     for (Bin bin : bins) {
-      freeInAll = freeInAll.plus(clampToZero(bin.free()));
+      totalFree = totalFree.plus(clampToZero(bin.free()));
       Resources withMovable = bin.free();
       for (MovableReplica replica : bin.movable()) {
         withMovable = withMovable.plus(replica.size());
@@ -72,7 +72,7 @@
         eligible.add(bin);
       }
     }
-    if (!requested.fitsIn(freeInAll)) {
+    if (!requested.fitsIn(totalFree)) {
       return;
     }
     eligible.sort(
@@ -146,12 +146,12 @@
       }
       stepsLeft--;
       for (Destination destination : destinations(replica)) {
-        Resources before = room.get(destination.id);
-        room.put(destination.id, before.minus(replica.size()));
+        Resources before = freeByMachine.get(destination.id);
+        freeByMachine.put(destination.id, before.minus(replica.size()));
         moves.add(new ReplicaMove(replica.task(), target.id(), destination.id));
         searchMoves(i + 1, free.plus(replica.size()), costS + replica.costS() + destination.fetchS);
         moves.remove(moves.size() - 1);
-        room.put(destination.id, before);
+        freeByMachine.put(destination.id, before);
         if (stepsLeft <= 0) {
           return;
         }
@@ -176,20 +176,20 @@
         || (missing.memoryGb() > 1e-6 && size.memoryGb() > 0);
   }
 
-  private record Destination(MachineId id, Resources room, double fetchS) {}
+  private record Destination(MachineId id, Resources free, double fetchS) {}
 
   private List<Destination> destinations(MovableReplica replica) {
     List<Destination> all = new ArrayList<>();
     for (Bin bin : bins) {
-      Resources free = room.get(bin.id());
+      Resources free = freeByMachine.get(bin.id());
       if (bin != target && replica.size().fitsIn(free) && constraints.mayPlace(replica, bin.id())) {
         all.add(new Destination(bin.id(), free, constraints.fetchS(replica, bin.id())));
       }
     }
     all.sort(
         Comparator.comparingDouble(Destination::fetchS)
-            .thenComparingDouble(destination -> destination.room.gpus())
-            .thenComparingDouble(destination -> destination.room.cores())
+            .thenComparingDouble(destination -> destination.free.gpus())
+            .thenComparingDouble(destination -> destination.free.cores())
             .thenComparing(destination -> destination.id.text()));
     // Equivalent destinations lead to equivalent plans, so only one of them is kept.
     List<Destination> distinct = new ArrayList<>();
@@ -198,7 +198,7 @@
           distinct.stream()
               .anyMatch(
                   known ->
-                      known.room.equals(destination.room) && known.fetchS == destination.fetchS);
+                      known.free.equals(destination.free) && known.fetchS == destination.fetchS);
       if (!equivalent && distinct.size() < MAX_DESTINATIONS) {
         distinct.add(destination);
       }
--- a/src/main/java/io/saltflow/deadlines/CompletionForecast.java
+++ b/src/main/java/io/saltflow/deadlines/CompletionForecast.java
@@ -29,7 +29,7 @@
   private final Map<JobId, Verdict> verdicts = new HashMap<>();
   private final List<JobId> boostOrder = new ArrayList<>();
   private int inTime;
-  private int savable;
+  private int savableByBoost;
 
   private CompletionForecast() {}
 
@@ -63,7 +63,7 @@
       boostedCoreS += job.remainingCoreS();
       forecast.boostOrder.add(job.id());
       if (boostedCoreS <= untilDueS * supply.boostedCores() + 1e-6) {
-        forecast.savable +=
+        forecast.savableByBoost +=
             forecast.verdicts.replace(
                     job.id(), Verdict.EXCEEDS_CAPACITY, Verdict.LATE_UNLESS_BOOSTED)
                 ? 1
@@ -84,8 +84,8 @@
   }
 
   /** Returns the number of jobs that are late in the current order and in time if boosted. */
-  public int savable() {
-    return savable;
+  public int savableByBoost() {
+    return savableByBoost;
   }
 
   /**
--- a/src/main/java/io/saltflow/deadlines/DeadlineBoost.java
+++ b/src/main/java/io/saltflow/deadlines/DeadlineBoost.java
@@ -84,7 +84,8 @@
     }
     Set<JobId> alreadyBoosted = new HashSet<>(boosted);
     // Boosting has no effect if it cannot bring any late job in time.
-    for (JobId id : atRisk && forecast.savable() > 0 ? forecast.boostOrder() : List.<JobId>of()) {
+    for (JobId id :
+        atRisk && forecast.savableByBoost() > 0 ? forecast.boostOrder() : List.<JobId>of()) {
       if (alreadyBoosted.contains(id)) {
         continue;
       }
--- a/src/main/java/io/saltflow/dependencies/DependencyGraph.java
+++ b/src/main/java/io/saltflow/dependencies/DependencyGraph.java
@@ -173,7 +173,7 @@
       return;
     }
     changed = true;
-    released.removeIf(r -> r.job().equals(id));
+    released.removeIf(job -> job.job().equals(id));
     detach(node);
     if (node.dependents.isEmpty()) {
       nodes.remove(id);
@@ -193,9 +193,9 @@
     if (released.isEmpty()) {
       return List.of();
     }
-    List<ReleasedJob> out = List.copyOf(released);
+    List<ReleasedJob> taken = List.copyOf(released);
     released.clear();
-    return out;
+    return taken;
   }
 
   /** Returns the jobs whose completions must be read because jobs not yet started wait for them. */
@@ -241,15 +241,15 @@
   }
 
   /** Returns the live jobs that have dependencies or dependents. */
-  Collection<JobId> linked() {
-    List<JobId> out = new ArrayList<>();
+  Collection<JobId> linkedJobs() {
+    List<JobId> linkedIds = new ArrayList<>();
     for (Node node : nodes.values()) {
       boolean linked = !node.dependents.isEmpty() || !node.unmetDependencies.isEmpty();
       if (node.isLive() && linked && !node.isToBeCancelled()) {
-        out.add(node.id);
+        linkedIds.add(node.id);
       }
     }
-    return out;
+    return linkedIds;
   }
 
   /** Returns the job's unmet dependencies that are live. */
@@ -275,7 +275,7 @@
       changed = true;
       unresolved.remove(id);
       pendingCancellations.remove(id);
-      released.removeIf(r -> r.job().equals(id));
+      released.removeIf(job -> job.job().equals(id));
       detach(node);
     }
     return node;
@@ -303,7 +303,7 @@
     }
     node.cause = cause;
     pendingCancellations.put(node.id, new PendingCancellation(node.id, cause));
-    released.removeIf(r -> r.job().equals(node.id));
+    released.removeIf(job -> job.job().equals(node.id));
     changed = true;
     return true;
   }
--- a/src/main/java/io/saltflow/dependencies/DependencyRanks.java
+++ b/src/main/java/io/saltflow/dependencies/DependencyRanks.java
@@ -56,7 +56,7 @@
     Map<JobId, InheritedRank> ranks = new LinkedHashMap<>();
     Map<JobId, Integer> dependentsLeft = dependentCounts(graph);
     Deque<JobId> ready = new ArrayDeque<>();
-    for (JobId id : graph.linked()) {
+    for (JobId id : graph.linkedJobs()) {
       ranks.put(id, new InheritedRank(jobs.priority(id), jobs.deadlineMs(id)));
       if (!dependentsLeft.containsKey(id)) {
         ready.add(id);
@@ -82,7 +82,7 @@
 
   private static Map<JobId, Integer> dependentCounts(DependencyGraph graph) {
     Map<JobId, Integer> counts = new HashMap<>();
-    Collection<JobId> linked = graph.linked();
+    Collection<JobId> linked = graph.linkedJobs();
     for (JobId id : linked) {
       for (JobId dependency : graph.liveDependencies(id)) {
         counts.merge(dependency, 1, Integer::sum);
--- a/src/main/java/io/saltflow/fairshare/FairSharePlan.java
+++ b/src/main/java/io/saltflow/fairshare/FairSharePlan.java
@@ -46,14 +46,14 @@
       teams.computeIfAbsent(request.team(), group -> new ArrayList<>()).add(request);
     }
     Map<ShareGroup, ShareStatus> statuses = new LinkedHashMap<>();
-    statuses(classes, rules, statuses);
-    statuses(teams, rules, statuses);
+    addStatuses(classes, rules, statuses);
+    addStatuses(teams, rules, statuses);
     Map<ShareGroup, List<ShareRequest>> all = new LinkedHashMap<>(classes);
     all.putAll(teams);
     return new FairSharePlan(statuses, grants(all, statuses, rules));
   }
 
-  private static void statuses(
+  private static void addStatuses(
       Map<ShareGroup, List<ShareRequest>> groups,
       FairShareRules rules,
       Map<ShareGroup, ShareStatus> statuses) {
--- a/src/main/java/io/saltflow/priority/Lane.java
+++ b/src/main/java/io/saltflow/priority/Lane.java
@@ -16,13 +16,13 @@
     return new Lane(Priority.values().length - 1 - priority.ordinal(), "");
   }
 
-  boolean named() {
+  boolean isNamed() {
     return !name.isEmpty();
   }
 
   @Override
   public String toString() {
-    return named()
+    return isNamed()
         ? name
         : PriorityNames.of(Priority.values()[Priority.values().length - 1 - rank]);
   }
--- a/src/main/java/io/saltflow/priority/QueueOrder.java
+++ b/src/main/java/io/saltflow/priority/QueueOrder.java
@@ -23,15 +23,15 @@
   private record RankedJob(OrderKey key, int rank, double effectiveArrivalMs) {}
 
   private static final Comparator<RankedJob> QUEUE_ORDER =
-      Comparator.comparing((RankedJob p) -> p.key.failing())
-          .thenComparing(p -> !p.key.guaranteed())
-          .thenComparingInt(p -> p.rank)
-          .thenComparing(p -> -p.key.frontRevision())
-          .thenComparingInt(p -> p.key.boostRank())
-          .thenComparing(p -> !(p.key.lowSlack() && p.key.effectiveLane().named()))
-          .thenComparingDouble(p -> p.effectiveArrivalMs)
-          .thenComparing(p -> p.key.position())
-          .thenComparing(p -> p.key.id());
+      Comparator.comparing((RankedJob ranked) -> ranked.key.failing())
+          .thenComparing(ranked -> !ranked.key.guaranteed())
+          .thenComparingInt(ranked -> ranked.rank)
+          .thenComparing(ranked -> -ranked.key.frontRevision())
+          .thenComparingInt(ranked -> ranked.key.boostRank())
+          .thenComparing(ranked -> !(ranked.key.lowSlack() && ranked.key.effectiveLane().isNamed()))
+          .thenComparingDouble(ranked -> ranked.effectiveArrivalMs)
+          .thenComparing(ranked -> ranked.key.position())
+          .thenComparing(ranked -> ranked.key.id());
 
   /**
    * Returns the IDs of the jobs in queue order.
@@ -64,7 +64,7 @@
    */
   private static int rank(OrderKey key) {
     Lane lane = key.effectiveLane();
-    boolean promoted = key.lowSlack() && !lane.named() && lane.rank() == LOWEST_PRIORITY_RANK;
+    boolean promoted = key.lowSlack() && !lane.isNamed() && lane.rank() == LOWEST_PRIORITY_RANK;
     return promoted ? lane.rank() - 1 : lane.rank();
   }
 
@@ -81,7 +81,7 @@
     for (RankedJob rankedJob : ranked) {
       if (reorderable(rankedJob.key, inputs)) {
         byGroup
-            .computeIfAbsent(reorderGroup(rankedJob), c -> new PriorityQueue<>(byRemaining))
+            .computeIfAbsent(reorderGroup(rankedJob), group -> new PriorityQueue<>(byRemaining))
             .add(rankedJob.key);
       }
     }
