--- a/src/test/java/io/saltflow/leader/CancellationFaultsTest.java
+++ b/src/test/java/io/saltflow/leader/CancellationFaultsTest.java
@@ -16,19 +16,19 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Cancellations on unreachable machines, at each half second of the fault. */
+/** Cancellations on unreachable machines, at each step of the fault. */
 class CancellationFaultsTest {
   private static final int JOBS = 6;
 
-  /** Long enough that no task ends by itself before its cancellation has to have ended it. */
-  private static final double LONG_S = 120;
+  /** Estimate long enough that no task completes within the cancellation bound. */
+  private static final double ESTIMATE_S = 120;
 
-  private static ClusterSimulation running(long seed) {
+  private static ClusterSimulation withRunningJobs(long seed) {
     ClusterSimulation simulation =
         new ClusterSimulation(
             seed, ClusterSimulation.policy(TimeSpan.millis(ClusterSimulation.LEASE_MS)));
     for (int i = 1; i <= JOBS; i++) {
-      simulation.submit(JobSpecBuilder.job(i).tasks(2).cores(3).estimateS(LONG_S).build());
+      simulation.submit(JobSpecBuilder.job(i).tasks(2).cores(3).estimateS(ESTIMATE_S).build());
     }
     simulation.run(30);
     return simulation;
@@ -44,7 +44,7 @@
     }
   }
 
-  private static Set<MachineId> withCancelledTasks(ClusterSimulation simulation) {
+  private static Set<MachineId> machinesWithCancelledTasks(ClusterSimulation simulation) {
     return simulation.workers.values().stream()
         .filter(
             worker ->
@@ -54,70 +54,71 @@
         .collect(Collectors.toSet());
   }
 
-  /** To every machine, so that none learns of the cancellation. */
-  private static void applyToAll(ClusterSimulation simulation, MachineFault trouble, long forMs) {
-    simulation.workers.values().forEach(worker -> trouble.apply(worker, simulation.now + forMs));
+  /** Applies the fault to every machine, so that none receives the cancellation. */
+  private static void applyToAll(
+      ClusterSimulation simulation, MachineFault fault, long durationMs) {
+    simulation.workers.values().forEach(worker -> fault.apply(worker, simulation.now + durationMs));
   }
 
   /**
-   * Machines get out of reach from two seconds before until three seconds after the cancellation,
-   * for a short while, nearly a lease, and longer than that, and go on. Answers take up to 5 s in
-   * half of the cases, so that some wait at a machine that hangs.
+   * Machines become unreachable between two seconds before and three seconds after the
+   * cancellation, for less or more than a lease, and recover. Responses are slow in some cases, so
+   * that some are pending at a paused machine.
    */
   @ParameterizedTest
   @EnumSource(MachineFault.class)
-  void cancelledTaskStopsOnceItsMachineRecovers(MachineFault trouble) {
-    for (int strike = -4; strike <= 6; strike++) {
-      for (int steps : new int[] {1, 5, 9, 20, 30, 33, 50}) {
-        ClusterSimulation simulation = running(strike + 50);
-        simulation.slowResponseShare = steps % 2;
+  void cancelledTaskStopsOnceItsMachineRecovers(MachineFault fault) {
+    for (int faultStep = -4; faultStep <= 6; faultStep++) {
+      for (int durationSteps : new int[] {1, 5, 9, 20, 30, 33, 50}) {
+        ClusterSimulation simulation = withRunningJobs(faultStep + 50);
+        simulation.slowResponseShare = durationSteps % 2;
         for (int step = -4; step <= 6; step++) {
           if (step == 0) {
             cancelHalf(simulation);
           }
-          if (step == strike) {
-            applyToAll(simulation, trouble, steps * ClusterSimulation.STEP_MS);
+          if (step == faultStep) {
+            applyToAll(simulation, fault, durationSteps * ClusterSimulation.STEP_MS);
           }
           simulation.step();
         }
         simulation.run((ClusterSimulation.CANCEL_BOUND_MS + ClusterSimulation.LEASE_MS) / 1000.0);
         simulation.slowResponseShare = 0;
         SimulationAssertions.assertAllJobsEnd(
-            simulation, trouble + ", strike " + strike + " for " + steps);
+            simulation, fault + ", fault step " + faultStep + " for " + durationSteps);
       }
     }
   }
 
   /**
-   * The work of a controller changes hands, by its end, by a cut, or without its knowing, and jobs
-   * are cancelled at each half second of that while machines are out of reach.
+   * Jobs are cancelled at each step of a failover, caused by a crash, a partition or a superseded
+   * leader, while machines are unreachable.
    */
   @ParameterizedTest
   @EnumSource(MachineFault.class)
-  void cancellationDuringFailover(MachineFault trouble) {
-    for (int cancel = -4; cancel <= 20; cancel++) {
-      for (int way = 0; way < 3; way++) {
-        ClusterSimulation simulation = running(cancel + 100);
+  void cancellationDuringFailover(MachineFault fault) {
+    for (int cancelStep = -4; cancelStep <= 20; cancelStep++) {
+      for (int failoverKind = 0; failoverKind < 3; failoverKind++) {
+        ClusterSimulation simulation = withRunningJobs(cancelStep + 100);
         simulation.leaderReadMs = 1000;
         for (int step = -4; step <= 20; step++) {
-          if (step == cancel) {
+          if (step == cancelStep) {
             cancelHalf(simulation);
-            applyToAll(simulation, trouble, 6000);
+            applyToAll(simulation, fault, 6000);
           }
           if (step == 0) {
-            changeLeader(simulation, way);
+            replaceLeader(simulation, failoverKind);
           }
           simulation.step();
         }
         simulation.run((ClusterSimulation.CANCEL_BOUND_MS + ClusterSimulation.LEASE_MS) / 1000.0);
         SimulationAssertions.assertAllJobsEnd(
-            simulation, trouble + ", cancel " + cancel + ", way " + way);
+            simulation, fault + ", cancel step " + cancelStep + ", failover kind " + failoverKind);
       }
     }
   }
 
-  private static void changeLeader(ClusterSimulation simulation, int way) {
-    switch (way) {
+  private static void replaceLeader(ClusterSimulation simulation, int failoverKind) {
+    switch (failoverKind) {
       case 0 -> simulation.failLeader(0);
       case 1 -> simulation.failLeader(12_000);
       default -> simulation.supersede(8000);
@@ -125,98 +126,97 @@
   }
 
   /**
-   * Nobody can open a connection from the machines of cancelled jobs for a minute: their leases end
-   * the tasks in time, the machines are returned, and other work has its room again.
+   * The machines of cancelled jobs cannot connect to any controller for a minute. Their lease
+   * expiry ends the tasks in time, the machines are deleted, and the remaining jobs run elsewhere.
    *
-   * @param change whether the leader changes meanwhile, which then knows only the ledger
-   * @param cloudDown whether the machines can't be returned meanwhile
+   * @param failover whether the leader changes meanwhile, so that the new one knows only the ledger
+   * @param cloudDown whether the machines cannot be deleted at first
    */
   @ParameterizedTest
   @CsvSource({"false, false", "false, true", "true, false", "true, true"})
-  void unreachableMachinesLoseTasksInTimeAndAreReplaced(boolean change, boolean cloudDown) {
-    for (int moment = -6; moment <= 12; moment++) {
-      ClusterSimulation simulation = running(moment + 200);
+  void unreachableMachinesLoseTasksInTimeAndAreReplaced(boolean failover, boolean cloudDown) {
+    for (int cancelStep = -6; cancelStep <= 12; cancelStep++) {
+      ClusterSimulation simulation = withRunningJobs(cancelStep + 200);
       Set<MachineId> unreachable = Set.copyOf(simulation.workers.keySet());
       for (int step = -6; step <= 12; step++) {
         if (step == 0) {
           applyToAll(simulation, MachineFault.LOSES_OUTBOUND, 60_000);
           simulation.cloudDownUntil = cloudDown ? simulation.now + 30_000 : 0;
         }
-        if (step == moment) {
+        if (step == cancelStep) {
           cancelHalf(simulation);
         }
-        if (step == 4 && change) {
+        if (step == 4 && failover) {
           simulation.failLeader(0);
         }
         simulation.step();
       }
-      // From the last answer before they became unreachable; the second half of a second is the
-      // worker's.
+      // One lease after the last response before the machines became unreachable, plus one step of
+      // the worker.
       simulation.run(ClusterSimulation.LEASE_MS / 1000.0 - 6 + 0.5);
-      String when = "moment " + moment;
-      assertEquals(Set.of(), withCancelledTasks(simulation), when);
+      String when = "cancel step " + cancelStep;
+      assertEquals(Set.of(), machinesWithCancelledTasks(simulation), when);
       simulation.run(40);
       assertTrue(
           simulation.workers.keySet().stream().noneMatch(unreachable::contains),
-          "returned, " + when);
+          "unreachable machines are deleted, " + when);
       simulation.run(30);
       for (int i = 2; i <= JOBS; i += 2) {
         assertFalse(
             simulation.leader.core.jobs().find(id(i)).placements.isEmpty(),
-            "goes on elsewhere, " + when);
+            "remaining jobs run elsewhere, " + when);
       }
       SimulationAssertions.assertAllJobsEnd(simulation, when);
     }
   }
 
   /**
-   * Four jobs of one task a second, a quarter of them cancelled: at once, before and after their
-   * launch, while they run, and in the half second in which they end.
+   * Four single-task jobs are submitted per second, and many are cancelled: at once, before and
+   * after the launch, while running, and in the step in which they complete.
    *
-   * @param changes whether leaders change in between
+   * @param failovers whether the leader changes in between
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void manySmallJobsAreCancelled(boolean changes) {
+  void manySmallJobsAreCancelled(boolean failovers) {
     ClusterSimulation simulation =
         new ClusterSimulation(
-            changes ? 301 : 300,
+            failovers ? 301 : 300,
             ClusterSimulation.policy(TimeSpan.millis(ClusterSimulation.LEASE_MS)));
     int jobs = 0;
-    int mostKnown = 0;
+    int maxKnown = 0;
     simulation.delayedWriteShare = 0.1;
     for (int step = 0; step < 360; step++) {
       for (int i = 0; i < 2; i++) {
         simulation.submit(JobSpecBuilder.job(++jobs).cores(1).estimateS(1 + jobs % 7).build());
-        cancelByNumber(simulation, jobs);
+        cancelSomeJobs(simulation, jobs);
       }
-      if (changes && step % 80 == 50) {
+      if (failovers && step % 80 == 50) {
         simulation.failLeader(0);
       }
-      cancelWhatEnds(simulation);
+      cancelCompletingJobs(simulation);
       simulation.step();
       if (simulation.leader != null && simulation.leader.core != null) {
-        mostKnown = Math.max(mostKnown, simulation.leader.core.jobs().scheduled().size());
+        maxKnown = Math.max(maxKnown, simulation.leader.core.jobs().scheduled().size());
       }
     }
     simulation.delayedWriteShare = 0;
-    SimulationAssertions.assertAllJobsEnd(simulation, "changes " + changes);
+    SimulationAssertions.assertAllJobsEnd(simulation, "failovers " + failovers);
     simulation.run(20);
-    assertEquals(
-        0, simulation.leader.core.jobs().scheduled().size(), "none is remembered for ever");
-    assertTrue(
-        mostKnown < jobs / 2, "of " + jobs + " at most " + mostKnown + " were known at once");
+    assertEquals(0, simulation.leader.core.jobs().scheduled().size(), "ended jobs are discarded");
+    assertTrue(maxKnown < jobs / 2, "too many of " + jobs + " jobs known at once: " + maxKnown);
     long cancelled =
         simulation.records.values().stream().filter(record -> record.cancelledAt >= 0).count();
-    assertTrue(cancelled > jobs / 6, cancelled + " were cancelled");
+    assertTrue(cancelled > jobs / 6, "too few cancelled jobs: " + cancelled);
     for (ClusterSimulation.JobRecord record : simulation.records.values()) {
       assertTrue(
-          record.cancelledAt >= 0 ^ record.doneAt >= 0, record.spec.id() + " is done or cancelled");
+          record.cancelledAt >= 0 ^ record.doneAt >= 0,
+          record.spec.id() + " is either done or cancelled");
     }
   }
 
-  /** One of eight jobs, up to six seconds after it was submitted. */
-  private static void cancelByNumber(ClusterSimulation simulation, int newest) {
+  /** Cancels one of eight jobs, up to six seconds after its submission. */
+  private static void cancelSomeJobs(ClusterSimulation simulation, int newest) {
     int age = newest / 8 % 12 * 2;
     int number = newest - age;
     if (number > 0 && newest % 8 == 0) {
@@ -225,16 +225,17 @@
   }
 
   /**
-   * A part of the jobs whose task ends within half a second, or has ended without the end being
-   * recorded: it waits for a leader, or its write has got no answer.
+   * Cancels some of the jobs whose task completes in the next step, or has exited but is not
+   * recorded because there is no leader or the write is unacknowledged.
    */
-  private static void cancelWhatEnds(ClusterSimulation simulation) {
+  private static void cancelCompletingJobs(ClusterSimulation simulation) {
     for (ClusterSimulation.SimulatedWorker worker : simulation.workers.values()) {
       for (var entry : List.copyOf(worker.tasks.entrySet())) {
         boolean chosen = Math.floorMod(entry.getKey().job().hashCode(), 5) == 0;
-        boolean runs = entry.getValue().isRunning();
+        boolean running = entry.getValue().isRunning();
         if (chosen
-            && (!runs || entry.getValue().endsAt <= simulation.now + ClusterSimulation.STEP_MS)) {
+            && (!running
+                || entry.getValue().endsAt <= simulation.now + ClusterSimulation.STEP_MS)) {
           simulation.cancel(entry.getKey().job());
         }
       }
--- a/src/test/java/io/saltflow/leader/ClusterSimulation.java
+++ b/src/test/java/io/saltflow/leader/ClusterSimulation.java
@@ -34,8 +34,8 @@
 import org.apache.commons.rng.core.source64.SplitMix64;
 
 /**
- * Simulates workers, cloud and key-value store in memory, under a virtual clock, and checks the
- * invariants after each step. A step is half a second. Everything random comes from the seed.
+ * Simulates workers, the cloud and the key-value store in memory under a virtual clock, and checks
+ * the invariants after each step of {@link #STEP_MS}. All randomness is derived from the seed.
  */
 final class ClusterSimulation {
   static final long STEP_MS = 500;
@@ -43,13 +43,13 @@
   static final long CANCEL_BOUND_MS = 41_000;
   static final long LEADER_LEASE_MS = 5_000;
 
-  /** So long a worker waits for an answer. */
+  /** Time after which a worker stops waiting for a response, in milliseconds. */
   private static final long RESPONSE_TIMEOUT_MS = 4_000;
 
-  /** A class whose tasks fail wherever they are started. */
+  /** Job class whose tasks fail on every machine. */
   static final String ALWAYS_FAILING_CLASS = "broken";
 
-  /** A job as the key-value store holds it. */
+  /** Job record in the key-value store. */
   static final class JobRecord {
     final JobSpec spec;
     final long submittedAt;
@@ -58,13 +58,13 @@
     boolean ended;
     long cancelledAt = -1;
 
-    /** When its first task ran; -1: none has. */
+    /** Time at which the first task started, or -1 if none has. */
     long startedAt = -1;
 
-    /** When all of it was done; -1: it is not. */
+    /** Time at which all tasks were recorded as done, or -1 if they are not. */
     long doneAt = -1;
 
-    /** The revision at which it was accepted. */
+    /** Queue position given by the revision at which the job was accepted. */
     final AdmissionPosition position;
 
     JobRecord(JobSpec spec, long at, long revision) {
@@ -73,14 +73,14 @@
       this.position = new AdmissionPosition(revision, 0);
     }
 
-    /** What truly came to its end. */
+    /** Tasks that ran to completion, whether recorded or not. */
     final BitSet completed = new BitSet();
 
-    /** Counts its pages' writes; each is guarded by the one before. */
+    /** Number of progress writes; each write is guarded by the version before it. */
     long version;
 
-    void recordProgress(BitSet of) {
-      done = (BitSet) of.clone();
+    void recordProgress(BitSet doneTasks) {
+      done = (BitSet) doneTasks.clone();
       version++;
     }
 
@@ -89,7 +89,7 @@
     }
   }
 
-  /** One attempt of a task as its machine holds it. */
+  /** Attempt of a task on a machine. */
   static final class SimulatedTask {
     final Attempt attempt;
     WorkerHeartbeat.TaskState state = WorkerHeartbeat.TaskState.FETCHING;
@@ -111,7 +111,7 @@
     }
   }
 
-  /** A machine with its worker. */
+  /** Machine and its worker. */
   final class SimulatedWorker {
     final MachineId id;
     final String zone;
@@ -124,7 +124,7 @@
     long leaseRenewedAt;
     long nextHeartbeat;
 
-    /** When a higher token last made it report early: once per half of the lease (PROTOCOL). */
+    /** Time of the last early heartbeat caused by a new term; at most one per half lease. */
     private long tokenAnnouncedAt = -LEASE_MS;
 
     boolean dead;
@@ -132,19 +132,19 @@
     long partitionedUntil;
     long hungUntil;
 
-    /** Until then its reports arrive and no answer reaches it. */
+    /** Time until which heartbeats arrive but no response reaches the worker. */
     long inboundLostUntil;
 
-    /** Until then it can open no connection to any controller: its reports are never sent. */
+    /** Time until which the worker cannot connect to any controller and sends no heartbeats. */
     long outboundLostUntil;
 
-    /** It got no answer from its node, and asks the next one. */
+    /** Whether the worker tries another controller because the last one did not respond. */
     private boolean retriesElsewhere;
 
-    /** Until then it waits for an answer: it has one report in flight. */
+    /** Time until which the worker waits for the response to its only heartbeat in flight. */
     long awaitsResponseUntil;
 
-    /** Who answered it last: it stays there until it is sent away. */
+    /** Leader that the worker last sent a heartbeat to, and stays with until it is redirected. */
     SimulatedLeader servedBy;
 
     SimulatedWorker(MachineId id, String zone, boolean spot, long upAt) {
@@ -166,7 +166,7 @@
           this.id, "", machineType.name(), zone, spot, epoch, ++sequence, token, null, statuses);
     }
 
-    /** Its process, or all of the machine, was gone for a moment: the same name, all forgotten. */
+    /** Restarts the worker under the same machine id, without its tasks, epoch and term. */
     void restart() {
       tasks.clear();
       epoch = 1;
@@ -174,20 +174,20 @@
       token = Term.NONE;
       leaseRenewedAt = now;
       nextHeartbeat = now;
-      log(id + " is back at once, with nothing");
+      log(id + " restarts without tasks");
     }
 
-    /** Until when it or its whole zone is cut off. */
+    /** Returns the time until which the worker or its zone is partitioned. */
     long partitionedUntil() {
       return Math.max(partitionedUntil, zoneCutUntil.getOrDefault(zone, 0L));
     }
 
-    /** Whether it executes commands and can be reached: no fault of its own is left. */
+    /** Returns whether the worker is up, executes commands and receives responses. */
     boolean isHealthy() {
       return isUp() && !failsAll && now >= partitionedUntil() && now >= inboundLostUntil;
     }
 
-    /** What the tasks on it that have not ended take. */
+    /** Returns the resources of the tasks that have not exited. */
     Resources used() {
       Resources sum = Resources.ZERO;
       for (Map.Entry<TaskId, SimulatedTask> entry : tasks.entrySet()) {
@@ -198,7 +198,7 @@
       return sum;
     }
 
-    /** Whether the task is on it and has not ended. */
+    /** Returns whether the task is on this machine and has not exited. */
     boolean holds(TaskId task) {
       SimulatedTask heldTask = tasks.get(task);
       return heldTask != null && !heldTask.exited();
@@ -208,14 +208,17 @@
       return !dead && now >= upAt && now >= hungUntil;
     }
 
-    /** Before any of them does anything: in one step there is no before and after. */
+    /**
+     * Discards the tasks if the worker's lease has expired. Called for all workers before any of
+     * them steps, because the events of one step have no order.
+     */
     void expireLease() {
       if (isUp() && now - leaseRenewedAt > LEASE_MS) {
         tasks.clear();
         epoch++;
         leaseRenewedAt = now;
         nextHeartbeat = now;
-        log(id + " lets its lease run out");
+        log("lease expired on machine " + id);
       }
     }
 
@@ -245,21 +248,21 @@
       }
     }
 
-    /** Its report was sent then: from then on its lease is renewed. */
-    void onResponse(SimulatedLeader by, long sent, List<WorkerCommand> commands) {
-      if (by.term.compareTo(token) >= 0) {
+    /** Renews the lease from the time at which the heartbeat was sent, and runs the commands. */
+    void onResponse(SimulatedLeader responder, long sentAt, List<WorkerCommand> commands) {
+      if (responder.term.compareTo(token) >= 0) {
         retriesElsewhere = false;
-        leaseRenewedAt = sent;
-        obey(by.term, commands);
+        leaseRenewedAt = sentAt;
+        obey(responder.term, commands);
       }
     }
 
-    void obey(Term from, List<WorkerCommand> commands) {
-      if (from.compareTo(token) < 0) {
+    void obey(Term term, List<WorkerCommand> commands) {
+      if (term.compareTo(token) < 0) {
         return;
       }
-      if (!from.equals(token)) {
-        token = from;
+      if (!term.equals(token)) {
+        token = term;
         if (now - tokenAnnouncedAt >= LEASE_MS / 2) {
           tokenAnnouncedAt = now;
           nextHeartbeat = now + STEP_MS;
@@ -270,7 +273,7 @@
         if (command instanceof WorkerCommand.Launch) {
           if (task == null) {
             tasks.put(command.task(), new SimulatedTask(command.attempt(), now + 1000));
-            log(id + " is told to launch " + command.task());
+            log(id + " accepts launch of " + command.task());
             nextHeartbeat = now + STEP_MS;
           }
         } else if (task != null && task.attempt.equals(command.attempt())) {
@@ -287,35 +290,35 @@
     }
   }
 
-  /** A node that leads, or believes so. */
+  /** Controller that is the leader or believes that it is. */
   final class SimulatedLeader {
     final Term term;
     final LeaderLease lease;
 
-    /** Null until the records have been read. */
+    /** Leader logic, or {@code null} until the records have been read. */
     LeaderCore core;
 
-    /** The ledger as it knows it: a write replaces all of it, as a page's does. */
+    /** This leader's view of the ledger; each write replaces the whole stored ledger. */
     final Set<LedgerEntry> ledgerPage = new LinkedHashSet<>();
 
-    /** What no answered write has brought to the ledger. */
+    /** Entries that no acknowledged write has stored in the ledger. */
     final Set<LedgerEntry> unwritten = new LinkedHashSet<>();
 
     long partitionedUntil;
     long readingUntil;
 
-    /** Until then the key-value store refuses it alone. */
+    /** Time until which the key-value store is unreachable for this leader only. */
     long refusedUntil;
 
-    /** Whether it was replaced, or its lease expired. */
+    /** Whether the leader was replaced or its lease expired. */
     boolean replaced;
 
-    SimulatedLeader(Term term, LeaderLease authority) {
+    SimulatedLeader(Term term, LeaderLease lease) {
       this.term = term;
-      this.lease = authority;
+      this.lease = lease;
     }
 
-    /** Whether the key-value store serves it. */
+    /** Returns whether this leader can reach the key-value store. */
     boolean storeReachable() {
       return now >= refusedUntil && now >= storeDownUntil;
     }
@@ -327,7 +330,7 @@
 
   private record DelayedHeartbeat(long until, WorkerHeartbeat report) {}
 
-  /** An answer that is held up on its way; the worker waits for it, for so long as it waits. */
+  /** Response that arrives late; the worker discards it after {@link #RESPONSE_TIMEOUT_MS}. */
   private record DelayedResponse(
       long at,
       long sent,
@@ -336,14 +339,14 @@
       SimulatedLeader by,
       List<WorkerCommand> orders) {}
 
-  /** A transaction without an answer that is carried out late, if its guards still hold. */
+  /** Unacknowledged transaction that is applied late, provided that its guard still holds. */
   private record DelayedWrite(long until, Term by, BooleanSupplier guard, Runnable write) {}
 
   static final MachineType MACHINE_TYPE =
       new MachineType(
           "box", new Resources(8, 0, 32), 1, 0.4, 0.1, TimeSpan.seconds(15), List.of("a", "b"));
 
-  /** What the cloud rents. */
+  /** Machine type that the cloud provides. */
   MachineType machineType = MACHINE_TYPE;
 
   final UniformRandomProvider random;
@@ -360,19 +363,19 @@
 
   private final List<DelayedResponse> delayedResponses = new ArrayList<>();
 
-  /** Which part of the answers takes up to 5 s; a worker drops what takes more than 4. */
+  /** Probability that a response takes up to 5 s; a worker discards it after 4 s. */
   double slowResponseShare;
 
-  /** Until then the key-value store serves nobody. */
+  /** Time until which the key-value store is unavailable to all controllers. */
   long storeDownUntil;
 
-  /** How long a new leader reads. */
+  /** Time that a new leader takes to read the state, in milliseconds. */
   long leaderReadMs;
 
-  /** Which part of a leader's transactions gets no answer and is carried out 2 to 12 s later. */
+  /** Probability that a leader's transaction is unacknowledged and applied 2 to 12 s later. */
   double delayedWriteShare;
 
-  /** Leaders whose lease ended while they were refused: workers stay until they are sent away. */
+  /** Leaders whose lease expired while the store was unreachable; workers still reach them. */
   private final List<SimulatedLeader> refusedLeaders = new ArrayList<>();
 
   SimulatedLeader leader;
@@ -386,69 +389,75 @@
   int startCount;
   private int machineNumber;
 
-  /** Guards that a test may take away, to see that the checks would notice. */
+  /** Whether new leaders ignore the ledger, to show that the checks detect the violation. */
   boolean dropLedger;
 
+  /** Whether new leaders ignore submission times, to show that the checks detect the violation. */
   boolean dropArrivals;
 
-  /** Whether healthy leaders are superseded without knowing it. */
+  /** Whether healthy leaders are superseded without noticing at first. */
   boolean supersede;
 
   double lostResponseShare;
 
-  /** Whether clocks of nodes differ, and what tasks take beside their estimates. */
+  /** Whether the controllers' clocks differ. */
   boolean clocksSkewed;
 
+  /** Ratio of the actual run time of tasks to their estimate. */
   double runtimeFactor = 1;
+
   private long revision;
 
-  /** What the order rests on, as the key-value store holds it; null: nothing yet. */
+  /** Recorded inputs of the queue order, or {@code null} if none were recorded. */
   private QueueOrderInputs orderInputs;
 
   int orderInputWrites;
 
-  /** Mornings as the key-value store holds them. */
+  /** Recorded daily deadlines by record name. */
   final Map<String, DailyDeadline> dailyDeadlines = new TreeMap<>();
 
   int dailyDeadlineWrites;
 
-  /** How often a copy of a report comes once more, up to three leases later. */
+  /** Probability that a copy of a heartbeat arrives again, about three leases later at most. */
   double duplicateShare;
 
-  /** Whether the key-value store's troubles meet others. */
+  /** Whether outages of the key-value store are combined with other faults. */
   boolean storeFaults;
 
-  /** Whether machines lose responses or restart at once, beside the other faults. */
+  /** Whether machines also lose responses or restart, in addition to the other faults. */
   boolean asymmetricPartitions;
 
-  /** Which part of a leader's transactions is carried out at once, with only its answer lost. */
+  /** Probability that a leader's transaction is applied at once but its response is lost. */
   double lostWriteResponseShare;
 
-  /** Until then each write of the ledger gets no answer and is carried out 2 to 12 s later. */
+  /** Time until which ledger writes are unacknowledged and applied 2 to 12 s later. */
   long ledgerDelayedUntil;
 
-  /** How soon machines are up at least, and in how many steps more at most. */
+  /** Minimum boot time of a machine, in milliseconds. */
   long bootMs = 8000;
 
+  /** Exclusive bound of the random number of steps added to the minimum boot time. */
   int bootSteps = 16;
 
-  /** Until when a whole zone is cut off, with the controllers in it. */
+  /** Time until which a zone is partitioned, including its controllers, by zone. */
   final Map<String, Long> zoneCutUntil = new TreeMap<>();
 
-  /** Heartbeats and results sent to, and launches by, leaders that were partitioned at the time. */
+  /** Heartbeats received by leaders while they were partitioned. */
   int heartbeatsToPartitionedLeaders;
 
+  /** Launches sent by leaders while they were partitioned. */
   int launchesByPartitionedLeaders;
 
+  /** Completed tasks reported to leaders while they were partitioned. */
   int completionsToPartitionedLeaders;
 
-  /** Copies of reports that wait for the next leader. */
+  /** Copies of heartbeats that are delivered to the next leader. */
   final DuplicateHeartbeats duplicates = new DuplicateHeartbeats(this);
 
-  /** What the operators ask for once all troubles are over. */
+  /** Liveness requirements that apply once all faults have ended. */
   final LivenessChecks liveness = new LivenessChecks(this);
 
-  /** What the cloud has to give. */
+  /** Maximum number of machines that the cloud provides. */
   int maxMachines = 24;
 
   int maxMachinesInZone = Integer.MAX_VALUE;
@@ -473,8 +482,8 @@
     return new MonotonicTime(now);
   }
 
-  void log(String what) {
-    trace.add(String.format("%7.1f  %s", now / 1000.0, what));
+  void log(String event) {
+    trace.add(String.format("%7.1f  %s", now / 1000.0, event));
   }
 
   boolean chance(double probability) {
@@ -482,9 +491,9 @@
   }
 
   void submit(JobSpec spec) {
-    // Clocks of the nodes that take jobs are apart by up to a quarter of a second.
+    // Clocks of the controllers that accept jobs differ by up to a quarter of a second.
     records.put(spec.id(), new JobRecord(spec, now - skewMs(spec), ++revision));
-    log(spec.id() + " is submitted");
+    log(spec.id() + " submitted");
   }
 
   private long skewMs(JobSpec spec) {
@@ -496,11 +505,14 @@
     if (!record.ended && now >= storeDownUntil) {
       record.ended = true;
       record.cancelledAt = now;
-      log(id + " is cancelled");
+      log(id + " cancelled");
     }
   }
 
-  /** A rule: nothing starts twice, in the wrong place, beyond a limit, or after a cancel. */
+  /**
+   * Records a violation if the starting task also runs elsewhere, exceeds its team's limit, breaks
+   * a placement constraint, or was cancelled more than {@link #CANCEL_BOUND_MS} ago.
+   */
   private void checkStart(SimulatedWorker worker, TaskId id, JobRecord job) {
     startCount++;
     job.startedAt = job.startedAt < 0 ? now : job.startedAt;
@@ -509,14 +521,14 @@
     int zoneHere = 0;
     int zoneElsewhere = 0;
     for (SimulatedWorker other : workers.values()) {
-      // One that hangs past its lease does nothing before it has forgotten its tasks (PROTOCOL).
+      // A worker paused beyond its lease discards its tasks before it does anything else.
       if (other.dead || (now < other.hungUntil && now - other.leaseRenewedAt > LEASE_MS)) {
         continue;
       }
       for (Map.Entry<TaskId, SimulatedTask> entry : other.tasks.entrySet()) {
-        boolean on = entry.getValue().state == WorkerHeartbeat.TaskState.RUNNING;
+        boolean running = entry.getValue().state == WorkerHeartbeat.TaskState.RUNNING;
         boolean self = other == worker && entry.getKey().equals(id);
-        if (!on && !self) {
+        if (!running && !self) {
           continue;
         }
         if (!self && entry.getKey().equals(id)) {
@@ -555,8 +567,8 @@
     for (SimulatedWorker worker : workers.values()) {
       for (TaskId id : worker.tasks.keySet()) {
         JobRecord record = records.get(id.job());
-        boolean on = !worker.dead && !worker.tasks.get(id).exited();
-        if (on
+        boolean active = !worker.dead && !worker.tasks.get(id).exited();
+        if (active
             && record.cancelledAt >= 0
             && now > record.cancelledAt + CANCEL_BOUND_MS
             && now >= worker.hungUntil) {
@@ -609,23 +621,26 @@
     }
   }
 
-  /** The key-value store refuses the leader alone; workers and users still reach it. */
-  void refuseLeader(long forMs) {
+  /** Makes the key-value store unreachable for the leader only; workers still reach the leader. */
+  void refuseLeader(long durationMs) {
     if (leader != null) {
-      log("the state service refuses the leader of term " + leader.term);
-      leader.refusedUntil = now + forMs;
+      log("key-value store unreachable for the leader of term " + leader.term);
+      leader.refusedUntil = now + durationMs;
       electAt = now + LEADER_LEASE_MS + 500;
     }
   }
 
-  /** The key-value store serves nobody. Once that is over each lease has its full time again. */
-  void takeStoreDown(long forMs) {
-    log("the state service is down for all");
-    storeDownUntil = now + forMs;
+  /**
+   * Starts an outage of the key-value store. Leases in the store regain their full duration when it
+   * ends.
+   */
+  void takeStoreDown(long durationMs) {
+    log("key-value store outage begins");
+    storeDownUntil = now + durationMs;
     electAt = Math.max(electAt, storeDownUntil + LEADER_LEASE_MS);
   }
 
-  /** The lease of a leader that is refused, alone, ends. */
+  /** Expires the lease of a leader that alone cannot reach the key-value store. */
   private void expireLeaderLease() {
     if (leader != null && now < leader.refusedUntil && now >= storeDownUntil && now >= electAt) {
       leader.replaced = true;
@@ -679,15 +694,16 @@
     duplicates.deliver(leader);
   }
 
-  /** A leader's write: now, or late and without an answer. */
-  private boolean write(SimulatedLeader by, BooleanSupplier guard, Runnable write) {
-    return write(by, delayedWriteShare > 0 && chance(delayedWriteShare), guard, write);
+  /** Applies a leader's write now, or later and unacknowledged. Returns whether it succeeded. */
+  private boolean write(SimulatedLeader writer, BooleanSupplier guard, Runnable write) {
+    return write(writer, delayedWriteShare > 0 && chance(delayedWriteShare), guard, write);
   }
 
-  private boolean write(SimulatedLeader by, boolean lags, BooleanSupplier guard, Runnable write) {
-    if (lags) {
+  private boolean write(
+      SimulatedLeader writer, boolean delayed, BooleanSupplier guard, Runnable write) {
+    if (delayed) {
       long until = now + 2000 + random.nextInt(20) * STEP_MS;
-      delayedWrites.add(new DelayedWrite(until, by.term, guard, write));
+      delayedWrites.add(new DelayedWrite(until, writer.term, guard, write));
       return false;
     }
     if (guard.getAsBoolean()) {
@@ -697,7 +713,7 @@
     return false;
   }
 
-  /** Each is guarded by its leader's key. */
+  /** Applies the delayed writes that are due and whose leader still holds its election key. */
   private void delayedWrites() {
     for (DelayedWrite delayed : List.copyOf(delayedWrites)) {
       if (now >= delayed.until && now >= storeDownUntil) {
@@ -709,15 +725,20 @@
     }
   }
 
-  /** The leader ends, or is cut off for so long; a successor comes when its lease is over. */
-  void failLeader(long cutFor) {
+  /**
+   * Crashes the leader, or partitions it from the key-value store. A successor is elected when the
+   * lease expires.
+   *
+   * @param partitionMs duration of the partition in milliseconds, or 0 for a crash
+   */
+  void failLeader(long partitionMs) {
     if (leader == null) {
       return;
     }
-    log(cutFor > 0 ? "the leader is cut off" : "the leader crashes");
+    log(partitionMs > 0 ? "leader partitioned" : "leader crashed");
     leader.replaced = true;
-    if (cutFor > 0 && leader.core != null) {
-      leader.partitionedUntil = now + cutFor;
+    if (partitionMs > 0 && leader.core != null) {
+      leader.partitionedUntil = now + partitionMs;
       formerLeaders.add(leader);
     }
     leader = null;
@@ -725,21 +746,24 @@
   }
 
   /**
-   * Another is elected though the leader is healthy, which does not know it for so long. Its writes
-   * and renewals fail from then on; workers come to it, its rentals and deletes are carried out.
+   * Elects another leader while the current one is healthy and does not notice. From then on the
+   * writes and lease renewals of the superseded leader fail, but workers still send it heartbeats,
+   * and the machines that it creates and deletes are created and deleted.
+   *
+   * @param unawareMs time until the superseded leader notices, in milliseconds
    */
-  void supersede(long unawareFor) {
+  void supersede(long unawareMs) {
     if (leader == null || leader.core == null) {
       return;
     }
-    log("the leader is superseded and does not know");
+    log("leader superseded without noticing");
     supersededLeader = leader;
-    supersededUntil = now + unawareFor;
+    supersededUntil = now + unawareMs;
     leader = null;
     electAt = now;
   }
 
-  /** What a leader that does not know yet that it is none goes on with. */
+  /** Runs one step of a leader that has not yet noticed that it was superseded. */
   private void driveSupersededLeader() {
     if (supersededLeader != null && now >= supersededUntil) {
       supersededLeader = null;
@@ -747,14 +771,15 @@
     if (supersededLeader == null) {
       return;
     }
-    // Its renewals count only together with a look at its key; the watch of the jobs goes on.
+    // Renewals are valid only with a read of its election key, so none succeeds; the watch of the
+    // job records continues.
     supersededLeader.lease.onSynced(time());
     LeaderCore core = supersededLeader.core;
     for (JobRecord record : records.values()) {
       if (record.ended && core.jobs().find(record.spec.id()) != null) {
         core.jobs().onRemoved(record.spec.id(), time());
       } else if (!record.ended) {
-        // Whether a earlier leader may have started it was read at its own election.
+        // Whether an earlier leader may have started the job was read at this leader's election.
         core.jobs().onAdded(record.spec, record.submittedAt, false);
       }
     }
@@ -778,13 +803,13 @@
       worker.retriesElsewhere = true;
     }
     if (now < worker.outboundLostUntil) {
-      // Refused at once: the next node is tried a second later.
+      // The connection is refused at once; the next controller is tried a second later.
       worker.nextHeartbeat = now + 1000;
       return;
     }
     duplicates.sent(heartbeat);
     if (now < worker.partitionedUntil()) {
-      // Held back by the cut, and delivered when it ends, however old it is by then.
+      // Delayed until the partition ends, and then delivered regardless of age.
       delayedHeartbeats.add(new DelayedHeartbeat(worker.partitionedUntil(), heartbeat));
       return;
     }
@@ -792,7 +817,7 @@
       delayedHeartbeats.add(
           new DelayedHeartbeat(now + 1000 + random.nextInt(3 * (int) LEASE_MS), heartbeat));
     }
-    // Workers that the old one serves stay with it until it sends them away.
+    // Workers stay with the superseded leader until it redirects them.
     SimulatedLeader to =
         supersededLeader != null
                 && (leader == null || worker.token.equals(supersededLeader.core.term()))
@@ -823,7 +848,7 @@
       return;
     }
     if (to.core == null) {
-      // What a node that is about to read would answer: its token, and nothing else.
+      // A leader that has not read the state yet responds with its term and no commands.
       if (inTime) {
         worker.onResponse(to, now, List.of());
       }
@@ -838,8 +863,8 @@
       countAtPartitionedLeader(heartbeat, commands);
     }
     if (now < worker.inboundLostUntil) {
-      // It waits for 4 s, and a second later it asks the other nodes, which it does not hear
-      // either.
+      // The worker times out after 4 s, then tries the other controllers a second later, whose
+      // responses are lost as well.
       worker.sequence += 2;
       worker.nextHeartbeat = now + 15_000;
       return;
@@ -872,15 +897,15 @@
 
   private void deliverDelayedResponses() {
     for (DelayedResponse response : List.copyOf(delayedResponses)) {
-      // What has reached a machine that hangs is read when it goes on.
+      // A response that arrived during a process pause is read when the worker resumes.
       boolean read = response.to.isUp() || now - response.sent > RESPONSE_TIMEOUT_MS;
       if (now >= response.at && read) {
         delayedResponses.remove(response);
-        boolean heard =
+        boolean received =
             response.to.isUp()
                 && now >= response.to.inboundLostUntil
                 && response.session == response.to.epoch;
-        if (heard && now - response.sent <= RESPONSE_TIMEOUT_MS) {
+        if (received && now - response.sent <= RESPONSE_TIMEOUT_MS) {
           response.to.onResponse(response.by, response.sent, response.orders);
         }
       }
@@ -911,7 +936,7 @@
     driven.lease.onRenewed(time());
     driven.lease.onSynced(time());
     readJobRecords(driven);
-    // By turns the leader has time and has none.
+    // Alternates between high and moderate load.
     core.onLoadSample(now / 9000 % 3 == 0 ? 1 : 0.3, 0.1, 0, time());
     core.tick(time(), driven.lease.renewedAt());
     writeJobRecords(driven);
@@ -933,7 +958,7 @@
     }
     core.jobs().toMarkStarted();
     for (Job job : core.jobs().scheduled()) {
-      // As the pages do, it is written again until a write was answered.
+      // The start is written again until a write is acknowledged.
       JobRecord record = records.get(job.id());
       if (!job.isStartRecorded()
           && !job.isCancelled()
@@ -988,26 +1013,26 @@
     if (!driven.unwritten.isEmpty()) {
       Set<LedgerEntry> all = new LinkedHashSet<>(driven.ledgerPage);
       long version = ledgerVersion;
-      boolean lags =
+      boolean delayed =
           now < ledgerDelayedUntil || (delayedWriteShare > 0 && chance(delayedWriteShare));
-      if (write(driven, lags, () -> ledgerVersion == version, () -> replaceLedger(all))) {
+      if (write(driven, delayed, () -> ledgerVersion == version, () -> replaceLedger(all))) {
         core.machines().onRecorded(List.copyOf(driven.unwritten));
         driven.unwritten.clear();
       }
     }
   }
 
-  private void replaceLedger(Set<LedgerEntry> by) {
+  private void replaceLedger(Set<LedgerEntry> entries) {
     ledger.clear();
-    ledger.addAll(by);
+    ledger.addAll(entries);
     ledgerVersion++;
   }
 
-  /** The end of a job, guarded by there being none. */
+  /** Records the end of a job; the caller guards against a job that has already ended. */
   private void finish(JobRecord record) {
     record.ended = true;
     record.doneAt = now;
-    log(record.spec.id() + " is done");
+    log(record.spec.id() + " completed");
     if (record.completed.cardinality() < record.spec.tasks()) {
       violations.add("not_done: " + record.spec.id() + " at " + now);
     }
@@ -1018,7 +1043,7 @@
       return;
     }
     for (ScaleOutRequest request : core.machines().planScaleOut(time())) {
-      List<MachineId> hosts = new ArrayList<>();
+      List<MachineId> created = new ArrayList<>();
       for (int i = 0; i < request.count() && mayCreateMachine(request.zone()); i++) {
         MachineId id = new MachineId(String.format("vm-%06d", machineNumber++));
         workers.put(
@@ -1028,21 +1053,21 @@
                 request.zone(),
                 request.spot(),
                 now + bootMs + random.nextInt(bootSteps) * STEP_MS));
-        hosts.add(id);
+        created.add(id);
       }
-      log(hosts.size() + " of " + request.count() + " machines are rented in " + request.zone());
-      core.machines().onCreated(request, hosts, time());
+      log(created.size() + " of " + request.count() + " machines created in " + request.zone());
+      core.machines().onCreated(request, created, time());
     }
-    List<MachineId> gone = core.machines().planScaleIn(time());
-    if (!gone.isEmpty()) {
-      gone.forEach(workers::remove);
-      // Gone is gone, whoever writes that down, and whenever.
+    List<MachineId> deleted = core.machines().planScaleIn(time());
+    if (!deleted.isEmpty()) {
+      deleted.forEach(workers::remove);
+      // A deleted machine leaves the ledger, regardless of which leader records the deletion.
       if (leader != null) {
-        leader.ledgerPage.removeIf(entry -> gone.contains(entry.id()));
+        leader.ledgerPage.removeIf(entry -> deleted.contains(entry.id()));
       }
-      ledger.removeIf(entry -> gone.contains(entry.id()));
-      core.machines().onDeleted(gone, time());
-      log(gone.size() + " machines are returned");
+      ledger.removeIf(entry -> deleted.contains(entry.id()));
+      core.machines().onDeleted(deleted, time());
+      log(deleted.size() + " machines deleted");
     }
   }
 
@@ -1052,7 +1077,7 @@
             < maxMachinesInZone;
   }
 
-  /** From now on nothing new goes wrong; what lasts runs out by itself. */
+  /** Stops injecting new faults; faults in progress end by themselves. */
   void endFaults() {
     lostResponseShare = 0;
     delayedWriteShare = 0;
@@ -1063,7 +1088,7 @@
     liveness.begin();
   }
 
-  /** Whether some trouble still lasts that was brought about before. */
+  /** Returns whether an injected fault is still in progress. */
   boolean hasFaults() {
     boolean machines =
         workers.values().stream()
--- a/src/test/java/io/saltflow/leader/ConcurrentFaultsTest.java
+++ b/src/test/java/io/saltflow/leader/ConcurrentFaultsTest.java
@@ -12,18 +12,19 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Troubles that meet, each meeting brought about at every moment that matters. */
+/** Concurrent faults, injected at every step of the scenario. */
 class ConcurrentFaultsTest {
-  /** Longer than a cancellation has, and than any lease. */
-  private static final long OUTAGE = ClusterSimulation.CANCEL_BOUND_MS + ClusterSimulation.LEASE_MS;
+  /** Exceeds the cancellation bound and every lease, in milliseconds. */
+  private static final long OUTAGE_MS =
+      ClusterSimulation.CANCEL_BOUND_MS + ClusterSimulation.LEASE_MS;
 
   private static final int JOBS = 8;
 
-  private static ClusterSimulation running(long seed, double estimateS) {
+  private static ClusterSimulation withRunningJobs(long seed, double estimateS) {
     ClusterSimulation simulation =
         new ClusterSimulation(
             seed, ClusterSimulation.policy(TimeSpan.millis(ClusterSimulation.LEASE_MS)));
-    // Two zones have machines: a leader that is cut off keeps those of one of them.
+    // Both zones have machines, so a partitioned leader keeps the workers of one of them.
     simulation.maxMachinesInZone = 2;
     for (int i = 1; i <= JOBS; i++) {
       simulation.submit(
@@ -34,20 +35,20 @@
   }
 
   /**
-   * The key-value store refuses leader after leader, each before it has read the jobs; one job a
-   * step is cancelled through another controller; then the service is down for all. What such a
-   * successor does not know it may not keep alive: the bounds of several leaders added up.
+   * The cancellation bounds of successive leaders must not add up: several leaders lose the
+   * key-value store before they have read the jobs, and must not keep alive tasks that they do not
+   * know. One job is cancelled per step through another controller, before a store outage.
    *
-   * @param leaders how many are refused one after the other
-   * @param outageS when the outage begins, after the last election
+   * @param leaders number of leaders that lose the key-value store one after the other
+   * @param outageS time from the last election to the outage, in seconds
    */
   @ParameterizedTest
   @CsvSource({"0, 0", "0, 4", "1, 0", "1, 0.5", "1, 2", "2, 0", "2, 1", "3, 0.5"})
   void cancelledTasksEndDuringRepeatedOutages(int leaders, double outageS) {
-    ClusterSimulation simulation = running(leaders, 300);
+    ClusterSimulation simulation = withRunningJobs(leaders, 300);
     simulation.leaderReadMs = 3000;
     int cancelled = 0;
-    for (int refused = 0; refused < Math.max(1, leaders); refused++) {
+    for (int lost = 0; lost < Math.max(1, leaders); lost++) {
       long term = simulation.termNumber;
       simulation.refuseLeader(60_000);
       while (leaders > 0 && simulation.termNumber == term) {
@@ -57,108 +58,108 @@
     }
     simulation.run(outageS);
     simulation.cancel(new JobId(JobSpecBuilder.id(JOBS)));
-    simulation.takeStoreDown(OUTAGE);
-    simulation.run(OUTAGE / 1000.0);
+    simulation.takeStoreDown(OUTAGE_MS);
+    simulation.run(OUTAGE_MS / 1000.0);
     assertEquals("", String.join("\n", simulation.violations));
     simulation.run(90);
     assertTrue(simulation.leader.core.isReconciled());
     assertEquals("", String.join("\n", simulation.violations));
   }
 
-  /** Each moment of the meeting that its script brings about: so many half seconds into it. */
-  private static void atEachMoment(int moments, BiConsumer<ClusterSimulation, Integer> script) {
-    for (int moment = 0; moment < moments; moment++) {
-      ClusterSimulation simulation = running(100 + moment, 60);
-      script.accept(simulation, moment);
+  /** Runs the script once for each step at which a fault may occur, on a new simulation. */
+  private static void atEachStep(int steps, BiConsumer<ClusterSimulation, Integer> script) {
+    for (int step = 0; step < steps; step++) {
+      ClusterSimulation simulation = withRunningJobs(100 + step, 60);
+      script.accept(simulation, step);
       for (int i = 0; i < 2000 && !simulation.allJobsEnded(); i++) {
         simulation.step();
       }
-      assertEquals("", String.join("\n", simulation.violations), "moment " + moment);
-      assertTrue(simulation.allJobsEnded(), "a job is forgotten, moment " + moment);
+      assertEquals("", String.join("\n", simulation.violations), "step " + step);
+      assertTrue(simulation.allJobsEnded(), "not all jobs ended, step " + step);
     }
   }
 
-  private static void cancelSome(ClusterSimulation simulation, int moment) {
+  private static void cancelSomeJobs(ClusterSimulation simulation, int step) {
     for (int i = 0; i < 3; i++) {
-      simulation.cancel(new JobId(JobSpecBuilder.id(1 + (moment + i) % JOBS)));
+      simulation.cancel(new JobId(JobSpecBuilder.id(1 + (step + i) % JOBS)));
     }
   }
 
-  /** Machines with long tasks can't be reached, or hear no answer, and the leader ends. */
+  /** The leader crashes while machines are partitioned or receive no responses. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void leaderFailsWhileMachinesAreUnreachable(boolean inboundLost) {
-    atEachMoment(
+    atEachStep(
         60,
-        (simulation, moment) -> {
+        (simulation, step) -> {
           simulation.workers.values().stream()
               .skip(1)
               .forEach(
                   worker -> {
-                    long until = simulation.now + 500L * moment;
+                    long until = simulation.now + 500L * step;
                     worker.partitionedUntil = inboundLost ? 0 : until;
                     worker.inboundLostUntil = inboundLost ? until : 0;
                   });
-          simulation.run(moment % 7);
-          cancelSome(simulation, moment);
+          simulation.run(step % 7);
+          cancelSomeJobs(simulation, step);
           simulation.failLeader(0);
         });
   }
 
-  /** The one that led goes on for its own zone's machines while another leads. */
+  /** The former leader still serves the workers of its zone while another controller leads. */
   @Test
   void leaderIsPartitionedFromStoreButNotFromWorkers() {
-    int[] reports = new int[1];
-    atEachMoment(
+    int[] heartbeats = new int[1];
+    atEachStep(
         80,
-        (simulation, moment) -> {
-          simulation.failLeader(500L * moment);
-          simulation.run(moment % 13);
-          cancelSome(simulation, moment);
+        (simulation, step) -> {
+          simulation.failLeader(500L * step);
+          simulation.run(step % 13);
+          cancelSomeJobs(simulation, step);
           simulation.run(5);
-          reports[0] += simulation.heartbeatsToPartitionedLeaders;
+          heartbeats[0] += simulation.heartbeatsToPartitionedLeaders;
         });
-    assertTrue(reports[0] > 200, "leaders that were cut off were reported to: " + reports[0]);
+    assertTrue(heartbeats[0] > 200, "too few heartbeats to partitioned leaders: " + heartbeats[0]);
   }
 
-  /** One after the other on one machine, so that their ends lie far apart. */
+  /** Tasks run one after the other on a single machine, so they complete far apart. */
   @Test
   void tasksOfOneJobCompleteUnderSeveralLeaders() {
-    for (int moment = 0; moment < 80; moment++) {
+    for (int step = 0; step < 80; step++) {
       ClusterSimulation simulation =
           new ClusterSimulation(
-              moment, ClusterSimulation.policy(TimeSpan.millis(ClusterSimulation.LEASE_MS)));
+              step, ClusterSimulation.policy(TimeSpan.millis(ClusterSimulation.LEASE_MS)));
       simulation.maxMachines = 1;
       simulation.leaderReadMs = 1000;
       simulation.submit(JobSpecBuilder.job(1).team("blue").tasks(3).cores(8).estimateS(12).build());
-      simulation.run(20 + moment * 0.5);
+      simulation.run(20 + step * 0.5);
       simulation.failLeader(0);
-      simulation.run(moment % 9);
+      simulation.run(step % 9);
       simulation.failLeader(0);
       simulation.run(120);
-      assertEquals("", String.join("\n", simulation.violations), "moment " + moment);
-      assertTrue(simulation.allJobsEnded(), "moment " + moment);
+      assertEquals("", String.join("\n", simulation.violations), "step " + step);
+      assertTrue(simulation.allJobsEnded(), "step " + step);
       assertEquals(
-          3, simulation.startCount, "each ran once, and its result counted; moment " + moment);
+          3, simulation.startCount, "each task runs once and its completion counts, step " + step);
     }
   }
 
-  /** Offices that change hands within a second, with writes of each that are carried out late. */
+  /** Leaders change within seconds while delayed writes of earlier leaders are applied. */
   @Test
   void leadersAlternateWithDelayedWrites() {
-    atEachMoment(
+    atEachStep(
         60,
-        (simulation, moment) -> {
+        (simulation, step) -> {
           simulation.delayedWriteShare = 0.3;
           simulation.slowResponseShare = 0.3;
-          simulation.leaderReadMs = 500L * (moment % 3);
+          simulation.leaderReadMs = 500L * (step % 3);
           for (int i = 0; i < 6; i++) {
             simulation.failLeader(i % 2 == 0 ? 0 : 2000);
             simulation.electAt = simulation.now + 500;
-            simulation.run((moment + i) % 5 * 0.5);
+            simulation.run((step + i) % 5 * 0.5);
           }
-          cancelSome(simulation, moment);
-          simulation.run(moment);
+          cancelSomeJobs(simulation, step);
+          simulation.run(step);
           simulation.delayedWriteShare = 0;
         });
   }
--- a/src/test/java/io/saltflow/leader/DuplicateHeartbeats.java
+++ b/src/test/java/io/saltflow/leader/DuplicateHeartbeats.java
@@ -14,9 +14,9 @@
 import java.util.Map;
 
 /**
- * Copies of workers' reports that arrive at the next leader in its first moment, before anything
- * else does. They may be of an earlier agent epoch or attempt of their machine. Each is checked by
- * itself: it reconciles, launches, frees and condemns nothing.
+ * Delivers copies of old heartbeats to a new leader before any other heartbeat. A copy may stem
+ * from an earlier agent epoch or attempt. Each delivery asserts that the copy reconciles no
+ * machine, launches and frees no task, and marks no machine as faulty.
  */
 final class DuplicateHeartbeats {
   private static final int MAX_KEPT_PER_MACHINE = 40;
@@ -24,30 +24,31 @@
   private final ClusterSimulation simulation;
   private final Map<MachineId, List<WorkerHeartbeat>> sent = new LinkedHashMap<>();
 
-  /** Of how many machines, of all that reported, a copy comes. */
+  /** Probability that a copy is delivered, for each machine that sent heartbeats. */
   double share;
 
-  /** How many copies were delivered, and how many of them from an earlier agent epoch. */
+  /** Number of delivered copies. */
   int delivered;
 
+  /** Number of delivered copies from an earlier agent epoch. */
   int fromEarlierEpochs;
 
   DuplicateHeartbeats(ClusterSimulation simulation) {
     this.simulation = simulation;
   }
 
-  void sent(WorkerHeartbeat report) {
+  void sent(WorkerHeartbeat heartbeat) {
     if (share > 0) {
       List<WorkerHeartbeat> all =
-          sent.computeIfAbsent(report.machine(), machine -> new ArrayList<>());
-      all.add(report);
+          sent.computeIfAbsent(heartbeat.machine(), machine -> new ArrayList<>());
+      all.add(heartbeat);
       if (all.size() > MAX_KEPT_PER_MACHINE) {
         all.remove(0);
       }
     }
   }
 
-  /** The leader has just read what is recorded. */
+  /** Delivers copies to a leader that has just read the recorded state. */
   void deliver(ClusterSimulation.SimulatedLeader newLeader) {
     for (List<WorkerHeartbeat> all : sent.values()) {
       if (simulation.chance(share)) {
@@ -68,21 +69,27 @@
     delivered++;
     ClusterSimulation.SimulatedWorker worker = simulation.workers.get(copy.machine());
     fromEarlierEpochs += worker != null && worker.epoch != copy.agentEpoch() ? 1 : 0;
-    assertEquals(placements, placements(core), "no presence comes or goes by a copy");
+    assertEquals(placements, placements(core), "a copy changes the placements");
     reconciled(core)
         .forEach(
-            (id, is) -> assertEquals(before.getOrDefault(id, is), is, id + " is accounted for"));
+            (id, isReconciled) ->
+                assertEquals(
+                    before.getOrDefault(id, isReconciled),
+                    isReconciled,
+                    "a copy reconciles " + id));
     for (Machine machine : core.machines().all()) {
       assertFalse(
           machine.isReconciled() && !before.containsKey(machine.id()),
-          machine.id() + " is new and accounted for");
-      assertFalse(machine.isFaulty() || machine.answersLost(), machine.id() + " is blamed");
+          "a copy adds reconciled machine " + machine.id());
+      assertFalse(
+          machine.isFaulty() || machine.answersLost(),
+          "a copy marks " + machine.id() + " as faulty");
     }
     if (commands != null) {
       assertEquals(
           0,
           commands.stream().filter(command -> command instanceof WorkerCommand.Launch).count(),
-          "nothing is launched");
+          "a copy causes launches");
     }
   }
 
--- a/src/test/java/io/saltflow/leader/FaultScenarios.java
+++ b/src/test/java/io/saltflow/leader/FaultScenarios.java
@@ -9,11 +9,11 @@
 import java.util.function.ObjIntConsumer;
 import java.util.function.Supplier;
 
-/** Meetings that a script brings about, at each half second of them, with the rules checked. */
+/** Scenarios that inject faults at each step of a simulation and check the invariants. */
 final class FaultScenarios {
   static final int JOBS = 8;
 
-  /** So many steps a world may take to get everything done after its script. */
+  /** Maximum number of steps in which all jobs must end once the faults are over. */
   private static final int MAX_STEPS = 2000;
 
   private FaultScenarios() {}
@@ -23,7 +23,7 @@
         seed, ClusterSimulation.policy(TimeSpan.millis(ClusterSimulation.LEASE_MS)));
   }
 
-  /** Plain work that has been running for a while. */
+  /** Returns a simulation with unconstrained jobs that has run for 40 s. */
   static ClusterSimulation running(long seed, double estimateS) {
     ClusterSimulation simulation = simulation(seed);
     simulation.maxMachinesInZone = 3;
@@ -35,7 +35,7 @@
     return simulation;
   }
 
-  /** Jobs that are bound to places, each in another way, and one of a team with a limit. */
+  /** Returns a simulation with various placement constraints, some in a team with a limit. */
   static ClusterSimulation constrained(long seed, double estimateS) {
     ClusterSimulation simulation = simulation(seed);
     simulation.maxMachinesInZone = 3;
@@ -57,29 +57,29 @@
     return simulation;
   }
 
-  /** Plays the script once for each moment: so many half seconds into the meeting. */
+  /** Runs the script once for each step at which a fault may occur, on a new simulation. */
   static void atEachMoment(
-      int moments, Supplier<ClusterSimulation> start, ObjIntConsumer<ClusterSimulation> script) {
-    for (int moment = 0; moment < moments; moment++) {
+      int steps, Supplier<ClusterSimulation> start, ObjIntConsumer<ClusterSimulation> script) {
+    for (int step = 0; step < steps; step++) {
       ClusterSimulation simulation = start.get();
-      script.accept(simulation, moment);
-      assertRecovers(simulation, "moment " + moment);
+      script.accept(simulation, step);
+      assertRecovers(simulation, "step " + step);
     }
   }
 
-  /** The troubles end, and everything gets done as the operators ask for. */
-  static void assertRecovers(ClusterSimulation simulation, String which) {
+  /** Ends all faults and asserts that all jobs end without a violation. */
+  static void assertRecovers(ClusterSimulation simulation, String scenario) {
     simulation.endFaults();
     for (int i = 0; i < MAX_STEPS && !simulation.allJobsEnded(); i++) {
       simulation.step();
     }
-    assertEquals("", String.join("\n", simulation.violations), which);
-    assertTrue(simulation.allJobsEnded(), "a job is forgotten, " + which);
+    assertEquals("", String.join("\n", simulation.violations), scenario);
+    assertTrue(simulation.allJobsEnded(), "not all jobs ended, " + scenario);
   }
 
-  static void cancelSome(ClusterSimulation simulation, int moment) {
+  static void cancelSome(ClusterSimulation simulation, int first) {
     for (int i = 0; i < 3; i++) {
-      simulation.cancel(new JobId(JobSpecBuilder.id(1 + (moment + i) % JOBS)));
+      simulation.cancel(new JobId(JobSpecBuilder.id(1 + (first + i) % JOBS)));
     }
   }
 }
--- a/src/test/java/io/saltflow/leader/LeaderHarness.java
+++ b/src/test/java/io/saltflow/leader/LeaderHarness.java
@@ -19,7 +19,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** One leader and a few machines whose heartbeats a test sends by hand. */
+/** Single leader with a few machines whose heartbeats a test sends explicitly. */
 public final class LeaderHarness {
   static final Term TERM = new Term(7);
   private static final MachineType MACHINE_TYPE = machineType(new Resources(10, 0, 100));
@@ -30,14 +30,19 @@
   private final Map<String, Long> epoch = new LinkedHashMap<>();
   public LeaderCore leader;
 
-  /** Machines that the cloud will take, and how soon. */
+  /** Remaining time of machines that the cloud has announced to reclaim, by machine. */
   final Map<String, TimeSpan> reclaimNotices = new LinkedHashMap<>();
 
   private Term term = TERM;
 
   public long now = 100_000;
 
-  /** A leader that has just begun, with jobs and machines of an earlier one. */
+  /**
+   * Creates a newly elected leader.
+   *
+   * @param jobs jobs inherited from the previous leader
+   * @param oldMachines machines in the previous leader's ledger
+   */
   public LeaderHarness(Policy policy, List<Job> jobs, String... oldMachines) {
     List<LedgerEntry> ledger = new ArrayList<>();
     for (String machine : oldMachines) {
@@ -56,16 +61,16 @@
     return new MachineType("box", size, 1, 1, 0.5, TimeSpan.seconds(15), List.of("a", "b"));
   }
 
-  /** Another leader takes over: machines and what is on them stay. */
-  void failOver(Policy policy, Term by, List<Job> jobs, Resources machine) {
+  /** Replaces the leader by one with the given term; machines and their tasks remain. */
+  void failOver(Policy policy, Term newTerm, List<Job> jobs, Resources machineSize) {
     List<LedgerEntry> ledger = new ArrayList<>();
-    tasksByMachine.keySet().forEach(m -> ledger.add(entry(m)));
-    term = by;
+    tasksByMachine.keySet().forEach(machine -> ledger.add(entry(machine)));
+    term = newTerm;
     leader =
         new LeaderCore(
             policy,
-            by,
-            new InheritedState(jobs, ledger, true, List.of(machineType(machine))),
+            newTerm,
+            new InheritedState(jobs, ledger, true, List.of(machineType(machineSize))),
             time(),
             now);
   }
@@ -74,23 +79,23 @@
     return new LedgerEntry(new MachineId(machine), "box", "a", false);
   }
 
-  /** A job without progress. */
+  /** Returns a job without progress. */
   public static Job job(JobSpec spec, boolean maybeStarted) {
     return new Job(spec, 0, new BitSet(), maybeStarted);
   }
 
-  /** The current time of the simulation. */
+  /** Returns the current virtual time. */
   public MonotonicTime time() {
     return new MonotonicTime(now);
   }
 
-  /** Lets time pass, then ticks the leader once. */
+  /** Advances the virtual time, then ticks the leader once. */
   public void advance(double seconds) {
     now += Math.round(seconds * 1000);
     leader.tick(time());
   }
 
-  /** Time goes by while the machine goes on reporting. */
+  /** Advances the time while the machine sends a heartbeat every two seconds. */
   public void runAndCheckIn(String machine, int seconds) {
     for (int i = 0; i < seconds; i += 2) {
       advance(2);
@@ -98,11 +103,11 @@
     }
   }
 
-  void log(String what) {
-    trace.add(String.format("%6.1f  %s", (now - 100_000) / 1000.0, what));
+  void log(String event) {
+    trace.add(String.format("%6.1f  %s", (now - 100_000) / 1000.0, event));
   }
 
-  /** Submits a job, whose record says at once that it may be started. */
+  /** Submits a job and records at once that its tasks may be started. */
   public void submit(JobSpec spec) {
     leader.jobs().onAdded(spec, now, false);
     for (Job job : leader.jobs().toMarkStarted()) {
@@ -120,7 +125,7 @@
             + spec.priority());
   }
 
-  /** The machine ran a task to its end. */
+  /** Marks a running task as exited; the next heartbeat of the machine reports it. */
   public void exitTask(String machine, TaskId task, WorkerHeartbeat.ExitCause cause) {
     WorkerHeartbeat.TaskStatus running = tasksByMachine.get(machine).get(task);
     tasksByMachine
@@ -137,9 +142,9 @@
     tasksByMachine.put(machine, new LinkedHashMap<>());
   }
 
-  WorkerHeartbeat heartbeat(String machine, Term token) {
+  WorkerHeartbeat heartbeat(String machine, Term fencingToken) {
     Map<TaskId, WorkerHeartbeat.TaskStatus> tasks =
-        tasksByMachine.computeIfAbsent(machine, m -> new LinkedHashMap<>());
+        tasksByMachine.computeIfAbsent(machine, key -> new LinkedHashMap<>());
     long nextSequence = sequence.merge(machine, 1L, Long::sum);
     return new WorkerHeartbeat(
         new MachineId(machine),
@@ -149,12 +154,12 @@
         machine.endsWith("s"),
         epoch.getOrDefault(machine, 1L),
         nextSequence,
-        token,
+        fencingToken,
         reclaimNotices.get(machine),
         new ArrayList<>(tasks.values()));
   }
 
-  /** Reports and obeys: launched tasks run at the next report. */
+  /** Sends a heartbeat and executes the commands; launched tasks run by the next heartbeat. */
   public List<WorkerCommand> sendHeartbeat(String machine) {
     WorkerHeartbeat heartbeat = heartbeat(machine, term);
     List<WorkerCommand> commands = leader.onHeartbeat(heartbeat, true, time());
@@ -176,7 +181,7 @@
                 WorkerHeartbeat.ExitCause.OTHER,
                 false));
         log(machine + " launches " + command.task());
-      } else if (command instanceof WorkerCommand.Stop halt) {
+      } else if (command instanceof WorkerCommand.Stop stop) {
         tasks.put(
             command.task(),
             new WorkerHeartbeat.TaskStatus(
@@ -184,13 +189,13 @@
                 command.attempt(),
                 WorkerHeartbeat.TaskState.EXITED,
                 WorkerHeartbeat.ExitCause.STOPPED,
-                halt.grace().ms() > 0));
+                stop.grace().ms() > 0));
         log(
             machine
                 + " stops "
                 + command.task()
                 + " with "
-                + halt.grace().toSeconds()
+                + stop.grace().toSeconds()
                 + " s to save");
       } else {
         tasks.remove(command.task());
@@ -198,7 +203,7 @@
     }
   }
 
-  /** The id of a task of a numbered job. */
+  /** Returns the id of a task of the job with this number. */
   public static TaskId task(int job, int index) {
     return TaskId.parse(JobSpecBuilder.id(job) + "/" + index);
   }
--- a/src/test/java/io/saltflow/leader/LivenessChecks.java
+++ b/src/test/java/io/saltflow/leader/LivenessChecks.java
@@ -10,10 +10,10 @@
 import java.util.function.Function;
 
 /**
- * What the operators ask for once all troubles are over: no job waits for 90 s while a machine that
- * fits has room and its team is under its limit, none is unknown to the leader for 75 s, half of
- * each class, of each team and of each class's largest jobs is served, and the largest begin within
- * four minutes.
+ * Checks liveness once all faults are over. No job waits for 90 s while a suitable machine has room
+ * and its team is below its limit, and no job is unknown to the leader for 75 s. Half of the jobs
+ * of each class and team, and of the largest jobs of each class, complete within ten minutes. The
+ * largest jobs of each class start within four minutes.
  */
 final class LivenessChecks {
   private static final long MAX_WAIT_MS = 90_000;
@@ -21,8 +21,8 @@
   private static final long LARGEST_START_MS = 240_000;
 
   /**
-   * By then half of what came before the calm is to be done. The largest drawn jobs keep their
-   * team's limit busy for about four minutes.
+   * Time in which half of the jobs submitted before the faults ended must be done. The largest
+   * random jobs use all of their team's limit for about four minutes.
    */
   private static final long HALF_DONE_MS = 600_000;
 
@@ -34,22 +34,22 @@
   private boolean faultsEnded;
   private boolean halvesChecked;
 
-  /** How long a job waited at most though there was room, in the calm. */
+  /** Longest wait of a job despite free room after the faults ended, in milliseconds. */
   long longestWait;
 
-  /** And which one did. */
+  /** Job with the longest wait. */
   JobId longestWaitingJob;
 
   LivenessChecks(ClusterSimulation simulation) {
     this.simulation = simulation;
   }
 
-  /** Nothing new goes wrong any more. */
+  /** Enables the checks; no new faults are injected from now on. */
   void begin() {
     faultsEnded = true;
   }
 
-  /** After each step. */
+  /** Checks the current state; called after each step. */
   void check() {
     if (!faultsEnded) {
       return;
@@ -59,7 +59,7 @@
         return;
       }
       healthySince = simulation.now;
-      simulation.log("all troubles are over");
+      simulation.log("all faults have ended");
     }
     Map<String, Double> used = coresByTeam();
     for (ClusterSimulation.JobRecord record : simulation.records.values()) {
@@ -76,7 +76,7 @@
       halvesChecked = true;
       checkHalfDone("class", record -> record.spec.jobClass(), false);
       checkHalfDone("team", record -> record.spec.team(), false);
-      checkHalfDone("largest of", record -> record.spec.jobClass(), true);
+      checkHalfDone("largest jobs of class", record -> record.spec.jobClass(), true);
     }
   }
 
@@ -105,10 +105,10 @@
         }
       }
     }
-    int before = runningBefore.getOrDefault(id, 0);
+    int heldBefore = runningBefore.getOrDefault(id, 0);
     runningBefore.put(id, held);
     boolean pending = held + record.completed.cardinality() < record.spec.tasks();
-    if (!pending || held > before || !hasRoom(record.spec, byZone, held, teamCores)) {
+    if (!pending || held > heldBefore || !hasRoom(record.spec, byZone, held, teamCores)) {
       waitingSince.remove(id);
       return;
     }
@@ -167,19 +167,19 @@
   private void checkLargestStarted() {
     Map<String, Double> largest = largestByClass();
     for (ClusterSimulation.JobRecord record : simulation.records.values()) {
-      long from = Math.max(healthySince, record.submittedAt);
+      long since = Math.max(healthySince, record.submittedAt);
       boolean isLargest = size(record) == largest.get(record.spec.jobClass());
       if (isLargest
           && !record.ended
           && record.startedAt < 0
-          && simulation.now - from == LARGEST_START_MS) {
+          && simulation.now - since == LARGEST_START_MS) {
         simulation.violations.add("largest_late: " + record.spec.id() + " at " + simulation.now);
       }
     }
   }
 
   private void checkHalfDone(
-      String of, Function<ClusterSimulation.JobRecord, String> by, boolean largestOnly) {
+      String group, Function<ClusterSimulation.JobRecord, String> groupBy, boolean largestOnly) {
     Map<String, Double> largest = largestByClass();
     Map<String, int[]> counts = new TreeMap<>();
     for (ClusterSimulation.JobRecord record : simulation.records.values()) {
@@ -188,7 +188,7 @@
           && record.cancelledAt < 0
           && record.submittedAt < healthySince
           && !alwaysFails(record)) {
-        int[] doneOfAll = counts.computeIfAbsent(by.apply(record), key -> new int[2]);
+        int[] doneOfAll = counts.computeIfAbsent(groupBy.apply(record), key -> new int[2]);
         doneOfAll[0]++;
         doneOfAll[1] += record.doneAt >= 0 ? 1 : 0;
       }
@@ -197,7 +197,7 @@
         (name, doneOfAll) -> {
           if (doneOfAll[1] * 2 < doneOfAll[0]) {
             simulation.violations.add(
-                "half: " + doneOfAll[1] + " of " + doneOfAll[0] + " of " + of + " " + name);
+                "half: " + doneOfAll[1] + " of " + doneOfAll[0] + " of " + group + " " + name);
           }
         });
   }
--- a/src/test/java/io/saltflow/leader/MachineFault.java
+++ b/src/test/java/io/saltflow/leader/MachineFault.java
@@ -1,6 +1,6 @@
 package io.saltflow.leader;
 
-/** What keeps a leader and a machine from talking to each other. */
+/** Fault that interrupts the communication between the leader and a machine. */
 enum MachineFault {
   HANGS {
     @Override
--- a/src/test/java/io/saltflow/leader/PipelineSimulation.java
+++ b/src/test/java/io/saltflow/leader/PipelineSimulation.java
@@ -10,15 +10,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The test world, with the reads and writes that dependent jobs take. */
+/** Cluster simulation with the reads and writes that job dependencies require. */
 final class PipelineSimulation {
   final ClusterSimulation simulation;
   final List<String> violations = new ArrayList<>();
 
-  /** Which part of the recorded cancellations gets no answer. */
+  /** Probability that the response to a recorded cancellation is lost. */
   double lostResponseShare;
 
-  /** A planted mistake: an end that nobody recorded is taken for one that is done. */
+  /** Seeded fault: whether a job without a recorded end is treated as done. */
   boolean treatsRemovalAsDone;
 
   PipelineSimulation(long seed) {
@@ -27,12 +27,12 @@
             seed, ClusterSimulation.policy(TimeSpan.millis(ClusterSimulation.LEASE_MS)));
   }
 
-  JobId submit(JobSpecBuilder job, JobId... needs) {
-    JobSpec spec = job.build().awaiting(List.of(needs));
+  JobId submit(JobSpecBuilder job, JobId... dependencies) {
+    JobSpec spec = job.build().awaiting(List.of(dependencies));
     simulation.submit(spec);
-    for (JobId need : needs) {
-      if (record(need).cancelledAt >= 0) {
-        // What a node does that accepts a job which names a cancelled one.
+    for (JobId dependency : dependencies) {
+      if (record(dependency).cancelledAt >= 0) {
+        // A controller cancels a job at submission if a dependency is cancelled.
         simulation.cancel(spec.id());
       }
     }
@@ -50,11 +50,11 @@
   void run(double seconds) {
     for (long end = simulation.now + (long) (seconds * 1000); simulation.now < end; ) {
       simulation.step();
-      boolean served =
+      boolean storeReachable =
           simulation.leader != null
               && simulation.leader.storeReachable()
               && !simulation.leader.isPartitioned();
-      if (served && core() != null) {
+      if (storeReachable && core() != null) {
         readEnds();
         cancelDependents();
       }
@@ -64,9 +64,9 @@
   }
 
   private void readEnds() {
-    List<JobId> ends = new ArrayList<>(core().dependencies().completionsToRead());
-    ends.addAll(core().dependencies().completionsToReadForTimes());
-    for (JobId id : ends) {
+    List<JobId> toRead = new ArrayList<>(core().dependencies().completionsToRead());
+    toRead.addAll(core().dependencies().completionsToReadForTimes());
+    for (JobId id : toRead) {
       ClusterSimulation.JobRecord record = record(id);
       if (treatsRemovalAsDone || record.doneAt >= 0) {
         core().jobs().onCompletionRead(id, record.doneAt, simulation.time());
@@ -79,39 +79,40 @@
   private void cancelDependents() {
     for (JobId id : core().dependencies().jobsToCancel()) {
       ClusterSimulation.JobRecord record = record(id);
-      boolean answered = !simulation.chance(lostResponseShare);
+      boolean acknowledged = !simulation.chance(lostResponseShare);
       if (!record.ended) {
         record.ended = true;
         record.cancelledAt = simulation.now;
-        simulation.log(id + " is cancelled with what it needs");
+        simulation.log(id + " cancelled because a dependency was cancelled");
       }
-      if (answered) {
+      if (acknowledged) {
         core().jobs().onCancellationRead(id, simulation.time());
       }
     }
   }
 
-  /** The rules: too_early and orphaned. */
+  /** Records a violation for each job that starts too early or outlives a cancelled dependency. */
   private void check() {
     for (ClusterSimulation.JobRecord record : simulation.records.values()) {
-      for (JobId each : record.spec.dependencies()) {
-        ClusterSimulation.JobRecord need = record(each);
-        boolean done = need.doneAt >= 0 && need.completed.cardinality() == need.spec.tasks();
-        if (record.startedAt >= 0 && (!done || need.doneAt > record.startedAt)) {
+      for (JobId id : record.spec.dependencies()) {
+        ClusterSimulation.JobRecord dependency = record(id);
+        boolean done =
+            dependency.doneAt >= 0 && dependency.completed.cardinality() == dependency.spec.tasks();
+        if (record.startedAt >= 0 && (!done || dependency.doneAt > record.startedAt)) {
           violations.add("too_early: " + record.spec.id() + " at " + record.startedAt);
         }
-        boolean late =
-            need.cancelledAt >= 0
-                && simulation.now > need.cancelledAt + ClusterSimulation.CANCEL_BOUND_MS;
-        if (late && !record.ended) {
+        boolean overdue =
+            dependency.cancelledAt >= 0
+                && simulation.now > dependency.cancelledAt + ClusterSimulation.CANCEL_BOUND_MS;
+        if (overdue && !record.ended) {
           violations.add("orphaned: " + record.spec.id() + " at " + simulation.now);
         }
       }
     }
   }
 
-  void runUntilOver(double mostSeconds) {
-    for (double elapsed = 0; elapsed < mostSeconds && !simulation.allJobsEnded(); elapsed += 5) {
+  void runUntilOver(double maxSeconds) {
+    for (double elapsed = 0; elapsed < maxSeconds && !simulation.allJobsEnded(); elapsed += 5) {
       run(5);
     }
     assertTrue(simulation.allJobsEnded(), String.join("\n", simulation.trace));
--- a/src/test/java/io/saltflow/leader/PlacementChecks.java
+++ b/src/test/java/io/saltflow/leader/PlacementChecks.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 
 /**
- * Whether a leader launches where the job's other tasks, wherever they might be by what it has not
- * seen disproved, allow it: all in one zone, at most so many in one, or in the only zone, and on
- * the only kind of machine, that the job allows. Looked at in each step for the launches of that
- * step. What is found on machines is not: a earlier leader may have deleted a machine that this one
- * still counts, and launched elsewhere since.
+ * Checks that each launch satisfies the placement constraints of its job: a single zone, the spread
+ * limit per zone, and the allowed zones and machine types. All placements of the job that the
+ * leader has not ruled out count. Only launches of the current step are checked. Placements found
+ * in heartbeats are exempt, because an earlier leader may have deleted a machine that this leader
+ * still counts, and launched the task elsewhere.
  */
 final class PlacementChecks {
   private PlacementChecks() {}
--- a/src/test/java/io/saltflow/leader/QuotaChecks.java
+++ b/src/test/java/io/saltflow/leader/QuotaChecks.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The rule that no team's running tasks take more than its limit, looked at after each step. */
+/** Checks that the running tasks of each team stay within its limit. */
 final class QuotaChecks {
   private static final double TOLERANCE = 1e-6;
 
@@ -23,10 +23,10 @@
     used.forEach(this::checkTeam);
   }
 
-  /** A machine that hangs past its lease forgets its tasks before it does anything else. */
+  /** A worker paused beyond its lease discards its tasks before it does anything else. */
   private boolean mayRunTasks(ClusterSimulation.SimulatedWorker worker) {
-    boolean leaseOver = simulation.now - worker.leaseRenewedAt > ClusterSimulation.LEASE_MS;
-    return !worker.dead && !(leaseOver && simulation.now < worker.hungUntil);
+    boolean leaseExpired = simulation.now - worker.leaseRenewedAt > ClusterSimulation.LEASE_MS;
+    return !worker.dead && !(leaseExpired && simulation.now < worker.hungUntil);
   }
 
   private void addTasks(ClusterSimulation.SimulatedWorker worker, Map<String, Resources> used) {
@@ -39,19 +39,19 @@
         });
   }
 
-  private void checkTeam(String name, Resources size) {
+  private void checkTeam(String name, Resources used) {
     Policy.TeamQuota team = simulation.policy.teams().get(name);
-    boolean overCores = exceeds(size.cores(), team.coreLimit());
-    boolean overGpus = exceeds(size.gpus(), team.gpuLimit());
+    boolean overCores = exceeds(used.cores(), team.coreLimit());
+    boolean overGpus = exceeds(used.gpus(), team.gpuLimit());
     if (overCores || overGpus) {
       simulation.violations.add(
           String.format(
-              "quota: %s uses %s cores and %s gpus at %d",
-              name, size.cores(), size.gpus(), simulation.now));
+              "quota: %s uses %s cores and %s GPUs at %d",
+              name, used.cores(), used.gpus(), simulation.now));
     }
   }
 
-  /** A limit of 0 is none. */
+  /** A limit of 0 means unlimited. */
   private static boolean exceeds(double used, double limit) {
     return limit > 0 && used > limit + TOLERANCE;
   }
--- a/src/test/java/io/saltflow/leader/QuotaFaultsTest.java
+++ b/src/test/java/io/saltflow/leader/QuotaFaultsTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Every team is at its limit, by cores or by GPUs, while the leader changes and jobs are cancelled
- * whose machines can't be asked. What runs on such a machine counts until it is disproved.
+ * Teams at their core or GPU limit, while the leader changes and jobs on unreachable machines are
+ * cancelled. Tasks on such a machine count towards the limit until they are known to have ended.
  */
 class QuotaFaultsTest {
   static final MachineType GPU_BOX =
@@ -44,38 +44,46 @@
           new Policy.TeamQuota("green", 8, 12, 1, 2),
           new Policy.TeamQuota("unlimited", 0, 0, 0, 0));
 
-  /** Each has all of its limit in use, and as much again waits. */
+  /** Teams that use their whole limit and have further jobs queued. */
   private static final List<String> TEAMS = List.of("red", "blue", "green");
 
-  private static final int JOBS_OF_A_TEAM = 3;
+  private static final int JOBS_PER_TEAM = 3;
 
   private static final double ESTIMATE_S = 45;
 
-  /** It holds machines; they are free for others once it is cancelled. */
-  private static final int SPARE = 99;
+  /** Job that keeps machines in use until its cancellation frees them for the other jobs. */
+  private static final int RESERVING_JOB = 99;
 
-  /** In half seconds from when the first leader is lost, as all moments here. */
-  private static final int LAST_CANCEL = 14;
+  /** Last step of a cancellation, counted from the first failover. */
+  private static final int LAST_CANCEL_STEP = 14;
 
-  /** How long after the cancellation, at most, the machines get out of reach. */
-  private static final int LAST_FAULT = 3;
+  /** Maximum number of steps from the cancellation until the machines become unreachable. */
+  private static final int MAX_FAULT_DELAY_STEPS = 3;
 
-  private static final int SECOND_FAILOVER = 5;
+  private static final int SECOND_FAILOVER_STEP = 5;
 
-  private static final long OUT_OF_REACH_MS = 11_000;
+  private static final long UNREACHABLE_MS = 11_000;
 
   private static final Term FORMER_TERM = new Term(6);
 
-  private static ClusterSimulation atTheQuotas(long seed) {
+  private static ClusterSimulation withTeamsAtLimits(long seed) {
     ClusterSimulation simulation = new ClusterSimulation(seed, POLICY);
     simulation.machineType = GPU_BOX;
-    for (int i = 0; i < JOBS_OF_A_TEAM; i++) {
+    for (int i = 0; i < JOBS_PER_TEAM; i++) {
       simulation.submit(
-          JobSpecBuilder.job(number("red", i)).team("red").cores(8).estimateS(ESTIMATE_S).build());
+          JobSpecBuilder.job(jobNumber("red", i))
+              .team("red")
+              .cores(8)
+              .estimateS(ESTIMATE_S)
+              .build());
       simulation.submit(
-          JobSpecBuilder.job(number("blue", i)).team("blue").gpus(1).estimateS(ESTIMATE_S).build());
+          JobSpecBuilder.job(jobNumber("blue", i))
+              .team("blue")
+              .gpus(1)
+              .estimateS(ESTIMATE_S)
+              .build());
       simulation.submit(
-          JobSpecBuilder.job(number("green", i))
+          JobSpecBuilder.job(jobNumber("green", i))
               .team("green")
               .cores(6)
               .gpus(1)
@@ -83,75 +91,84 @@
               .build());
     }
     simulation.submit(
-        JobSpecBuilder.job(SPARE).team("unlimited").tasks(4).cores(8).estimateS(300).build());
+        JobSpecBuilder.job(RESERVING_JOB)
+            .team("unlimited")
+            .tasks(4)
+            .cores(8)
+            .estimateS(300)
+            .build());
     simulation.run(35);
-    simulation.cancel(new JobId(JobSpecBuilder.id(SPARE)));
+    simulation.cancel(new JobId(JobSpecBuilder.id(RESERVING_JOB)));
     return simulation;
   }
 
-  private static int number(String team, int job) {
-    return 1 + TEAMS.indexOf(team) * JOBS_OF_A_TEAM + job;
+  private static int jobNumber(String team, int job) {
+    return 1 + TEAMS.indexOf(team) * JOBS_PER_TEAM + job;
   }
 
-  /** Its tasks that run are cancelled; none of them may be replaced before it is gone. */
-  private static void cancelWhatRuns(ClusterSimulation simulation) {
+  /** Cancels all jobs with tasks on machines; no task may be replaced before it has ended. */
+  private static void cancelRunningJobs(ClusterSimulation simulation) {
     for (ClusterSimulation.SimulatedWorker worker : simulation.workers.values()) {
       List.copyOf(worker.tasks.keySet()).forEach(id -> simulation.cancel(id.job()));
     }
   }
 
   /**
-   * The leader changes twice within half a lease, so that machines tell of the second change late.
-   * The jobs are cancelled at each half second of that; their machines are out of reach from each
-   * of the next half seconds on, for less than a lease.
+   * The leader changes twice within half a lease, so that machines announce the second term late.
+   * Jobs are cancelled at each step, and their machines become unreachable in one of the next
+   * steps, for less than a lease.
    */
   @ParameterizedTest
   @EnumSource(MachineFault.class)
-  void cancelledTasksCountUntilReconciled(MachineFault trouble) {
-    for (int cancel = 0; cancel <= LAST_CANCEL; cancel++) {
-      for (int strike = cancel; strike <= cancel + LAST_FAULT; strike++) {
-        ClusterSimulation simulation = atTheQuotas(cancel + 100);
-        assertTrue(simulation.startCount >= 6, "all are at their limits: " + simulation.startCount);
-        for (int step = 0; step <= LAST_CANCEL + LAST_FAULT; step++) {
-          if (step == 0 || step == SECOND_FAILOVER) {
+  void cancelledTasksCountUntilReconciled(MachineFault fault) {
+    for (int cancelStep = 0; cancelStep <= LAST_CANCEL_STEP; cancelStep++) {
+      for (int faultStep = cancelStep;
+          faultStep <= cancelStep + MAX_FAULT_DELAY_STEPS;
+          faultStep++) {
+        ClusterSimulation simulation = withTeamsAtLimits(cancelStep + 100);
+        assertTrue(
+            simulation.startCount >= 6,
+            "too few task starts to reach the limits: " + simulation.startCount);
+        for (int step = 0; step <= LAST_CANCEL_STEP + MAX_FAULT_DELAY_STEPS; step++) {
+          if (step == 0 || step == SECOND_FAILOVER_STEP) {
             simulation.failLeader(0);
             simulation.electAt = simulation.now + ClusterSimulation.STEP_MS;
           }
-          if (step == cancel) {
-            cancelWhatRuns(simulation);
+          if (step == cancelStep) {
+            cancelRunningJobs(simulation);
           }
-          if (step == strike) {
-            long until = simulation.now + OUT_OF_REACH_MS;
+          if (step == faultStep) {
+            long until = simulation.now + UNREACHABLE_MS;
             simulation.workers.values().stream()
                 .filter(worker -> !worker.tasks.isEmpty())
-                .forEach(worker -> trouble.apply(worker, until));
+                .forEach(worker -> fault.apply(worker, until));
           }
           simulation.step();
         }
         SimulationAssertions.assertAllJobsEnd(
-            simulation, trouble + ", cancel " + cancel + ", strike " + strike);
+            simulation, fault + ", cancel step " + cancelStep + ", fault step " + faultStep);
       }
     }
   }
 
   /**
-   * A job ends between the first answer of the new leader to a machine that runs its task and the
-   * report with the new token. The halt that answers that report is lost, and the task runs on.
+   * A job ends between the new leader's first response to a machine that runs its task and the
+   * machine's heartbeat with the new term. The stop command in the response to that heartbeat is
+   * lost, so the task keeps running.
    *
-   * @param cancelled whether its user cancelled it; otherwise a kept result of another attempt ends
-   *     it
+   * @param cancelled whether the job was cancelled; otherwise the result of another attempt ends it
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void taskOfAJobEndedDuringFailoverCounts(boolean cancelled) {
+  void taskOfJobEndedDuringFailoverCounts(boolean cancelled) {
     Job ended = LeaderHarness.job(JobSpecBuilder.job(1).team("red").cores(8).build(), true);
     LeaderHarness harness = new LeaderHarness(POLICY, List.of(ended), "vm-1", "vm-2");
     TaskId task = LeaderHarness.task(1, 0);
     Attempt attempt = Attempt.of(FORMER_TERM, 1);
-    WorkerHeartbeat.TaskStatus runs =
+    WorkerHeartbeat.TaskStatus running =
         new WorkerHeartbeat.TaskStatus(
             task, attempt, WorkerHeartbeat.TaskState.RUNNING, null, false);
-    harness.tasksByMachine.put("vm-1", new LinkedHashMap<>(Map.of(task, runs)));
+    harness.tasksByMachine.put("vm-1", new LinkedHashMap<>(Map.of(task, running)));
     harness.leader.onHeartbeat(harness.heartbeat("vm-1", FORMER_TERM), true, harness.time());
     harness.sendHeartbeat("vm-2");
     harness.sendHeartbeat("vm-3");
@@ -179,25 +196,27 @@
     List<WorkerCommand> lost =
         harness.leader.onHeartbeat(
             harness.heartbeat("vm-1", LeaderHarness.TERM), true, harness.time());
-    assertEquals(List.of(new WorkerCommand.Stop(task, attempt, new TimeSpan(0))), halts(lost));
+    assertEquals(List.of(new WorkerCommand.Stop(task, attempt, new TimeSpan(0))), stops(lost));
     assertTrue(harness.leader.isReconciled());
 
     harness.advance(1);
-    long beside = launches(harness.sendHeartbeat("vm-2")) + launches(harness.sendHeartbeat("vm-3"));
+    long launchesElsewhere =
+        launchCount(harness.sendHeartbeat("vm-2")) + launchCount(harness.sendHeartbeat("vm-3"));
     lost =
         harness.leader.onHeartbeat(
             harness.heartbeat("vm-1", LeaderHarness.TERM), true, harness.time());
-    assertEquals(1, beside + launches(lost), "16 cores in all");
+    assertEquals(1, launchesElsewhere + launchCount(lost), "launches within the limit of 16 cores");
     harness.advance(1);
-    long after = launches(harness.sendHeartbeat("vm-1")) + launches(harness.sendHeartbeat("vm-1"));
-    assertEquals(1, after, "once the task is disproved");
+    long launchesAfterStop =
+        launchCount(harness.sendHeartbeat("vm-1")) + launchCount(harness.sendHeartbeat("vm-1"));
+    assertEquals(1, launchesAfterStop, "launches after the task was reported as ended");
   }
 
-  private static List<WorkerCommand> halts(List<WorkerCommand> commands) {
+  private static List<WorkerCommand> stops(List<WorkerCommand> commands) {
     return commands.stream().filter(command -> command instanceof WorkerCommand.Stop).toList();
   }
 
-  private static long launches(List<WorkerCommand> commands) {
+  private static long launchCount(List<WorkerCommand> commands) {
     return commands.stream().filter(command -> command instanceof WorkerCommand.Launch).count();
   }
 }
--- a/src/test/java/io/saltflow/leader/RandomFault.java
+++ b/src/test/java/io/saltflow/leader/RandomFault.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A trouble of a drawn day: how often it comes, and what it does. */
+/** Fault that a randomized simulation injects. */
 enum RandomFault {
   MACHINES_LOSE_OUTBOUND {
     @Override
@@ -54,7 +54,7 @@
   JOBS_ARE_CANCELLED_AS_THEY_END {
     @Override
     void apply(ClusterSimulation simulation) {
-      ending(simulation).forEach(simulation::cancel);
+      completingJobs(simulation).forEach(simulation::cancel);
     }
   },
   LEADERS_FAIL_OVER {
@@ -108,10 +108,10 @@
     }
   };
 
-  /** What holds all day. */
+  /** Configures a fault that lasts for the whole simulation. */
   void prepare(ClusterSimulation simulation) {}
 
-  /** What comes now and then. */
+  /** Injects the fault once. */
   void apply(ClusterSimulation simulation) {}
 
   private static long steps(ClusterSimulation simulation, int maxSteps) {
@@ -127,16 +127,16 @@
     }
   }
 
-  private static List<JobId> ending(ClusterSimulation simulation) {
-    List<JobId> found = new ArrayList<>();
+  private static List<JobId> completingJobs(ClusterSimulation simulation) {
+    List<JobId> jobs = new ArrayList<>();
     for (ClusterSimulation.SimulatedWorker worker : simulation.workers.values()) {
       for (Map.Entry<TaskId, ClusterSimulation.SimulatedTask> entry : worker.tasks.entrySet()) {
         ClusterSimulation.SimulatedTask task = entry.getValue();
         if (task.isRunning() && task.endsAt <= simulation.now + ClusterSimulation.STEP_MS) {
-          found.add(entry.getKey().job());
+          jobs.add(entry.getKey().job());
         }
       }
     }
-    return found;
+    return jobs;
   }
 }
--- a/src/test/java/io/saltflow/leader/RandomFaultCombinationsTest.java
+++ b/src/test/java/io/saltflow/leader/RandomFaultCombinationsTest.java
@@ -13,32 +13,31 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Days on which two or three troubles are drawn to fall together, again and again. */
+/** Simulations that repeatedly inject random combinations of two or three faults. */
 class RandomFaultCombinationsTest {
   private static final int COMBINATIONS = 5;
   private static final double PAUSE_SECONDS = 60;
 
-  private static final String[] CLASSES = {"short", "long", "wide"};
+  private static final String[] JOB_CLASSES = {"short", "long", "wide"};
 
-  /** A trouble that takes its course beside the others. */
   private enum Fault {
-    COPIES_FOR_THE_NEXT_LEADER,
-    LATE_WRITES,
-    ANSWERS_OF_WRITES_LOST,
-    LEADER_ENDS,
-    LEADER_CUT_OFF,
+    DUPLICATES_TO_NEXT_LEADER,
+    DELAYED_WRITES,
+    LOST_WRITE_RESPONSES,
+    LEADER_CRASH,
+    LEADER_PARTITION,
     LEADER_SUPERSEDED,
-    TEN_LEADERS,
-    ALL_AWAY,
-    ZONE_CUT_OFF,
-    LEADER_REFUSED,
-    STATE_DOWN,
-    MACHINES_HANG,
-    MACHINES_DEAF,
-    MACHINES_DIE,
-    MACHINES_BACK_AT_ONCE,
+    REPEATED_FAILOVERS,
+    NO_LEADER,
+    ZONE_PARTITION,
+    LEADER_LOSES_STORE,
+    STORE_OUTAGE,
+    PROCESS_PAUSES,
+    INBOUND_LOSS,
+    MACHINE_FAILURES,
+    WORKER_RESTARTS,
     CANCELLATIONS,
-    NEW_MACHINES
+    SCALE_OUT
   }
 
   private int jobs;
@@ -66,7 +65,7 @@
       int tasks = simulation.chance(0.1) ? 20 : 1 + random.nextInt(6);
       simulation.submit(
           JobSpecBuilder.job(++jobs)
-              .ofClass(CLASSES[random.nextInt(CLASSES.length)])
+              .ofClass(JOB_CLASSES[random.nextInt(JOB_CLASSES.length)])
               .team(simulation.chance(0.5) ? "red" : "blue")
               .priority(Priority.values()[random.nextInt(4)])
               .tasks(tasks)
@@ -81,13 +80,13 @@
     }
   }
 
-  /** Two or three troubles whose beginnings fall within ten seconds. */
+  /** Injects two or three random faults that begin within ten seconds. */
   private void combineFaults(ClusterSimulation simulation) {
     List<Fault> faults = new ArrayList<>();
     for (int i = 2 + simulation.random.nextInt(2); i > 0; i--) {
       faults.add(Fault.values()[simulation.random.nextInt(Fault.values().length)]);
     }
-    simulation.log("a meeting of " + faults);
+    simulation.log("fault combination: " + faults);
     for (Fault fault : faults) {
       inject(simulation, fault);
       simulation.run(simulation.random.nextInt(10) * 0.5);
@@ -102,30 +101,31 @@
   }
 
   private void inject(ClusterSimulation simulation, Fault fault) {
-    long forMs = 500L * simulation.random.nextInt(100);
+    long durationMs = 500L * simulation.random.nextInt(100);
     switch (fault) {
-      case COPIES_FOR_THE_NEXT_LEADER -> simulation.duplicates.share = 0.7;
-      case LATE_WRITES -> simulation.delayedWriteShare = 0.4;
-      case ANSWERS_OF_WRITES_LOST -> simulation.lostWriteResponseShare = 0.4;
-      case LEADER_ENDS -> simulation.failLeader(0);
-      case LEADER_CUT_OFF -> simulation.failLeader(forMs);
-      case LEADER_SUPERSEDED -> simulation.supersede(forMs);
-      case TEN_LEADERS -> tenLeaders(simulation);
-      case ALL_AWAY -> {
+      case DUPLICATES_TO_NEXT_LEADER -> simulation.duplicates.share = 0.7;
+      case DELAYED_WRITES -> simulation.delayedWriteShare = 0.4;
+      case LOST_WRITE_RESPONSES -> simulation.lostWriteResponseShare = 0.4;
+      case LEADER_CRASH -> simulation.failLeader(0);
+      case LEADER_PARTITION -> simulation.failLeader(durationMs);
+      case LEADER_SUPERSEDED -> simulation.supersede(durationMs);
+      case REPEATED_FAILOVERS -> failOverRepeatedly(simulation);
+      case NO_LEADER -> {
         simulation.failLeader(0);
-        simulation.electAt = Math.max(simulation.electAt, simulation.now + forMs);
+        simulation.electAt = Math.max(simulation.electAt, simulation.now + durationMs);
       }
-      case ZONE_CUT_OFF ->
-          simulation.zoneCutUntil.put(simulation.chance(0.5) ? "a" : "b", simulation.now + forMs);
-      case LEADER_REFUSED -> simulation.refuseLeader(forMs);
-      case STATE_DOWN -> simulation.takeStoreDown(forMs);
-      case CANCELLATIONS -> cancelSome(simulation);
-      case NEW_MACHINES -> submitJobs(simulation, 6);
-      default -> injectMachineFault(simulation, fault, forMs);
+      case ZONE_PARTITION ->
+          simulation.zoneCutUntil.put(
+              simulation.chance(0.5) ? "a" : "b", simulation.now + durationMs);
+      case LEADER_LOSES_STORE -> simulation.refuseLeader(durationMs);
+      case STORE_OUTAGE -> simulation.takeStoreDown(durationMs);
+      case CANCELLATIONS -> cancelSomeJobs(simulation);
+      case SCALE_OUT -> submitJobs(simulation, 6);
+      default -> injectMachineFault(simulation, fault, durationMs);
     }
   }
 
-  private static void tenLeaders(ClusterSimulation simulation) {
+  private static void failOverRepeatedly(ClusterSimulation simulation) {
     for (int i = 0; i < 10; i++) {
       if (simulation.chance(0.5)) {
         simulation.failLeader(simulation.chance(0.5) ? 0 : 4000);
@@ -136,45 +136,46 @@
     }
   }
 
-  private void cancelSome(ClusterSimulation simulation) {
+  private void cancelSomeJobs(ClusterSimulation simulation) {
     for (int i = 0; i < 3; i++) {
       simulation.cancel(new JobId(JobSpecBuilder.id(1 + simulation.random.nextInt(jobs))));
     }
   }
 
-  private static void injectMachineFault(ClusterSimulation simulation, Fault fault, long forMs) {
+  private static void injectMachineFault(
+      ClusterSimulation simulation, Fault fault, long durationMs) {
     for (int i = 0; i < 4; i++) {
       ClusterSimulation.SimulatedWorker worker = simulation.anyWorker();
       if (worker == null) {
         return;
       }
       switch (fault) {
-        case MACHINES_HANG -> worker.hungUntil = simulation.now + Math.min(forMs, 30_000);
-        case MACHINES_DEAF -> worker.inboundLostUntil = simulation.now + forMs;
-        case MACHINES_DIE -> worker.dead = true;
+        case PROCESS_PAUSES -> worker.hungUntil = simulation.now + Math.min(durationMs, 30_000);
+        case INBOUND_LOSS -> worker.inboundLostUntil = simulation.now + durationMs;
+        case MACHINE_FAILURES -> worker.dead = true;
         default -> worker.restart();
       }
     }
   }
 
-  private void play(long seed) {
+  private void runAndAssert(long seed) {
     ClusterSimulation simulation = simulate(seed);
     FaultScenarios.assertRecovers(simulation, "seed " + seed);
-    assertTrue(simulation.startCount > 20, "too little happened: " + simulation.startCount);
+    assertTrue(simulation.startCount > 20, "too few task starts: " + simulation.startCount);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void invariantsHoldUnderCombinedFaults(long seed) {
-    play(seed);
+    runAndAssert(seed);
   }
 
-  /** Off CI: {@code mvn test -Dtest=DrawnMeetingsTest -Dmeetings.seeds=2000}. */
+  /** Not run in CI: {@code mvn test -Dtest=RandomFaultCombinationsTest -Dmeetings.seeds=2000}. */
   @Test
   @EnabledIfSystemProperty(named = "meetings.seeds", matches = "\\d+")
-  void manySeeds() {
+  void invariantsHoldForManySeeds() {
     for (long seed = 1000; seed < 1000 + Long.getLong("meetings.seeds"); seed++) {
-      play(seed);
+      runAndAssert(seed);
     }
   }
 }
--- a/src/test/java/io/saltflow/leader/RandomFaultsTest.java
+++ b/src/test/java/io/saltflow/leader/RandomFaultsTest.java
@@ -15,30 +15,31 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Days of random faults, with the rules checked after each step. */
+/** Simulations with random faults, in which the invariants are checked after each step. */
 class RandomFaultsTest {
-  private static final double DAY_SECONDS = 400;
+  private static final double DURATION_SECONDS = 400;
   private static final double TRAILING_FAULTS_SECONDS = 60;
 
-  private static ClusterSimulation day(long seed, Policy policy, boolean forgetLedger) {
+  private static ClusterSimulation simulate(long seed, Policy policy, boolean ignoreLedger) {
     ClusterSimulation simulation = new ClusterSimulation(seed, policy);
-    simulation.dropLedger = forgetLedger;
-    return play(simulation, DAY_SECONDS, 14);
+    simulation.dropLedger = ignoreLedger;
+    return run(simulation, DURATION_SECONDS, 14);
   }
 
-  private static ClusterSimulation play(
-      ClusterSimulation simulation, double lengthS, int mostTasks) {
+  private static ClusterSimulation run(
+      ClusterSimulation simulation, double durationS, int maxTasks) {
     simulation.lostResponseShare = 0.02;
     int next = 1;
-    while (simulation.now < lengthS * 1000) {
+    while (simulation.now < durationS * 1000) {
       if (simulation.chance(0.06)) {
-        simulation.submit(randomJob(simulation, next++, mostTasks));
+        simulation.submit(randomJob(simulation, next++, maxTasks));
       }
       injectFaults(simulation, next);
       simulation.step();
     }
-    // A quiet end, in which everything must get done; what is late, slow or copied is so for a
-    // while longer, and then it is calm and the operators' other demands are looked at too.
+    // No more faults are injected, so all jobs must end. Delays and duplicates continue for a
+    // while;
+    // once they stop as well, the liveness checks apply.
     simulation.lostResponseShare = 0;
     simulation.run(TRAILING_FAULTS_SECONDS);
     simulation.endFaults();
@@ -48,11 +49,11 @@
     return simulation;
   }
 
-  private static JobSpec randomJob(ClusterSimulation simulation, int number, int mostTasks) {
+  private static JobSpec randomJob(ClusterSimulation simulation, int number, int maxTasks) {
     return JobSpecBuilder.job(number)
         .team(simulation.chance(0.5) ? "red" : "blue")
         .priority(Priority.values()[simulation.random.nextInt(4)])
-        .tasks(1 + simulation.random.nextInt(mostTasks))
+        .tasks(1 + simulation.random.nextInt(maxTasks))
         .cores(1 + simulation.random.nextInt(4))
         .estimateS(5 + simulation.random.nextInt(40))
         .checkpointS(simulation.chance(0.3) ? 5 : 0)
@@ -99,11 +100,12 @@
   }
 
   /**
-   * The key-value store refuses the leader, or all, and users cancel; a leader ends in it as well.
+   * Makes the key-value store unreachable for the leader or for all, while jobs are cancelled and
+   * the leader may crash.
    */
   private static void injectStoreFaults(ClusterSimulation simulation, int jobs) {
-    long refused = 1000 + simulation.random.nextInt(60) * 500L;
-    simulation.refuseLeader(refused);
+    long outageMs = 1000 + simulation.random.nextInt(60) * 500L;
+    simulation.refuseLeader(outageMs);
     for (int i = 0; i < 3 && jobs > 1; i++) {
       simulation.cancel(new JobId(JobSpecBuilder.id(1 + simulation.random.nextInt(jobs - 1))));
     }
@@ -121,13 +123,14 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void invariantsHoldAndAllJobsEnd(long seed) {
     ClusterSimulation simulation =
-        day(seed, ClusterSimulation.policy(TimeSpan.millis(ClusterSimulation.LEASE_MS)), false);
+        simulate(
+            seed, ClusterSimulation.policy(TimeSpan.millis(ClusterSimulation.LEASE_MS)), false);
     assertEquals("", String.join("\n", simulation.violations));
-    assertTrue(simulation.startCount > 50, "too little happened: " + simulation.startCount);
-    assertTrue(simulation.allJobsEnded(), "work was left undone");
+    assertTrue(simulation.startCount > 50, "too few task starts: " + simulation.startCount);
+    assertTrue(simulation.allJobsEnded(), "not all jobs ended");
   }
 
-  /** The same with many machines and tasks, on a part of a core: most are filled between rounds. */
+  /** Covers a large cluster with little CPU, in which most machines are filled between rounds. */
   @ParameterizedTest
   @ValueSource(longs = {21, 22})
   void invariantsHoldInALargeCluster(long seed) {
@@ -136,15 +139,15 @@
             ClusterSimulation.policy(TimeSpan.millis(ClusterSimulation.LEASE_MS)), 0.02);
     ClusterSimulation simulation = new ClusterSimulation(seed, policy);
     simulation.maxMachines = 150;
-    play(simulation, 150, 150);
+    run(simulation, 150, 150);
     assertEquals("", String.join("\n", simulation.violations));
-    assertTrue(simulation.startCount > 300, "too little happened: " + simulation.startCount);
-    assertTrue(simulation.allJobsEnded(), "work was left undone");
+    assertTrue(simulation.startCount > 300, "too few task starts: " + simulation.startCount);
+    assertTrue(simulation.allJobsEnded(), "not all jobs ended");
   }
 
   /**
-   * Healthy leaders are superseded and learn it seconds later, again and again: claims before the
-   * lease is over are a question of needless failovers, not of safety.
+   * Safety must not depend on candidates waiting for the lease expiry: healthy leaders are
+   * superseded repeatedly and notice it seconds later.
    */
   @ParameterizedTest
   @ValueSource(longs = {31, 32, 33, 34, 35, 36, 37, 38})
@@ -153,15 +156,13 @@
         new ClusterSimulation(
             seed, ClusterSimulation.policy(TimeSpan.millis(ClusterSimulation.LEASE_MS)));
     simulation.supersede = true;
-    play(simulation, DAY_SECONDS, 14);
+    run(simulation, DURATION_SECONDS, 14);
     assertEquals("", String.join("\n", simulation.violations));
-    assertTrue(simulation.termNumber > 5, "it was taken often: " + simulation.termNumber);
-    assertTrue(simulation.allJobsEnded(), "work was left undone");
+    assertTrue(simulation.termNumber > 5, "too few terms: " + simulation.termNumber);
+    assertTrue(simulation.allJobsEnded(), "not all jobs ended");
   }
 
-  /**
-   * Answers that are lost one way, late copies, machines that are back at once; cut-off leaders.
-   */
+  /** Loses responses, delivers late duplicates, restarts workers and partitions leaders. */
   private static ClusterSimulation withAsymmetricPartitions(long seed, boolean supersede) {
     ClusterSimulation simulation =
         new ClusterSimulation(
@@ -169,10 +170,10 @@
     simulation.asymmetricPartitions = true;
     simulation.duplicateShare = 0.05;
     simulation.supersede = supersede;
-    return play(simulation, DAY_SECONDS, 14);
+    return run(simulation, DURATION_SECONDS, 14);
   }
 
-  /** The same with what LATER.md calls meetings, and writes that are carried out late. */
+  /** Adds store outages, delayed writes and slow responses to the asymmetric partitions. */
   private static ClusterSimulation withCombinedFaults(long seed) {
     ClusterSimulation simulation =
         new ClusterSimulation(
@@ -184,63 +185,63 @@
     simulation.leaderReadMs = 1000;
     simulation.storeFaults = true;
     simulation.supersede = seed % 2 == 0;
-    return play(simulation, DAY_SECONDS, 14);
+    return run(simulation, DURATION_SECONDS, 14);
   }
 
-  private static void assertServed(ClusterSimulation simulation, String which) {
-    assertEquals("", String.join("\n", simulation.violations), which);
-    assertTrue(simulation.allJobsEnded(), "work was left undone: " + which);
+  private static void assertAllJobsEnd(ClusterSimulation simulation, String scenario) {
+    assertEquals("", String.join("\n", simulation.violations), scenario);
+    assertTrue(simulation.allJobsEnded(), "not all jobs ended, " + scenario);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {41, 42, 43, 44, 45, 46, 47, 48})
   void invariantsHoldUnderLostResponsesAndLateDuplicates(long seed) {
-    assertServed(withAsymmetricPartitions(seed, seed % 2 == 0), "seed " + seed);
+    assertAllJobsEnd(withAsymmetricPartitions(seed, seed % 2 == 0), "seed " + seed);
   }
 
-  /** Seed 1132 breaks a rule where a late write of the ledger takes a newer one away. */
+  /** Seed 1132 covers a delayed ledger write that would overwrite a newer one. */
   @ParameterizedTest
   @ValueSource(longs = {51, 52, 53, 54, 55, 56, 57, 58, 1132})
   void invariantsHoldUnderCombinedFaults(long seed) {
-    assertServed(withCombinedFaults(seed), "seed " + seed);
+    assertAllJobsEnd(withCombinedFaults(seed), "seed " + seed);
   }
 
-  /** Off CI: {@code mvn test -Dtest=FaultsTest -Dmeetings.seeds=2000}. */
+  /** Not run in CI: {@code mvn test -Dtest=RandomFaultsTest -Dmeetings.seeds=2000}. */
   @Test
   @EnabledIfSystemProperty(named = "meetings.seeds", matches = "\\d+")
-  void manyCombinedSeeds() {
+  void invariantsHoldUnderCombinedFaultsForManySeeds() {
     for (long seed = 1000; seed < 1000 + Long.getLong("meetings.seeds"); seed++) {
-      assertServed(withCombinedFaults(seed), "seed " + seed);
+      assertAllJobsEnd(withCombinedFaults(seed), "seed " + seed);
     }
   }
 
-  /** Off CI: {@code mvn test -Dtest=FaultsTest -Dfaults.seeds=2000}. */
+  /** Not run in CI: {@code mvn test -Dtest=RandomFaultsTest -Dfaults.seeds=2000}. */
   @Test
   @EnabledIfSystemProperty(named = "faults.seeds", matches = "\\d+")
-  void manySeeds() {
+  void invariantsHoldUnderLostResponsesForManySeeds() {
     for (long seed = 1000; seed < 1000 + Long.getLong("faults.seeds"); seed++) {
-      assertServed(withAsymmetricPartitions(seed, seed % 2 == 0), "seed " + seed);
+      assertAllJobsEnd(withAsymmetricPartitions(seed, seed % 2 == 0), "seed " + seed);
     }
   }
 
   @Test
-  void withoutLedgerATaskRunsTwice() {
+  void taskRunsTwiceWithoutLedger() {
     assertViolates(
         "ran_twice", ClusterSimulation.policy(TimeSpan.millis(ClusterSimulation.LEASE_MS)), true);
   }
 
   @Test
-  void withoutLeaseWaitATaskRunsTwice() {
+  void taskRunsTwiceWithoutLeaseWait() {
     assertViolates("ran_twice", ClusterSimulation.policy(TimeSpan.millis(1000)), false);
   }
 
-  /** The checks themselves must be able to fail: a guard is taken away, and they do. */
-  private static void assertViolates(String rule, Policy policy, boolean forgetLedger) {
-    boolean seen = false;
-    for (long seed = 1; seed <= 8 && !seen; seed++) {
-      ClusterSimulation simulation = day(seed, policy, forgetLedger);
-      seen = simulation.violations.stream().anyMatch(violation -> violation.startsWith(rule));
+  /** Asserts that the checks detect the violation when a safety mechanism is disabled. */
+  private static void assertViolates(String rule, Policy policy, boolean ignoreLedger) {
+    boolean violated = false;
+    for (long seed = 1; seed <= 8 && !violated; seed++) {
+      ClusterSimulation simulation = simulate(seed, policy, ignoreLedger);
+      violated = simulation.violations.stream().anyMatch(violation -> violation.startsWith(rule));
     }
-    assertTrue(seen, rule + " should have been seen");
+    assertTrue(violated, "no violation of " + rule + " was detected");
   }
 }
--- a/src/test/java/io/saltflow/leader/RandomQuotaFaultsTest.java
+++ b/src/test/java/io/saltflow/leader/RandomQuotaFaultsTest.java
@@ -14,28 +14,28 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Days on which two or three drawn troubles meet while teams are at their limits. */
+/** Simulations that combine two or three random faults while teams are at their limits. */
 class RandomQuotaFaultsTest {
-  private static final int DAY_STEPS = 500;
+  private static final int FAULT_STEPS = 500;
 
-  /** More than the limits let run at a time. */
-  private static final double ARRIVALS_A_STEP = 0.1;
+  /** Probability of a submission per step; high enough to keep the teams at their limits. */
+  private static final double SUBMISSION_PROBABILITY = 0.1;
 
-  private static final double STRIKES_A_STEP = 0.02;
-  private static final double CANCELLATIONS_A_STEP = 0.01;
-  private static final long FIRST_SEED_OFF_CI = 5000;
+  private static final double FAULT_PROBABILITY = 0.02;
+  private static final double CANCELLATION_PROBABILITY = 0.01;
+  private static final long FIRST_EXTENDED_SEED = 5000;
 
-  private static List<RandomFault> draw(ClusterSimulation simulation) {
-    List<RandomFault> all = new ArrayList<>(Arrays.asList(RandomFault.values()));
-    List<RandomFault> drawn = new ArrayList<>();
+  private static List<RandomFault> randomFaults(ClusterSimulation simulation) {
+    List<RandomFault> remaining = new ArrayList<>(Arrays.asList(RandomFault.values()));
+    List<RandomFault> faults = new ArrayList<>();
     int count = simulation.chance(0.5) ? 2 : 3;
-    while (drawn.size() < count) {
-      drawn.add(all.remove(simulation.random.nextInt(all.size())));
+    while (faults.size() < count) {
+      faults.add(remaining.remove(simulation.random.nextInt(remaining.size())));
     }
-    return drawn;
+    return faults;
   }
 
-  private static JobSpec drawJob(ClusterSimulation simulation, int number) {
+  private static JobSpec randomJob(ClusterSimulation simulation, int number) {
     List<String> teams = List.of("red", "blue", "green", "unlimited");
     return JobSpecBuilder.job(number)
         .team(teams.get(simulation.random.nextInt(teams.size())))
@@ -48,32 +48,32 @@
         .build();
   }
 
-  private static void play(long seed) {
+  private static void runAndAssert(long seed) {
     ClusterSimulation simulation = new ClusterSimulation(seed, QuotaFaultsTest.POLICY);
     simulation.machineType = QuotaFaultsTest.GPU_BOX;
-    List<RandomFault> faults = draw(simulation);
+    List<RandomFault> faults = randomFaults(simulation);
     faults.forEach(fault -> fault.prepare(simulation));
     int jobs = 0;
-    for (int step = 0; step < DAY_STEPS; step++) {
-      if (simulation.chance(ARRIVALS_A_STEP)) {
-        simulation.submit(drawJob(simulation, ++jobs));
+    for (int step = 0; step < FAULT_STEPS; step++) {
+      if (simulation.chance(SUBMISSION_PROBABILITY)) {
+        simulation.submit(randomJob(simulation, ++jobs));
       }
-      if (jobs > 0 && simulation.chance(CANCELLATIONS_A_STEP)) {
+      if (jobs > 0 && simulation.chance(CANCELLATION_PROBABILITY)) {
         simulation.cancel(new JobId(JobSpecBuilder.id(1 + simulation.random.nextInt(jobs))));
       }
       for (RandomFault fault : faults) {
-        if (simulation.chance(STRIKES_A_STEP)) {
+        if (simulation.chance(FAULT_PROBABILITY)) {
           fault.apply(simulation);
         }
       }
       simulation.step();
     }
-    endTroubles(simulation);
+    endDelays(simulation);
     SimulationAssertions.assertAllJobsEnd(simulation, "seed " + seed + " with " + faults);
-    assertTrue(simulation.startCount > 20, "too little happened: " + simulation.startCount);
+    assertTrue(simulation.startCount > 20, "too few task starts: " + simulation.startCount);
   }
 
-  private static void endTroubles(ClusterSimulation simulation) {
+  private static void endDelays(ClusterSimulation simulation) {
     simulation.delayedWriteShare = 0;
     simulation.slowResponseShare = 0;
     simulation.duplicateShare = 0;
@@ -82,16 +82,16 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
   void invariantsHoldUnderRandomFaults(long seed) {
-    play(seed);
+    runAndAssert(seed);
   }
 
-  /** Off CI: {@code mvn test -Dtest=DrawnTeamMeetingsTest -Dmeetings.seeds=2000}. */
+  /** Not run in CI: {@code mvn test -Dtest=RandomQuotaFaultsTest -Dmeetings.seeds=2000}. */
   @Test
   @EnabledIfSystemProperty(named = "meetings.seeds", matches = "\\d+")
-  void manySeeds() {
-    long end = FIRST_SEED_OFF_CI + Long.getLong("meetings.seeds");
-    for (long seed = FIRST_SEED_OFF_CI; seed < end; seed++) {
-      play(seed);
+  void invariantsHoldForManySeeds() {
+    long end = FIRST_EXTENDED_SEED + Long.getLong("meetings.seeds");
+    for (long seed = FIRST_EXTENDED_SEED; seed < end; seed++) {
+      runAndAssert(seed);
     }
   }
 }
