--- a/src/test/java/io/saltflow/leader/ClusterSimulation.java
+++ b/src/test/java/io/saltflow/leader/ClusterSimulation.java
@@ -208,10 +208,7 @@
       return !dead && now >= upAt && now >= hungUntil;
     }
 
-    /**
-     * Discards the tasks if the worker's lease has expired. Called for all workers before any of
-     * them steps, because the events of one step have no order.
-     */
+    /** Discards the tasks if the lease expired; runs for all workers before any of them steps. */
     void expireLease() {
       if (isUp() && now - leaseRenewedAt > LEASE_MS) {
         tasks.clear();
@@ -257,12 +254,12 @@
       }
     }
 
-    void obey(Term term, List<WorkerCommand> commands) {
-      if (term.compareTo(token) < 0) {
+    void obey(Term newTerm, List<WorkerCommand> commands) {
+      if (newTerm.compareTo(token) < 0) {
         return;
       }
-      if (!term.equals(token)) {
-        token = term;
+      if (!newTerm.equals(token)) {
+        token = newTerm;
         if (now - tokenAnnouncedAt >= LEASE_MS / 2) {
           tokenAnnouncedAt = now;
           nextHeartbeat = now + STEP_MS;
@@ -310,7 +307,6 @@
     /** Time until which the key-value store is unreachable for this leader only. */
     long refusedUntil;
 
-    /** Whether the leader was replaced or its lease expired. */
     boolean replaced;
 
     SimulatedLeader(Term term, LeaderLease lease) {
@@ -318,7 +314,6 @@
       this.lease = lease;
     }
 
-    /** Returns whether this leader can reach the key-value store. */
     boolean storeReachable() {
       return now >= refusedUntil && now >= storeDownUntil;
     }
@@ -346,9 +341,7 @@
       new MachineType(
           "box", new Resources(8, 0, 32), 1, 0.4, 0.1, TimeSpan.seconds(15), List.of("a", "b"));
 
-  /** Machine type that the cloud provides. */
   MachineType machineType = MACHINE_TYPE;
-
   final UniformRandomProvider random;
   final Policy policy;
   final Map<JobId, JobRecord> records = new TreeMap<>();
@@ -360,13 +353,11 @@
   private final QuotaChecks quotaChecks = new QuotaChecks(this);
   private final List<DelayedHeartbeat> delayedHeartbeats = new ArrayList<>();
   private final List<DelayedWrite> delayedWrites = new ArrayList<>();
-
   private final List<DelayedResponse> delayedResponses = new ArrayList<>();
 
   /** Probability that a response takes up to 5 s; a worker discards it after 4 s. */
   double slowResponseShare;
 
-  /** Time until which the key-value store is unavailable to all controllers. */
   long storeDownUntil;
 
   /** Time that a new leader takes to read the state, in milliseconds. */
@@ -399,8 +390,6 @@
   boolean supersede;
 
   double lostResponseShare;
-
-  /** Whether the controllers' clocks differ. */
   boolean clocksSkewed;
 
   /** Ratio of the actual run time of tasks to their estimate. */
@@ -413,9 +402,7 @@
 
   int orderInputWrites;
 
-  /** Recorded daily deadlines by record name. */
   final Map<String, DailyDeadline> dailyDeadlines = new TreeMap<>();
-
   int dailyDeadlineWrites;
 
   /** Probability that a copy of a heartbeat arrives again, about three leases later at most. */
@@ -433,7 +420,6 @@
   /** Time until which ledger writes are unacknowledged and applied 2 to 12 s later. */
   long ledgerDelayedUntil;
 
-  /** Minimum boot time of a machine, in milliseconds. */
   long bootMs = 8000;
 
   /** Exclusive bound of the random number of steps added to the minimum boot time. */
@@ -442,24 +428,12 @@
   /** Time until which a zone is partitioned, including its controllers, by zone. */
   final Map<String, Long> zoneCutUntil = new TreeMap<>();
 
-  /** Heartbeats received by leaders while they were partitioned. */
   int heartbeatsToPartitionedLeaders;
-
-  /** Launches sent by leaders while they were partitioned. */
   int launchesByPartitionedLeaders;
-
-  /** Completed tasks reported to leaders while they were partitioned. */
   int completionsToPartitionedLeaders;
-
-  /** Copies of heartbeats that are delivered to the next leader. */
   final DuplicateHeartbeats duplicates = new DuplicateHeartbeats(this);
-
-  /** Liveness requirements that apply once all faults have ended. */
   final LivenessChecks liveness = new LivenessChecks(this);
-
-  /** Maximum number of machines that the cloud provides. */
   int maxMachines = 24;
-
   int maxMachinesInZone = Integer.MAX_VALUE;
 
   ClusterSimulation(long seed, Policy policy) {
@@ -630,10 +604,7 @@
     }
   }
 
-  /**
-   * Starts an outage of the key-value store. Leases in the store regain their full duration when it
-   * ends.
-   */
+  /** Starts a key-value store outage; leases in the store regain their full duration after it. */
   void takeStoreDown(long durationMs) {
     log("key-value store outage begins");
     storeDownUntil = now + durationMs;
@@ -726,8 +697,7 @@
   }
 
   /**
-   * Crashes the leader, or partitions it from the key-value store. A successor is elected when the
-   * lease expires.
+   * Crashes the leader or partitions it. A successor is elected when its lease expires.
    *
    * @param partitionMs duration of the partition in milliseconds, or 0 for a crash
    */
@@ -863,8 +833,7 @@
       countAtPartitionedLeader(heartbeat, commands);
     }
     if (now < worker.inboundLostUntil) {
-      // The worker times out after 4 s, then tries the other controllers a second later, whose
-      // responses are lost as well.
+      // The worker times out after 4 s; responses of the other controllers are lost as well.
       worker.sequence += 2;
       worker.nextHeartbeat = now + 15_000;
       return;
@@ -1088,7 +1057,6 @@
     liveness.begin();
   }
 
-  /** Returns whether an injected fault is still in progress. */
   boolean hasFaults() {
     boolean machines =
         workers.values().stream()
