--- a/src/test/java/io/saltflow/leader/ClusterSimulation.java
+++ b/src/test/java/io/saltflow/leader/ClusterSimulation.java
@@ -177,7 +177,6 @@
       log(id + " restarts without tasks");
     }
 
-    /** Returns the time until which the worker or its zone is partitioned. */
     long partitionedUntil() {
       return Math.max(partitionedUntil, zoneCutUntil.getOrDefault(zone, 0L));
     }
@@ -401,7 +400,6 @@
   private QueueOrderInputs orderInputs;
 
   int orderInputWrites;
-
   final Map<String, DailyDeadline> dailyDeadlines = new TreeMap<>();
   int dailyDeadlineWrites;
 
@@ -483,10 +481,7 @@
     }
   }
 
-  /**
-   * Records a violation if the starting task also runs elsewhere, exceeds its team's limit, breaks
-   * a placement constraint, or was cancelled more than {@link #CANCEL_BOUND_MS} ago.
-   */
+  /** Checks a starting task for uniqueness, its team's limit, its placement and cancellation. */
   private void checkStart(SimulatedWorker worker, TaskId id, JobRecord job) {
     startCount++;
     job.startedAt = job.startedAt < 0 ? now : job.startedAt;
@@ -733,7 +728,6 @@
     electAt = now;
   }
 
-  /** Runs one step of a leader that has not yet noticed that it was superseded. */
   private void driveSupersededLeader() {
     if (supersededLeader != null && now >= supersededUntil) {
       supersededLeader = null;
