--- a/src/test/java/io/saltflow/leader/FailoverFaultsTest.java
+++ b/src/test/java/io/saltflow/leader/FailoverFaultsTest.java
@@ -20,7 +20,7 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void staleHeartbeatsReachTheNextLeaderFirst(boolean earlierEpochs) {
+  void staleHeartbeatsReachNextLeaderFirst(boolean earlierEpochs) {
     int[] counts = new int[2];
     atEachMoment(
         60,
--- a/src/test/java/io/saltflow/leader/RandomFaultsTest.java
+++ b/src/test/java/io/saltflow/leader/RandomFaultsTest.java
@@ -133,7 +133,7 @@
   /** Covers a large cluster with little CPU, in which most machines are filled between rounds. */
   @ParameterizedTest
   @ValueSource(longs = {21, 22})
-  void invariantsHoldInALargeCluster(long seed) {
+  void invariantsHoldInLargeCluster(long seed) {
     Policy policy =
         TestPolicies.withCpuShare(
             ClusterSimulation.policy(TimeSpan.millis(ClusterSimulation.LEASE_MS)), 0.02);
