--- a/src/main/java/io/saltflow/api/SchedulingApi.java
+++ b/src/main/java/io/saltflow/api/SchedulingApi.java
@@ -164,7 +164,7 @@
     Lane lane = null;
     try {
       String name = MessagePackCodec.decode(body).text(LANE);
-      lane = name.equals(FRONT) ? null : lanes.named(name);
+      lane = name.equals(FRONT) ? null : lanes.findByName(name);
       if (lane == null && !name.equals(FRONT)) {
         answer.accept(UserResponses.error(422, LANE + ": there is no lane '" + name + "'"));
         return;
--- a/src/main/java/io/saltflow/autoscaler/ControllerCapacity.java
+++ b/src/main/java/io/saltflow/autoscaler/ControllerCapacity.java
@@ -78,7 +78,7 @@
   }
 
   /** Returns the time until which heartbeats may have been lost because of this controller. */
-  public MonotonicTime unreachableUntil() {
+  public MonotonicTime heartbeatLossUntil() {
     return overloadedAt;
   }
 
@@ -88,7 +88,7 @@
   }
 
   /** Returns a description of the most used resource, for the log. */
-  public String limitingResource() {
+  public String mostUsedResource() {
     return busy >= heap
         ? String.format("CPU is %.0f%% busy", 100 * busy)
         : String.format("heap is %.0f%% full", 100 * heap);
--- a/src/main/java/io/saltflow/autoscaler/ScaleInPlanner.java
+++ b/src/main/java/io/saltflow/autoscaler/ScaleInPlanner.java
@@ -46,14 +46,14 @@
   /**
    * The leader's own contact with the machines.
    *
-   * @param unreachableUntil the time until which heartbeats may have been lost at this controller;
+   * @param heartbeatLossUntil the time until which heartbeats may have been lost at this controller;
    *     silence before it is not attributed to the machines, but for no longer than their lease
    * @param leaderSince the time at which this leader was elected
    * @param reconciledAt the time at which the failover was complete, or {@code null} if it is not
    * @param now the current monotonic time
    */
   public record Contact(
-      MonotonicTime unreachableUntil,
+      MonotonicTime heartbeatLossUntil,
       MonotonicTime leaderSince,
       MonotonicTime reconciledAt,
       MonotonicTime now) {}
@@ -106,7 +106,7 @@
     MonotonicTime lastHeard =
         MonotonicTime.later(machine.heartbeats().lastHealthyAt(), contact.leaderSince);
     MonotonicTime excusedUntil =
-        MonotonicTime.earlier(contact.unreachableUntil, lastHeard.plus(policy.leaseExpiryBound()));
+        MonotonicTime.earlier(contact.heartbeatLossUntil, lastHeard.plus(policy.leaseExpiryBound()));
     return contact.now.since(MonotonicTime.later(lastHeard, excusedUntil));
   }
 
--- a/src/main/java/io/saltflow/autoscaler/ScaleOutPlanner.java
+++ b/src/main/java/io/saltflow/autoscaler/ScaleOutPlanner.java
@@ -261,7 +261,7 @@
   }
 
   /** Returns whether no kind of instance is backed off after a refusal. */
-  public boolean noRecentRefusals(MonotonicTime now) {
+  public boolean hasNoBackoff(MonotonicTime now) {
     return !backoffs.isAnyBackedOff(now);
   }
 
--- a/src/main/java/io/saltflow/fairshare/FairSharePlan.java
+++ b/src/main/java/io/saltflow/fairshare/FairSharePlan.java
@@ -108,7 +108,7 @@
     groups.forEach(
         (group, requests) -> {
           ShareStatus status = statuses.get(group);
-          if (status.isWaiting() && status.minimumShare() > 0) {
+          if (status.waitsBeyondThreshold() && status.minimumShare() > 0) {
             waiting.add(group);
             double assignedShare =
                 requests.stream()
@@ -156,13 +156,13 @@
   /** Returns whether the group waits beyond the threshold and demands more than its fair share. */
   public boolean isUnderserved(ShareGroup group) {
     ShareStatus status = statuses.get(group);
-    return status != null && status.isWaiting() && status.demand() > status.fairShare();
+    return status != null && status.waitsBeyondThreshold() && status.demand() > status.fairShare();
   }
 
   /** Returns whether the group waits beyond the threshold and holds less than its minimum share. */
   public boolean isOwedMinimumShare(ShareGroup group, double held) {
     ShareStatus status = statuses.get(group);
-    return status != null && status.isWaiting() && held < status.minimumShare();
+    return status != null && status.waitsBeyondThreshold() && held < status.minimumShare();
   }
 
   /** Returns whether the group stays within its fair share with one more task of this size. */
--- a/src/main/java/io/saltflow/fairshare/ShareStatus.java
+++ b/src/main/java/io/saltflow/fairshare/ShareStatus.java
@@ -15,7 +15,7 @@
 public record ShareStatus(
     double demand, double fairShare, double minimumShare, int waitingJobs, TimeSpan longestWait) {
   /** Returns whether a job of the group has waited beyond the threshold. */
-  public boolean isWaiting() {
+  public boolean waitsBeyondThreshold() {
     return waitingJobs > 0;
   }
 }
--- a/src/main/java/io/saltflow/leader/HealthMonitor.java
+++ b/src/main/java/io/saltflow/leader/HealthMonitor.java
@@ -131,7 +131,7 @@
         .shareStatuses()
         .forEach(
             (group, shareStatus) -> {
-              if (!shareStatus.isWaiting()) {
+              if (!shareStatus.waitsBeyondThreshold()) {
                 return;
               }
               cleared.remove(group.toString());
--- a/src/main/java/io/saltflow/leader/LeaderCore.java
+++ b/src/main/java/io/saltflow/leader/LeaderCore.java
@@ -358,7 +358,7 @@
         .updateCondition(
             EventSummary.PersistentCondition.CONTROLLER_AT_CAPACITY,
             capacity.isFull() ? machineCount : 0,
-            capacity.limitingResource(),
+            capacity.mostUsedResource(),
             now);
   }
 
--- a/src/main/java/io/saltflow/leader/MachineLifecycle.java
+++ b/src/main/java/io/saltflow/leader/MachineLifecycle.java
@@ -184,7 +184,7 @@
     }
     ScaleInPlanner.Contact contact =
         new ScaleInPlanner.Contact(
-            capacity.unreachableUntil(), cluster.term().since(), reconciliation.completedAt(), now);
+            capacity.heartbeatLossUntil(), cluster.term().since(), reconciliation.completedAt(), now);
     return scaleInPlanner.machinesToRemove(cluster.machines(), contact);
   }
 
--- a/src/main/java/io/saltflow/leader/SchedulingRounds.java
+++ b/src/main/java/io/saltflow/leader/SchedulingRounds.java
@@ -139,7 +139,7 @@
   private Resources expectedResources(MonotonicTime now) {
     Resources current = scheduler.fleetResources();
     boolean willGrow =
-        scaleOutPlanner.noRecentRefusals(now) && backlog.desiredCores() > current.cores();
+        scaleOutPlanner.hasNoBackoff(now) && backlog.desiredCores() > current.cores();
     return willGrow
         ? new Resources(backlog.desiredCores(), current.gpus(), current.memoryGb())
         : current;
--- a/src/main/java/io/saltflow/priority/LaneRules.java
+++ b/src/main/java/io/saltflow/priority/LaneRules.java
@@ -23,7 +23,7 @@
   }
 
   /** Returns the lane with this name, or {@code null} if there is none. */
-  public Lane named(String name) {
+  public Lane findByName(String name) {
     for (int i = 0; i < rules.size(); i++) {
       if (rules.get(i).name().equals(name)) {
         return new Lane(i, name);
--- a/src/main/java/io/saltflow/scheduler/FairShareScheduler.java
+++ b/src/main/java/io/saltflow/scheduler/FairShareScheduler.java
@@ -223,7 +223,7 @@
   private boolean keepsMinimumShare(
       ShareGroup group, TaskPlacement placement, List<TaskPlacement> victims) {
     ShareStatus status = plan.statuses().get(group);
-    if (status == null || !status.isWaiting()) {
+    if (status == null || !status.waitsBeyondThreshold()) {
       return true;
     }
     Resources remaining =
--- a/src/test/java/io/saltflow/autoscaler/ControllerCapacityTest.java
+++ b/src/test/java/io/saltflow/autoscaler/ControllerCapacityTest.java
@@ -53,7 +53,7 @@
     assertFalse(capacity.isFull());
     sample(capacity, 60, 0.3, 0.95, 5000);
     assertEquals(5000, capacity.maxMachines());
-    assertEquals("heap is 95% full", capacity.limitingResource());
+    assertEquals("heap is 95% full", capacity.mostUsedResource());
   }
 
   /** Guards against a limit near zero caused by the load of process startup. */
