--- a/src/main/java/io/saltflow/autoscaler/ScaleInPlanner.java
+++ b/src/main/java/io/saltflow/autoscaler/ScaleInPlanner.java
@@ -46,8 +46,9 @@
   /**
    * The leader's own contact with the machines.
    *
-   * @param heartbeatLossUntil the time until which heartbeats may have been lost at this controller;
-   *     silence before it is not attributed to the machines, but for no longer than their lease
+   * @param heartbeatLossUntil the time until which heartbeats may have been lost at this
+   *     controller; silence before it is not attributed to the machines, but for no longer than
+   *     their lease
    * @param leaderSince the time at which this leader was elected
    * @param reconciledAt the time at which the failover was complete, or {@code null} if it is not
    * @param now the current monotonic time
@@ -106,7 +107,8 @@
     MonotonicTime lastHeard =
         MonotonicTime.later(machine.heartbeats().lastHealthyAt(), contact.leaderSince);
     MonotonicTime excusedUntil =
-        MonotonicTime.earlier(contact.heartbeatLossUntil, lastHeard.plus(policy.leaseExpiryBound()));
+        MonotonicTime.earlier(
+            contact.heartbeatLossUntil, lastHeard.plus(policy.leaseExpiryBound()));
     return contact.now.since(MonotonicTime.later(lastHeard, excusedUntil));
   }
 
--- a/src/main/java/io/saltflow/leader/MachineLifecycle.java
+++ b/src/main/java/io/saltflow/leader/MachineLifecycle.java
@@ -184,7 +184,10 @@
     }
     ScaleInPlanner.Contact contact =
         new ScaleInPlanner.Contact(
-            capacity.heartbeatLossUntil(), cluster.term().since(), reconciliation.completedAt(), now);
+            capacity.heartbeatLossUntil(),
+            cluster.term().since(),
+            reconciliation.completedAt(),
+            now);
     return scaleInPlanner.machinesToRemove(cluster.machines(), contact);
   }
 
--- a/src/test/java/io/saltflow/autoscaler/AutoscalerTest.java
+++ b/src/test/java/io/saltflow/autoscaler/AutoscalerTest.java
@@ -100,14 +100,14 @@
     harness.submit(JobSpecBuilder.job(1).cores(5).estimateS(5).build());
     harness.sendHeartbeat("vm-1");
     harness.sendHeartbeat("vm-1");
-    harness.runAndCheckIn("vm-1", 4);
+    harness.advanceWithHeartbeats("vm-1", 4);
     harness.exitTask("vm-1", LeaderHarness.task(1, 0), WorkerHeartbeat.ExitCause.DONE);
-    harness.runAndCheckIn("vm-1", 50);
+    harness.advanceWithHeartbeats("vm-1", 50);
     assertEquals(
         List.of(),
         harness.leader.machines().planScaleIn(harness.time()),
         "minimum charge is not used up");
-    harness.runAndCheckIn("vm-1", 10);
+    harness.advanceWithHeartbeats("vm-1", 10);
     assertEquals(
         List.of(new MachineId("vm-1")), harness.leader.machines().planScaleIn(harness.time()));
     assertEquals(
@@ -141,7 +141,7 @@
     harness.sendHeartbeat("vm-1");
     harness.sendHeartbeat("vm-2");
     for (int i = 0; i < 10; i++) {
-      harness.runAndCheckIn("vm-1", 2);
+      harness.advanceWithHeartbeats("vm-1", 2);
       harness.sendHeartbeat("vm-2");
     }
     assertEquals(
--- a/src/test/java/io/saltflow/leader/CancellationFaultsTest.java
+++ b/src/test/java/io/saltflow/leader/CancellationFaultsTest.java
@@ -71,7 +71,7 @@
     for (int faultStep = -4; faultStep <= 6; faultStep++) {
       for (int durationSteps : new int[] {1, 5, 9, 20, 30, 33, 50}) {
         ClusterSimulation simulation = withRunningJobs(faultStep + 50);
-        simulation.slowResponseShare = durationSteps % 2;
+        simulation.slowResponseProbability = durationSteps % 2;
         for (int step = -4; step <= 6; step++) {
           if (step == 0) {
             cancelHalf(simulation);
@@ -81,8 +81,9 @@
           }
           simulation.step();
         }
-        simulation.run((ClusterSimulation.CANCEL_BOUND_MS + ClusterSimulation.LEASE_MS) / 1000.0);
-        simulation.slowResponseShare = 0;
+        simulation.run(
+            (ClusterSimulation.CANCELLATION_BOUND_MS + ClusterSimulation.LEASE_MS) / 1000.0);
+        simulation.slowResponseProbability = 0;
         SimulationAssertions.assertAllJobsEnd(
             simulation, fault + ", fault step " + faultStep + " for " + durationSteps);
       }
@@ -110,7 +111,8 @@
           }
           simulation.step();
         }
-        simulation.run((ClusterSimulation.CANCEL_BOUND_MS + ClusterSimulation.LEASE_MS) / 1000.0);
+        simulation.run(
+            (ClusterSimulation.CANCELLATION_BOUND_MS + ClusterSimulation.LEASE_MS) / 1000.0);
         SimulationAssertions.assertAllJobsEnd(
             simulation, fault + ", cancel step " + cancelStep + ", failover kind " + failoverKind);
       }
@@ -140,8 +142,8 @@
       Set<MachineId> unreachable = Set.copyOf(simulation.workers.keySet());
       for (int step = -6; step <= 12; step++) {
         if (step == 0) {
-          applyToAll(simulation, MachineFault.LOSES_OUTBOUND, 60_000);
-          simulation.cloudDownUntil = cloudDown ? simulation.now + 30_000 : 0;
+          applyToAll(simulation, MachineFault.OUTBOUND_LOSS, 60_000);
+          simulation.cloudOutageUntil = cloudDown ? simulation.now + 30_000 : 0;
         }
         if (step == cancelStep) {
           cancelHalf(simulation);
@@ -185,7 +187,7 @@
             ClusterSimulation.policy(TimeSpan.millis(ClusterSimulation.LEASE_MS)));
     int jobs = 0;
     int maxKnown = 0;
-    simulation.delayedWriteShare = 0.1;
+    simulation.delayedWriteProbability = 0.1;
     for (int step = 0; step < 360; step++) {
       for (int i = 0; i < 2; i++) {
         simulation.submit(JobSpecBuilder.job(++jobs).cores(1).estimateS(1 + jobs % 7).build());
@@ -200,7 +202,7 @@
         maxKnown = Math.max(maxKnown, simulation.leader.core.jobs().scheduled().size());
       }
     }
-    simulation.delayedWriteShare = 0;
+    simulation.delayedWriteProbability = 0;
     SimulationAssertions.assertAllJobsEnd(simulation, "failovers " + failovers);
     simulation.run(20);
     assertEquals(0, simulation.leader.core.jobs().scheduled().size(), "ended jobs are discarded");
--- a/src/test/java/io/saltflow/leader/ClusterSimulation.java
+++ b/src/test/java/io/saltflow/leader/ClusterSimulation.java
@@ -40,7 +40,7 @@
 final class ClusterSimulation {
   static final long STEP_MS = 500;
   static final long LEASE_MS = 16_000;
-  static final long CANCEL_BOUND_MS = 41_000;
+  static final long CANCELLATION_BOUND_MS = 41_000;
   static final long LEADER_LEASE_MS = 5_000;
 
   /** Time after which a worker stops waiting for a response, in milliseconds. */
@@ -53,7 +53,7 @@
   static final class JobRecord {
     final JobSpec spec;
     final long submittedAt;
-    BitSet done = new BitSet();
+    BitSet recordedTasks = new BitSet();
     boolean started;
     boolean ended;
     long cancelledAt = -1;
@@ -65,23 +65,23 @@
     long doneAt = -1;
 
     /** Queue position given by the revision at which the job was accepted. */
-    final AdmissionPosition position;
+    final AdmissionPosition admissionPosition;
 
     JobRecord(JobSpec spec, long at, long revision) {
       this.spec = spec;
       this.submittedAt = at;
-      this.position = new AdmissionPosition(revision, 0);
+      this.admissionPosition = new AdmissionPosition(revision, 0);
     }
 
     /** Tasks that ran to completion, whether recorded or not. */
-    final BitSet completed = new BitSet();
+    final BitSet completedTasks = new BitSet();
 
     /** Number of progress writes; each write is guarded by the version before it. */
-    long version;
+    long progressVersion;
 
     void recordProgress(BitSet doneTasks) {
-      done = (BitSet) doneTasks.clone();
-      version++;
+      recordedTasks = (BitSet) doneTasks.clone();
+      progressVersion++;
     }
 
     Lane lane() {
@@ -102,7 +102,7 @@
       this.fetchedAt = fetchedAt;
     }
 
-    boolean exited() {
+    boolean hasExited() {
       return state == WorkerHeartbeat.TaskState.EXITED;
     }
 
@@ -116,21 +116,21 @@
     final MachineId id;
     final String zone;
     final boolean spot;
-    final long upAt;
+    final long bootedAt;
     final Map<TaskId, SimulatedTask> tasks = new LinkedHashMap<>();
     long epoch = 1;
     long sequence;
-    Term token = Term.NONE;
+    Term term = Term.NONE;
     long leaseRenewedAt;
-    long nextHeartbeat;
+    long nextHeartbeatAt;
 
     /** Time of the last early heartbeat caused by a new term; at most one per half lease. */
-    private long tokenAnnouncedAt = -LEASE_MS;
+    private long termAnnouncedAt = -LEASE_MS;
 
-    boolean dead;
-    boolean failsAll;
+    boolean failed;
+    boolean failsAllTasks;
     long partitionedUntil;
-    long hungUntil;
+    long pausedUntil;
 
     /** Time until which heartbeats arrive but no response reaches the worker. */
     long inboundLostUntil;
@@ -139,21 +139,21 @@
     long outboundLostUntil;
 
     /** Whether the worker tries another controller because the last one did not respond. */
-    private boolean retriesElsewhere;
+    private boolean triesNextController;
 
     /** Time until which the worker waits for the response to its only heartbeat in flight. */
-    long awaitsResponseUntil;
+    long responseDeadline;
 
     /** Leader that the worker last sent a heartbeat to, and stays with until it is redirected. */
-    SimulatedLeader servedBy;
+    SimulatedLeader lastLeader;
 
     SimulatedWorker(MachineId id, String zone, boolean spot, long upAt) {
       this.id = id;
       this.zone = zone;
       this.spot = spot;
-      this.upAt = upAt;
+      this.bootedAt = upAt;
       this.leaseRenewedAt = upAt;
-      this.nextHeartbeat = upAt;
+      this.nextHeartbeatAt = upAt;
     }
 
     WorkerHeartbeat heartbeat() {
@@ -163,7 +163,7 @@
               statuses.add(
                   new WorkerHeartbeat.TaskStatus(id, task.attempt, task.state, task.cause, false)));
       return new WorkerHeartbeat(
-          this.id, "", machineType.name(), zone, spot, epoch, ++sequence, token, null, statuses);
+          this.id, "", machineType.name(), zone, spot, epoch, ++sequence, term, null, statuses);
     }
 
     /** Restarts the worker under the same machine id, without its tasks, epoch and term. */
@@ -171,26 +171,26 @@
       tasks.clear();
       epoch = 1;
       sequence = 0;
-      token = Term.NONE;
+      term = Term.NONE;
       leaseRenewedAt = now;
-      nextHeartbeat = now;
+      nextHeartbeatAt = now;
       log(id + " restarts without tasks");
     }
 
     long partitionedUntil() {
-      return Math.max(partitionedUntil, zoneCutUntil.getOrDefault(zone, 0L));
+      return Math.max(partitionedUntil, zonePartitionedUntil.getOrDefault(zone, 0L));
     }
 
     /** Returns whether the worker is up, executes commands and receives responses. */
     boolean isHealthy() {
-      return isUp() && !failsAll && now >= partitionedUntil() && now >= inboundLostUntil;
+      return isUp() && !failsAllTasks && now >= partitionedUntil() && now >= inboundLostUntil;
     }
 
     /** Returns the resources of the tasks that have not exited. */
-    Resources used() {
+    Resources usedResources() {
       Resources sum = Resources.ZERO;
       for (Map.Entry<TaskId, SimulatedTask> entry : tasks.entrySet()) {
-        if (!entry.getValue().exited()) {
+        if (!entry.getValue().hasExited()) {
           sum = sum.plus(records.get(entry.getKey().job()).spec.size());
         }
       }
@@ -198,13 +198,13 @@
     }
 
     /** Returns whether the task is on this machine and has not exited. */
-    boolean holds(TaskId task) {
+    boolean holdsTask(TaskId task) {
       SimulatedTask heldTask = tasks.get(task);
-      return heldTask != null && !heldTask.exited();
+      return heldTask != null && !heldTask.hasExited();
     }
 
     private boolean isUp() {
-      return !dead && now >= upAt && now >= hungUntil;
+      return !failed && now >= bootedAt && now >= pausedUntil;
     }
 
     /** Discards the tasks if the lease expired; runs for all workers before any of them steps. */
@@ -213,55 +213,55 @@
         tasks.clear();
         epoch++;
         leaseRenewedAt = now;
-        nextHeartbeat = now;
+        nextHeartbeatAt = now;
         log("lease expired on machine " + id);
       }
     }
 
     void step() {
       if (isUp()) {
-        tasks.forEach(this::advance);
+        tasks.forEach(this::advanceTask);
       }
     }
 
-    private void advance(TaskId id, SimulatedTask task) {
+    private void advanceTask(TaskId id, SimulatedTask task) {
       JobRecord job = records.get(id.job());
       if (task.state == WorkerHeartbeat.TaskState.FETCHING && now >= task.fetchedAt) {
-        if (failsAll || job.spec.jobClass().equals(ALWAYS_FAILING_CLASS)) {
+        if (failsAllTasks || job.spec.jobClass().equals(ALWAYS_FAILING_CLASS)) {
           task.state = WorkerHeartbeat.TaskState.EXITED;
           task.cause = WorkerHeartbeat.ExitCause.ERROR;
-          nextHeartbeat = now;
+          nextHeartbeatAt = now;
           return;
         }
         checkStart(this, id, job);
         task.state = WorkerHeartbeat.TaskState.RUNNING;
-        task.endsAt = now + job.spec.estimate().times(runtimeFactor).ms();
+        task.endsAt = now + job.spec.estimate().times(runTimeFactor).ms();
       } else if (task.state == WorkerHeartbeat.TaskState.RUNNING && now >= task.endsAt) {
         task.state = WorkerHeartbeat.TaskState.EXITED;
         task.cause = WorkerHeartbeat.ExitCause.DONE;
-        job.completed.set(id.index());
-        nextHeartbeat = now;
+        job.completedTasks.set(id.index());
+        nextHeartbeatAt = now;
       }
     }
 
     /** Renews the lease from the time at which the heartbeat was sent, and runs the commands. */
     void onResponse(SimulatedLeader responder, long sentAt, List<WorkerCommand> commands) {
-      if (responder.term.compareTo(token) >= 0) {
-        retriesElsewhere = false;
+      if (responder.term.compareTo(term) >= 0) {
+        triesNextController = false;
         leaseRenewedAt = sentAt;
-        obey(responder.term, commands);
+        execute(responder.term, commands);
       }
     }
 
-    void obey(Term newTerm, List<WorkerCommand> commands) {
-      if (newTerm.compareTo(token) < 0) {
+    void execute(Term newTerm, List<WorkerCommand> commands) {
+      if (newTerm.compareTo(term) < 0) {
         return;
       }
-      if (!newTerm.equals(token)) {
-        token = newTerm;
-        if (now - tokenAnnouncedAt >= LEASE_MS / 2) {
-          tokenAnnouncedAt = now;
-          nextHeartbeat = now + STEP_MS;
+      if (!newTerm.equals(term)) {
+        term = newTerm;
+        if (now - termAnnouncedAt >= LEASE_MS / 2) {
+          termAnnouncedAt = now;
+          nextHeartbeatAt = now + STEP_MS;
         }
       }
       for (WorkerCommand command : commands) {
@@ -270,15 +270,15 @@
           if (task == null) {
             tasks.put(command.task(), new SimulatedTask(command.attempt(), now + 1000));
             log(id + " accepts launch of " + command.task());
-            nextHeartbeat = now + STEP_MS;
+            nextHeartbeatAt = now + STEP_MS;
           }
         } else if (task != null && task.attempt.equals(command.attempt())) {
-          if (command instanceof WorkerCommand.Stop && !task.exited()) {
+          if (command instanceof WorkerCommand.Stop && !task.hasExited()) {
             task.state = WorkerHeartbeat.TaskState.EXITED;
             task.cause = WorkerHeartbeat.ExitCause.STOPPED;
             log(id + " stops " + command.task());
-            nextHeartbeat = now + STEP_MS;
-          } else if (command instanceof WorkerCommand.Clear && task.exited()) {
+            nextHeartbeatAt = now + STEP_MS;
+          } else if (command instanceof WorkerCommand.Clear && task.hasExited()) {
             tasks.remove(command.task());
           }
         }
@@ -295,16 +295,16 @@
     LeaderCore core;
 
     /** This leader's view of the ledger; each write replaces the whole stored ledger. */
-    final Set<LedgerEntry> ledgerPage = new LinkedHashSet<>();
+    final Set<LedgerEntry> ledgerView = new LinkedHashSet<>();
 
     /** Entries that no acknowledged write has stored in the ledger. */
-    final Set<LedgerEntry> unwritten = new LinkedHashSet<>();
+    final Set<LedgerEntry> unwrittenEntries = new LinkedHashSet<>();
 
     long partitionedUntil;
     long readingUntil;
 
     /** Time until which the key-value store is unreachable for this leader only. */
-    long refusedUntil;
+    long storeUnreachableUntil;
 
     boolean replaced;
 
@@ -313,8 +313,8 @@
       this.lease = lease;
     }
 
-    boolean storeReachable() {
-      return now >= refusedUntil && now >= storeDownUntil;
+    boolean canReachStore() {
+      return now >= storeUnreachableUntil && now >= storeOutageUntil;
     }
 
     boolean isPartitioned() {
@@ -322,19 +322,19 @@
     }
   }
 
-  private record DelayedHeartbeat(long until, WorkerHeartbeat report) {}
+  private record DelayedHeartbeat(long arrivesAt, WorkerHeartbeat heartbeat) {}
 
   /** Response that arrives late; the worker discards it after {@link #RESPONSE_TIMEOUT_MS}. */
   private record DelayedResponse(
-      long at,
-      long sent,
-      long session,
-      SimulatedWorker to,
-      SimulatedLeader by,
-      List<WorkerCommand> orders) {}
+      long arrivesAt,
+      long sentAt,
+      long epoch,
+      SimulatedWorker worker,
+      SimulatedLeader leader,
+      List<WorkerCommand> commands) {}
 
   /** Unacknowledged transaction that is applied late, provided that its guard still holds. */
-  private record DelayedWrite(long until, Term by, BooleanSupplier guard, Runnable write) {}
+  private record DelayedWrite(long appliesAt, Term term, BooleanSupplier guard, Runnable write) {}
 
   static final MachineType MACHINE_TYPE =
       new MachineType(
@@ -355,44 +355,44 @@
   private final List<DelayedResponse> delayedResponses = new ArrayList<>();
 
   /** Probability that a response takes up to 5 s; a worker discards it after 4 s. */
-  double slowResponseShare;
+  double slowResponseProbability;
 
-  long storeDownUntil;
+  long storeOutageUntil;
 
   /** Time that a new leader takes to read the state, in milliseconds. */
   long leaderReadMs;
 
   /** Probability that a leader's transaction is unacknowledged and applied 2 to 12 s later. */
-  double delayedWriteShare;
+  double delayedWriteProbability;
 
   /** Leaders whose lease expired while the store was unreachable; workers still reach them. */
-  private final List<SimulatedLeader> refusedLeaders = new ArrayList<>();
+  private final List<SimulatedLeader> leadersWithoutStore = new ArrayList<>();
 
   SimulatedLeader leader;
   private SimulatedLeader supersededLeader;
   private long supersededUntil;
   private long ledgerVersion;
   long now = 1000;
-  long termNumber;
-  long electAt;
-  long cloudDownUntil;
-  int startCount;
-  private int machineNumber;
+  long lastTermNumber;
+  long nextElectionAt;
+  long cloudOutageUntil;
+  int taskStartCount;
+  private int nextMachineNumber;
 
   /** Whether new leaders ignore the ledger, to show that the checks detect the violation. */
-  boolean dropLedger;
+  boolean ignoreLedger;
 
   /** Whether new leaders ignore submission times, to show that the checks detect the violation. */
-  boolean dropArrivals;
+  boolean ignoreSubmissionTimes;
 
   /** Whether healthy leaders are superseded without noticing at first. */
   boolean supersede;
 
-  double lostResponseShare;
+  double lostResponseProbability;
   boolean clocksSkewed;
 
   /** Ratio of the actual run time of tasks to their estimate. */
-  double runtimeFactor = 1;
+  double runTimeFactor = 1;
 
   private long revision;
 
@@ -404,7 +404,7 @@
   int dailyDeadlineWrites;
 
   /** Probability that a copy of a heartbeat arrives again, about three leases later at most. */
-  double duplicateShare;
+  double duplicateProbability;
 
   /** Whether outages of the key-value store are combined with other faults. */
   boolean storeFaults;
@@ -413,18 +413,18 @@
   boolean asymmetricPartitions;
 
   /** Probability that a leader's transaction is applied at once but its response is lost. */
-  double lostWriteResponseShare;
+  double lostWriteResponseProbability;
 
   /** Time until which ledger writes are unacknowledged and applied 2 to 12 s later. */
   long ledgerDelayedUntil;
 
-  long bootMs = 8000;
+  long minBootMs = 8000;
 
   /** Exclusive bound of the random number of steps added to the minimum boot time. */
-  int bootSteps = 16;
+  int maxExtraBootSteps = 16;
 
   /** Time until which a zone is partitioned, including its controllers, by zone. */
-  final Map<String, Long> zoneCutUntil = new TreeMap<>();
+  final Map<String, Long> zonePartitionedUntil = new TreeMap<>();
 
   int heartbeatsToPartitionedLeaders;
   int launchesByPartitionedLeaders;
@@ -437,13 +437,14 @@
   ClusterSimulation(long seed, Policy policy) {
     this.random = new SplitMix64(seed);
     this.policy = policy;
-    this.electAt = now;
+    this.nextElectionAt = now;
   }
 
   static Policy policy(TimeSpan lease) {
     return TestPolicies.of(
         lease,
-        LeaderLease.workerRenewalBound(TimeSpan.millis(LEASE_MS), TimeSpan.millis(CANCEL_BOUND_MS)),
+        LeaderLease.workerRenewalBound(
+            TimeSpan.millis(LEASE_MS), TimeSpan.millis(CANCELLATION_BOUND_MS)),
         1800,
         new Policy.TeamQuota("red", 16, 48, 0, 0),
         new Policy.TeamQuota("blue", 0, 0, 0, 0),
@@ -474,7 +475,7 @@
 
   void cancel(JobId id) {
     JobRecord record = records.get(id);
-    if (!record.ended && now >= storeDownUntil) {
+    if (!record.ended && now >= storeOutageUntil) {
       record.ended = true;
       record.cancelledAt = now;
       log(id + " cancelled");
@@ -483,7 +484,7 @@
 
   /** Checks a starting task for uniqueness, its team's limit, its placement and cancellation. */
   private void checkStart(SimulatedWorker worker, TaskId id, JobRecord job) {
-    startCount++;
+    taskStartCount++;
     job.startedAt = job.startedAt < 0 ? now : job.startedAt;
     log(id + " starts on " + worker.id);
     double teamCores = 0;
@@ -491,7 +492,7 @@
     int zoneElsewhere = 0;
     for (SimulatedWorker other : workers.values()) {
       // A worker paused beyond its lease discards its tasks before it does anything else.
-      if (other.dead || (now < other.hungUntil && now - other.leaseRenewedAt > LEASE_MS)) {
+      if (other.failed || (now < other.pausedUntil && now - other.leaseRenewedAt > LEASE_MS)) {
         continue;
       }
       for (Map.Entry<TaskId, SimulatedTask> entry : other.tasks.entrySet()) {
@@ -527,7 +528,7 @@
         || (spec.spread() && zoneHere + 1 > spec.spreadLimit())) {
       violations.add("wrong_place: " + id + " on " + worker.id + " at " + now);
     }
-    if (job.cancelledAt >= 0 && now > job.cancelledAt + CANCEL_BOUND_MS) {
+    if (job.cancelledAt >= 0 && now > job.cancelledAt + CANCELLATION_BOUND_MS) {
       violations.add("ran_cancelled: " + id + " starts at " + now);
     }
   }
@@ -536,11 +537,11 @@
     for (SimulatedWorker worker : workers.values()) {
       for (TaskId id : worker.tasks.keySet()) {
         JobRecord record = records.get(id.job());
-        boolean active = !worker.dead && !worker.tasks.get(id).exited();
+        boolean active = !worker.failed && !worker.tasks.get(id).hasExited();
         if (active
             && record.cancelledAt >= 0
-            && now > record.cancelledAt + CANCEL_BOUND_MS
-            && now >= worker.hungUntil) {
+            && now > record.cancelledAt + CANCELLATION_BOUND_MS
+            && now >= worker.pausedUntil) {
           violations.add("ran_cancelled: " + id + " on " + worker.id + " at " + now);
         }
       }
@@ -552,7 +553,7 @@
     delayedWrites();
     expireLeaderLease();
     elect();
-    readState();
+    readRecordedState();
     workers.values().forEach(SimulatedWorker::expireLease);
     workers.values().forEach(SimulatedWorker::step);
     deliverDelayedHeartbeats();
@@ -561,14 +562,14 @@
       sendHeartbeat(worker);
     }
     if (leader != null && !leader.isPartitioned()) {
-      driveLeader(leader);
+      stepLeader(leader);
     }
-    for (SimulatedLeader former : refusedLeaders) {
-      driveLeader(former);
+    for (SimulatedLeader former : leadersWithoutStore) {
+      stepLeader(former);
     }
-    refusedLeaders.removeIf(
-        former -> former.storeReachable() || !former.lease.mayRenewWorkerLeases(time()));
-    driveSupersededLeader();
+    leadersWithoutStore.removeIf(
+        former -> former.canReachStore() || !former.lease.mayRenewWorkerLeases(time()));
+    stepSupersededLeader();
     tickPartitionedLeaders();
     checkCancelled();
     quotaChecks.check();
@@ -591,35 +592,38 @@
   }
 
   /** Makes the key-value store unreachable for the leader only; workers still reach the leader. */
-  void refuseLeader(long durationMs) {
+  void disconnectLeaderFromStore(long durationMs) {
     if (leader != null) {
       log("key-value store unreachable for the leader of term " + leader.term);
-      leader.refusedUntil = now + durationMs;
-      electAt = now + LEADER_LEASE_MS + 500;
+      leader.storeUnreachableUntil = now + durationMs;
+      nextElectionAt = now + LEADER_LEASE_MS + 500;
     }
   }
 
   /** Starts a key-value store outage; leases in the store regain their full duration after it. */
-  void takeStoreDown(long durationMs) {
+  void startStoreOutage(long durationMs) {
     log("key-value store outage begins");
-    storeDownUntil = now + durationMs;
-    electAt = Math.max(electAt, storeDownUntil + LEADER_LEASE_MS);
+    storeOutageUntil = now + durationMs;
+    nextElectionAt = Math.max(nextElectionAt, storeOutageUntil + LEADER_LEASE_MS);
   }
 
   /** Expires the lease of a leader that alone cannot reach the key-value store. */
   private void expireLeaderLease() {
-    if (leader != null && now < leader.refusedUntil && now >= storeDownUntil && now >= electAt) {
+    if (leader != null
+        && now < leader.storeUnreachableUntil
+        && now >= storeOutageUntil
+        && now >= nextElectionAt) {
       leader.replaced = true;
-      refusedLeaders.add(leader);
+      leadersWithoutStore.add(leader);
       leader = null;
     }
   }
 
   private void elect() {
-    if (leader != null || now < electAt || now < storeDownUntil) {
+    if (leader != null || now < nextElectionAt || now < storeOutageUntil) {
       return;
     }
-    Term term = new Term(++termNumber);
+    Term term = new Term(++lastTermNumber);
     LeaderLease leaderLease =
         new LeaderLease(TimeSpan.millis(LEADER_LEASE_MS), policy.leaseRenewalWindow());
     leaderLease.onElected(term, Revision.ABSENT, time());
@@ -628,25 +632,26 @@
     log("term " + term + " begins");
   }
 
-  private void readState() {
+  private void readRecordedState() {
     if (leader == null
         || leader.core != null
         || now < leader.readingUntil
-        || !leader.storeReachable()) {
+        || !leader.canReachStore()) {
       return;
     }
     List<Job> jobs = new ArrayList<>();
     for (JobRecord record : records.values()) {
       if (!record.ended) {
-        long arrived = dropArrivals ? now : record.submittedAt;
-        Job job = new Job(record.spec, arrived, (BitSet) record.done.clone(), record.started);
+        long arrived = ignoreSubmissionTimes ? now : record.submittedAt;
+        Job job =
+            new Job(record.spec, arrived, (BitSet) record.recordedTasks.clone(), record.started);
         job.dependenciesMet(record.started);
-        job.queueState().setOrderKey(record.lane(), record.position);
+        job.queueState().setOrderKey(record.lane(), record.admissionPosition);
         jobs.add(job);
       }
     }
-    List<LedgerEntry> known = dropLedger ? List.of() : new ArrayList<>(ledger);
-    leader.ledgerPage.addAll(ledger);
+    List<LedgerEntry> known = ignoreLedger ? List.of() : new ArrayList<>(ledger);
+    leader.ledgerView.addAll(ledger);
     leader.core =
         new LeaderCore(
             policy,
@@ -662,7 +667,8 @@
 
   /** Applies a leader's write now, or later and unacknowledged. Returns whether it succeeded. */
   private boolean write(SimulatedLeader writer, BooleanSupplier guard, Runnable write) {
-    return write(writer, delayedWriteShare > 0 && chance(delayedWriteShare), guard, write);
+    return write(
+        writer, delayedWriteProbability > 0 && chance(delayedWriteProbability), guard, write);
   }
 
   private boolean write(
@@ -674,7 +680,7 @@
     }
     if (guard.getAsBoolean()) {
       write.run();
-      return lostWriteResponseShare == 0 || !chance(lostWriteResponseShare);
+      return lostWriteResponseProbability == 0 || !chance(lostWriteResponseProbability);
     }
     return false;
   }
@@ -682,9 +688,9 @@
   /** Applies the delayed writes that are due and whose leader still holds its election key. */
   private void delayedWrites() {
     for (DelayedWrite delayed : List.copyOf(delayedWrites)) {
-      if (now >= delayed.until && now >= storeDownUntil) {
+      if (now >= delayed.appliesAt && now >= storeOutageUntil) {
         delayedWrites.remove(delayed);
-        if (leader != null && leader.term.equals(delayed.by) && delayed.guard.getAsBoolean()) {
+        if (leader != null && leader.term.equals(delayed.term) && delayed.guard.getAsBoolean()) {
           delayed.write.run();
         }
       }
@@ -707,7 +713,7 @@
       formerLeaders.add(leader);
     }
     leader = null;
-    electAt = now + LEADER_LEASE_MS + 500;
+    nextElectionAt = now + LEADER_LEASE_MS + 500;
   }
 
   /**
@@ -725,10 +731,10 @@
     supersededLeader = leader;
     supersededUntil = now + unawareMs;
     leader = null;
-    electAt = now;
+    nextElectionAt = now;
   }
 
-  private void driveSupersededLeader() {
+  private void stepSupersededLeader() {
     if (supersededLeader != null && now >= supersededUntil) {
       supersededLeader = null;
     }
@@ -750,25 +756,25 @@
     core.jobs().toMarkStarted();
     core.tick(time(), supersededLeader.lease.renewedAt());
     core.machines().toRecord();
-    scale(core);
+    scaleMachines(core);
   }
 
   private void sendHeartbeat(SimulatedWorker worker) {
-    if (worker.dead
-        || now < worker.upAt
-        || now < worker.hungUntil
-        || now < worker.nextHeartbeat
-        || now < worker.awaitsResponseUntil) {
+    if (worker.failed
+        || now < worker.bootedAt
+        || now < worker.pausedUntil
+        || now < worker.nextHeartbeatAt
+        || now < worker.responseDeadline) {
       return;
     }
-    worker.nextHeartbeat = now + 3000;
+    worker.nextHeartbeatAt = now + 3000;
     WorkerHeartbeat heartbeat = worker.heartbeat();
     if (now < worker.outboundLostUntil || now < worker.partitionedUntil()) {
-      worker.retriesElsewhere = true;
+      worker.triesNextController = true;
     }
     if (now < worker.outboundLostUntil) {
       // The connection is refused at once; the next controller is tried a second later.
-      worker.nextHeartbeat = now + 1000;
+      worker.nextHeartbeatAt = now + 1000;
       return;
     }
     duplicates.sent(heartbeat);
@@ -777,22 +783,22 @@
       delayedHeartbeats.add(new DelayedHeartbeat(worker.partitionedUntil(), heartbeat));
       return;
     }
-    if (chance(duplicateShare)) {
+    if (chance(duplicateProbability)) {
       delayedHeartbeats.add(
           new DelayedHeartbeat(now + 1000 + random.nextInt(3 * (int) LEASE_MS), heartbeat));
     }
     // Workers stay with the superseded leader until it redirects them.
     SimulatedLeader to =
         supersededLeader != null
-                && (leader == null || worker.token.equals(supersededLeader.core.term()))
+                && (leader == null || worker.term.equals(supersededLeader.core.term()))
             ? supersededLeader
             : leader;
-    if (supersededLeader != null && (worker.retriesElsewhere || chance(0.2))) {
+    if (supersededLeader != null && (worker.triesNextController || chance(0.2))) {
       to = leader;
     }
-    if (refusedLeaders.contains(worker.servedBy)
-        && worker.servedBy.lease.mayRenewWorkerLeases(time())) {
-      to = worker.servedBy;
+    if (leadersWithoutStore.contains(worker.lastLeader)
+        && worker.lastLeader.lease.mayRenewWorkerLeases(time())) {
+      to = worker.lastLeader;
     }
     for (SimulatedLeader former : formerLeaders) {
       if (former.isPartitioned() && worker.zone.equals("b")) {
@@ -802,7 +808,7 @@
     if (to == null) {
       return;
     }
-    worker.servedBy = to;
+    worker.lastLeader = to;
     deliverHeartbeat(worker, to, heartbeat, true);
   }
 
@@ -824,27 +830,28 @@
       return;
     }
     if (to.isPartitioned()) {
-      countAtPartitionedLeader(heartbeat, commands);
+      countPartitionedLeaderTraffic(heartbeat, commands);
     }
     if (now < worker.inboundLostUntil) {
       // The worker times out after 4 s; responses of the other controllers are lost as well.
       worker.sequence += 2;
-      worker.nextHeartbeat = now + 15_000;
+      worker.nextHeartbeatAt = now + 15_000;
       return;
     }
-    if (commands == null || chance(lostResponseShare)) {
+    if (commands == null || chance(lostResponseProbability)) {
       return;
     }
-    if (slowResponseShare > 0 && chance(slowResponseShare)) {
+    if (slowResponseProbability > 0 && chance(slowResponseProbability)) {
       long at = now + STEP_MS * (1 + random.nextInt(10));
       delayedResponses.add(new DelayedResponse(at, now, worker.epoch, worker, to, commands));
-      worker.awaitsResponseUntil = Math.min(at, now + RESPONSE_TIMEOUT_MS);
+      worker.responseDeadline = Math.min(at, now + RESPONSE_TIMEOUT_MS);
       return;
     }
     worker.onResponse(to, now, commands);
   }
 
-  private void countAtPartitionedLeader(WorkerHeartbeat heartbeat, List<WorkerCommand> commands) {
+  private void countPartitionedLeaderTraffic(
+      WorkerHeartbeat heartbeat, List<WorkerCommand> commands) {
     heartbeatsToPartitionedLeaders++;
     completionsToPartitionedLeaders +=
         (int)
@@ -861,15 +868,15 @@
   private void deliverDelayedResponses() {
     for (DelayedResponse response : List.copyOf(delayedResponses)) {
       // A response that arrived during a process pause is read when the worker resumes.
-      boolean read = response.to.isUp() || now - response.sent > RESPONSE_TIMEOUT_MS;
-      if (now >= response.at && read) {
+      boolean read = response.worker.isUp() || now - response.sentAt > RESPONSE_TIMEOUT_MS;
+      if (now >= response.arrivesAt && read) {
         delayedResponses.remove(response);
         boolean received =
-            response.to.isUp()
-                && now >= response.to.inboundLostUntil
-                && response.session == response.to.epoch;
-        if (received && now - response.sent <= RESPONSE_TIMEOUT_MS) {
-          response.to.onResponse(response.by, response.sent, response.orders);
+            response.worker.isUp()
+                && now >= response.worker.inboundLostUntil
+                && response.epoch == response.worker.epoch;
+        if (received && now - response.sentAt <= RESPONSE_TIMEOUT_MS) {
+          response.worker.onResponse(response.leader, response.sentAt, response.commands);
         }
       }
     }
@@ -877,22 +884,22 @@
 
   private void deliverDelayedHeartbeats() {
     for (DelayedHeartbeat delayed : new ArrayList<>(delayedHeartbeats)) {
-      if (now >= delayed.until && leader != null) {
+      if (now >= delayed.arrivesAt && leader != null) {
         delayedHeartbeats.remove(delayed);
-        SimulatedWorker worker = workers.get(delayed.report.machine());
+        SimulatedWorker worker = workers.get(delayed.heartbeat.machine());
         if (worker != null) {
-          deliverHeartbeat(worker, leader, delayed.report, false);
+          deliverHeartbeat(worker, leader, delayed.heartbeat, false);
         }
       }
     }
   }
 
-  private void driveLeader(SimulatedLeader driven) {
+  private void stepLeader(SimulatedLeader driven) {
     LeaderCore core = driven.core;
     if (core == null) {
       return;
     }
-    if (!driven.storeReachable() || driven.replaced) {
+    if (!driven.canReachStore() || driven.replaced) {
       core.tick(time(), driven.lease.renewedAt());
       return;
     }
@@ -905,7 +912,7 @@
     writeJobRecords(driven);
     writeDecisions(core);
     writeLedger(driven);
-    scale(core);
+    scaleMachines(core);
   }
 
   private void readJobRecords(SimulatedLeader driven) {
@@ -916,7 +923,11 @@
       } else if (!record.ended) {
         core.jobs()
             .onAdded(
-                record.spec, record.submittedAt, record.started, record.lane(), record.position);
+                record.spec,
+                record.submittedAt,
+                record.started,
+                record.lane(),
+                record.admissionPosition);
       }
     }
     core.jobs().toMarkStarted();
@@ -926,7 +937,7 @@
       if (!job.isStartRecorded()
           && !job.isCancelled()
           && write(driven, () -> true, () -> record.started = true)) {
-        core.jobs().onProgressRecorded(job, (BitSet) record.done.clone());
+        core.jobs().onProgressRecorded(job, (BitSet) record.recordedTasks.clone());
       }
     }
   }
@@ -935,16 +946,17 @@
     LeaderCore core = driven.core;
     for (Job job : core.jobs().toFinish()) {
       JobRecord record = records.get(job.id());
-      if (write(driven, () -> !record.ended, () -> finish(record)) || record.ended) {
+      if (write(driven, () -> !record.ended, () -> recordCompletion(record)) || record.ended) {
         core.jobs().onFinished(job, time());
       }
     }
     for (Job job : core.jobs().toRecord()) {
       JobRecord record = records.get(job.id());
       BitSet done = (BitSet) job.doneTasks().clone();
-      long version = record.version;
+      long version = record.progressVersion;
       core.jobs().onRecordingStarted(job);
-      if (write(driven, () -> record.version == version, () -> record.recordProgress(done))) {
+      if (write(
+          driven, () -> record.progressVersion == version, () -> record.recordProgress(done))) {
         core.jobs().onProgressRecorded(job, done);
       } else {
         job.setUnrecordedProgress(true);
@@ -971,16 +983,17 @@
   private void writeLedger(SimulatedLeader driven) {
     LeaderCore core = driven.core;
     List<LedgerEntry> entries = core.machines().toRecord();
-    driven.ledgerPage.addAll(entries);
-    driven.unwritten.addAll(entries);
-    if (!driven.unwritten.isEmpty()) {
-      Set<LedgerEntry> all = new LinkedHashSet<>(driven.ledgerPage);
+    driven.ledgerView.addAll(entries);
+    driven.unwrittenEntries.addAll(entries);
+    if (!driven.unwrittenEntries.isEmpty()) {
+      Set<LedgerEntry> all = new LinkedHashSet<>(driven.ledgerView);
       long version = ledgerVersion;
       boolean delayed =
-          now < ledgerDelayedUntil || (delayedWriteShare > 0 && chance(delayedWriteShare));
+          now < ledgerDelayedUntil
+              || (delayedWriteProbability > 0 && chance(delayedWriteProbability));
       if (write(driven, delayed, () -> ledgerVersion == version, () -> replaceLedger(all))) {
-        core.machines().onRecorded(List.copyOf(driven.unwritten));
-        driven.unwritten.clear();
+        core.machines().onRecorded(List.copyOf(driven.unwrittenEntries));
+        driven.unwrittenEntries.clear();
       }
     }
   }
@@ -992,30 +1005,30 @@
   }
 
   /** Records the end of a job; the caller guards against a job that has already ended. */
-  private void finish(JobRecord record) {
+  private void recordCompletion(JobRecord record) {
     record.ended = true;
     record.doneAt = now;
     log(record.spec.id() + " completed");
-    if (record.completed.cardinality() < record.spec.tasks()) {
+    if (record.completedTasks.cardinality() < record.spec.tasks()) {
       violations.add("not_done: " + record.spec.id() + " at " + now);
     }
   }
 
-  private void scale(LeaderCore core) {
-    if (now < cloudDownUntil) {
+  private void scaleMachines(LeaderCore core) {
+    if (now < cloudOutageUntil) {
       return;
     }
     for (ScaleOutRequest request : core.machines().planScaleOut(time())) {
       List<MachineId> created = new ArrayList<>();
-      for (int i = 0; i < request.count() && mayCreateMachine(request.zone()); i++) {
-        MachineId id = new MachineId(String.format("vm-%06d", machineNumber++));
+      for (int i = 0; i < request.count() && cloudHasCapacity(request.zone()); i++) {
+        MachineId id = new MachineId(String.format("vm-%06d", nextMachineNumber++));
         workers.put(
             id,
             new SimulatedWorker(
                 id,
                 request.zone(),
                 request.spot(),
-                now + bootMs + random.nextInt(bootSteps) * STEP_MS));
+                now + minBootMs + random.nextInt(maxExtraBootSteps) * STEP_MS));
         created.add(id);
       }
       log(created.size() + " of " + request.count() + " machines created in " + request.zone());
@@ -1026,7 +1039,7 @@
       deleted.forEach(workers::remove);
       // A deleted machine leaves the ledger, regardless of which leader records the deletion.
       if (leader != null) {
-        leader.ledgerPage.removeIf(entry -> deleted.contains(entry.id()));
+        leader.ledgerView.removeIf(entry -> deleted.contains(entry.id()));
       }
       ledger.removeIf(entry -> deleted.contains(entry.id()));
       core.machines().onDeleted(deleted, time());
@@ -1034,7 +1047,7 @@
     }
   }
 
-  private boolean mayCreateMachine(String zone) {
+  private boolean cloudHasCapacity(String zone) {
     return workers.size() < maxMachines
         && workers.values().stream().filter(worker -> worker.zone.equals(zone)).count()
             < maxMachinesInZone;
@@ -1042,13 +1055,13 @@
 
   /** Stops injecting new faults; faults in progress end by themselves. */
   void endFaults() {
-    lostResponseShare = 0;
-    delayedWriteShare = 0;
-    slowResponseShare = 0;
-    duplicateShare = 0;
-    lostWriteResponseShare = 0;
-    duplicates.share = 0;
-    liveness.begin();
+    lostResponseProbability = 0;
+    delayedWriteProbability = 0;
+    slowResponseProbability = 0;
+    duplicateProbability = 0;
+    lostWriteResponseProbability = 0;
+    duplicates.probability = 0;
+    liveness.onFaultsEnded();
   }
 
   boolean hasFaults() {
@@ -1057,20 +1070,21 @@
             .anyMatch(
                 worker ->
                     now < worker.partitionedUntil()
-                        || now < worker.hungUntil
+                        || now < worker.pausedUntil
                         || now < worker.inboundLostUntil
-                        || worker.failsAll);
-    boolean leaders = leader == null || supersededLeader != null || now < leader.refusedUntil;
+                        || worker.failsAllTasks);
+    boolean leaders =
+        leader == null || supersededLeader != null || now < leader.storeUnreachableUntil;
     return machines
         || leaders
-        || now < storeDownUntil
-        || now < cloudDownUntil
+        || now < storeOutageUntil
+        || now < cloudOutageUntil
         || !delayedHeartbeats.isEmpty()
         || !delayedWrites.isEmpty()
         || formerLeaders.stream().anyMatch(SimulatedLeader::isPartitioned);
   }
 
-  boolean inLedger(MachineId id) {
+  boolean isInLedger(MachineId id) {
     return ledger.stream().anyMatch(entry -> entry.id().equals(id));
   }
 
@@ -1078,7 +1092,7 @@
     return records.values().stream().allMatch(record -> record.ended);
   }
 
-  SimulatedWorker anyWorker() {
+  SimulatedWorker randomWorker() {
     List<SimulatedWorker> all = new ArrayList<>(workers.values());
     return all.isEmpty() ? null : all.get(random.nextInt(all.size()));
   }
--- a/src/test/java/io/saltflow/leader/ConcurrentFaultsTest.java
+++ b/src/test/java/io/saltflow/leader/ConcurrentFaultsTest.java
@@ -16,7 +16,7 @@
 class ConcurrentFaultsTest {
   /** Exceeds the cancellation bound and every lease, in milliseconds. */
   private static final long OUTAGE_MS =
-      ClusterSimulation.CANCEL_BOUND_MS + ClusterSimulation.LEASE_MS;
+      ClusterSimulation.CANCELLATION_BOUND_MS + ClusterSimulation.LEASE_MS;
 
   private static final int JOBS = 8;
 
@@ -49,16 +49,16 @@
     simulation.leaderReadMs = 3000;
     int cancelled = 0;
     for (int lost = 0; lost < Math.max(1, leaders); lost++) {
-      long term = simulation.termNumber;
-      simulation.refuseLeader(60_000);
-      while (leaders > 0 && simulation.termNumber == term) {
+      long term = simulation.lastTermNumber;
+      simulation.disconnectLeaderFromStore(60_000);
+      while (leaders > 0 && simulation.lastTermNumber == term) {
         simulation.cancel(new JobId(JobSpecBuilder.id(1 + cancelled++ % JOBS)));
         simulation.step();
       }
     }
     simulation.run(outageS);
     simulation.cancel(new JobId(JobSpecBuilder.id(JOBS)));
-    simulation.takeStoreDown(OUTAGE_MS);
+    simulation.startStoreOutage(OUTAGE_MS);
     simulation.run(OUTAGE_MS / 1000.0);
     assertEquals("", String.join("\n", simulation.violations));
     simulation.run(90);
@@ -140,7 +140,9 @@
       assertEquals("", String.join("\n", simulation.violations), "step " + step);
       assertTrue(simulation.allJobsEnded(), "step " + step);
       assertEquals(
-          3, simulation.startCount, "each task runs once and its completion counts, step " + step);
+          3,
+          simulation.taskStartCount,
+          "each task runs once and its completion counts, step " + step);
     }
   }
 
@@ -150,17 +152,17 @@
     atEachStep(
         60,
         (simulation, step) -> {
-          simulation.delayedWriteShare = 0.3;
-          simulation.slowResponseShare = 0.3;
+          simulation.delayedWriteProbability = 0.3;
+          simulation.slowResponseProbability = 0.3;
           simulation.leaderReadMs = 500L * (step % 3);
           for (int i = 0; i < 6; i++) {
             simulation.failLeader(i % 2 == 0 ? 0 : 2000);
-            simulation.electAt = simulation.now + 500;
+            simulation.nextElectionAt = simulation.now + 500;
             simulation.run((step + i) % 5 * 0.5);
           }
           cancelSomeJobs(simulation, step);
           simulation.run(step);
-          simulation.delayedWriteShare = 0;
+          simulation.delayedWriteProbability = 0;
         });
   }
 }
--- a/src/test/java/io/saltflow/leader/DailyDeadlinesTest.java
+++ b/src/test/java/io/saltflow/leader/DailyDeadlinesTest.java
@@ -58,7 +58,7 @@
       long seed, boolean boost, double runtimeFactor, int jobs) {
     ClusterSimulation simulation = new ClusterSimulation(seed, policy(boost));
     simulation.maxMachines = 8;
-    simulation.runtimeFactor = runtimeFactor;
+    simulation.runTimeFactor = runtimeFactor;
     int nextNumber = 1;
     while (simulation.now < DUE_MS + 10_000) {
       // Half of the jobs arrive in a burst, the rest one by one; size is independent of arrival.
--- a/src/test/java/io/saltflow/leader/DependencyTrackerTest.java
+++ b/src/test/java/io/saltflow/leader/DependencyTrackerTest.java
@@ -43,7 +43,7 @@
     assertEquals(List.of(first, second), pipeline.core().jobs().liveIds());
     assertFalse(
         pipeline.record(second).started, "a job with unfinished dependencies is marked as started");
-    pipeline.runUntilOver(120);
+    pipeline.runUntilAllJobsEnd(120);
   }
 
   @Test
@@ -53,7 +53,7 @@
     JobId left = pipeline.submit(step(2).tasks(3), top);
     JobId right = pipeline.submit(step(3).estimateS(20), top);
     JobId bottom = pipeline.submit(step(4), left, right);
-    pipeline.runUntilOver(150);
+    pipeline.runUntilAllJobsEnd(150);
     assertTrue(pipeline.record(bottom).startedAt >= pipeline.record(right).doneAt);
     assertTrue(
         pipeline.record(right).startedAt < pipeline.record(left).doneAt,
@@ -68,8 +68,8 @@
     pipeline.simulation.failLeader(0);
     pipeline.run(60);
     pipeline.simulation.failLeader(20_000);
-    pipeline.runUntilOver(900);
-    assertTrue(chain.stream().allMatch(pipeline::done));
+    pipeline.runUntilAllJobsEnd(900);
+    assertTrue(chain.stream().allMatch(pipeline::isDone));
   }
 
   @Test
@@ -77,7 +77,7 @@
     PipelineSimulation pipeline = new PipelineSimulation(4);
     JobId first = pipeline.submit(step(1));
     IntStream.range(2, 202).forEach(i -> pipeline.submit(step(i), first));
-    pipeline.runUntilOver(400);
+    pipeline.runUntilAllJobsEnd(400);
   }
 
   @Test
@@ -87,8 +87,8 @@
     IntStream.range(2, 202).forEach(i -> pipeline.submit(step(i), first));
     pipeline.run(20);
     pipeline.simulation.cancel(first);
-    pipeline.lostResponseShare = 0.5;
-    pipeline.runUntilOver(40);
+    pipeline.lostResponseProbability = 0.5;
+    pipeline.runUntilAllJobsEnd(40);
     assertEquals(
         0, pipeline.simulation.records.values().stream().filter(r -> r.doneAt >= 0).count());
   }
@@ -111,27 +111,27 @@
         pipeline.record(dependency).startedAt,
         "the dependency started although its team is at its limit");
     assertEquals(-1, pipeline.record(waiting).startedAt);
-    assertTrue(pipeline.done(other), "the waiting job reserves capacity");
+    assertTrue(pipeline.isDone(other), "the waiting job reserves capacity");
     assertTrue(
         pipeline.simulation.workers.size() <= 8,
         "machines were created for the waiting job: " + pipeline.simulation.workers.size());
-    pipeline.runUntilOver(500);
+    pipeline.runUntilAllJobsEnd(500);
   }
 
   @Test
   void jobSubmittedAfterItsDependenciesEndedIsResolved() {
     PipelineSimulation pipeline = new PipelineSimulation(7);
     List<JobId> chain = chain(pipeline, 3);
-    pipeline.runUntilOver(150);
+    pipeline.runUntilAllJobsEnd(150);
     pipeline.simulation.failLeader(0);
     pipeline.run(20);
     JobId last = pipeline.submit(step(9), chain.get(0), chain.get(2));
     JobId cancelled = pipeline.submit(step(10).estimateS(50));
     pipeline.simulation.cancel(cancelled);
     JobId dependentOfCancelled = pipeline.submit(step(11), cancelled, chain.get(0));
-    pipeline.runUntilOver(60);
-    assertTrue(pipeline.done(last));
-    assertTrue(pipeline.cancelled(dependentOfCancelled));
+    pipeline.runUntilAllJobsEnd(60);
+    assertTrue(pipeline.isDone(last));
+    assertTrue(pipeline.isCancelled(dependentOfCancelled));
   }
 
   /** Cancels the first job of a chain at varying times, each close to a failover or an outage. */
@@ -139,23 +139,23 @@
   void cancellationCascadesAcrossFailover() {
     for (int at = 0; at < 30; at += 2) {
       PipelineSimulation pipeline = new PipelineSimulation(100 + at);
-      pipeline.lostResponseShare = 0.3;
+      pipeline.lostResponseProbability = 0.3;
       List<JobId> chain = chain(pipeline, 5);
       pipeline.run(at);
       pipeline.simulation.cancel(chain.get(0));
-      boolean wasCancelled = pipeline.cancelled(chain.get(0));
+      boolean wasCancelled = pipeline.isCancelled(chain.get(0));
       if (at % 3 == 0) {
         pipeline.simulation.failLeader(0);
       } else if (at % 3 == 1) {
-        pipeline.simulation.takeStoreDown(12_000);
+        pipeline.simulation.startStoreOutage(12_000);
       } else {
         pipeline.run(0.5);
         pipeline.simulation.failLeader(15_000);
       }
-      pipeline.runUntilOver(200);
+      pipeline.runUntilAllJobsEnd(200);
       for (JobId id : chain) {
-        assertEquals(wasCancelled, pipeline.cancelled(id), "cancelled at " + at + " s: " + id);
-        assertEquals(!wasCancelled, pipeline.done(id));
+        assertEquals(wasCancelled, pipeline.isCancelled(id), "cancelled at " + at + " s: " + id);
+        assertEquals(!wasCancelled, pipeline.isDone(id));
       }
     }
   }
@@ -164,9 +164,9 @@
   void dependenciesHoldUnderRandomFaults() {
     for (int seed = 0; seed < 30; seed++) {
       PipelineSimulation pipeline = new PipelineSimulation(1000 + seed);
-      pipeline.lostResponseShare = 0.3;
-      pipeline.simulation.delayedWriteShare = 0.1;
-      pipeline.simulation.lostResponseShare = 0.05;
+      pipeline.lostResponseProbability = 0.3;
+      pipeline.simulation.delayedWriteProbability = 0.1;
+      pipeline.simulation.lostResponseProbability = 0.05;
       List<JobId> ids = new ArrayList<>();
       for (int i = 0; i < 40; i++) {
         JobSpecBuilder job =
@@ -187,7 +187,7 @@
         }
         injectRandomFault(pipeline);
       }
-      pipeline.runUntilOver(900);
+      pipeline.runUntilAllJobsEnd(900);
     }
   }
 
@@ -195,8 +195,8 @@
     switch (pipeline.simulation.random.nextInt(25)) {
       case 0 -> pipeline.simulation.failLeader(0);
       case 1 -> pipeline.simulation.failLeader(12_000);
-      case 2 -> pipeline.simulation.takeStoreDown(8_000);
-      case 3 -> pipeline.simulation.refuseLeader(9_000);
+      case 2 -> pipeline.simulation.startStoreOutage(8_000);
+      case 3 -> pipeline.simulation.disconnectLeaderFromStore(9_000);
       default -> {}
     }
   }
@@ -246,7 +246,7 @@
     pipeline.simulation.cancel(last);
     pipeline.run(2);
     assertEquals(Priority.LOW, afterFailover.queueState().priority());
-    pipeline.runUntilOver(200);
+    pipeline.runUntilAllJobsEnd(200);
   }
 
   /** Guards against a high-priority job being delayed by its low-priority dependency. */
@@ -260,9 +260,9 @@
     JobId first = pipeline.submit(step(20).priority(Priority.LOW).cores(8));
     JobId last = pipeline.submit(step(21).priority(Priority.HIGH).cores(8), first);
     pipeline.run(60);
-    assertTrue(pipeline.done(first), String.join("\n", pipeline.simulation.trace));
+    assertTrue(pipeline.isDone(first), String.join("\n", pipeline.simulation.trace));
     assertTrue(pipeline.record(last).startedAt > 0);
-    pipeline.runUntilOver(600);
+    pipeline.runUntilAllJobsEnd(600);
   }
 
   @Test
@@ -281,7 +281,7 @@
     pipeline.run(8);
     Job afterFailover = pipeline.core().jobs().find(second);
     assertEquals(pipeline.record(first).doneAt, afterFailover.queueState().eligibleAt().ms());
-    pipeline.runUntilOver(200);
+    pipeline.runUntilAllJobsEnd(200);
   }
 
   /**
@@ -309,8 +309,8 @@
     JobId other = pipeline.submit(step(3));
     pipeline.run(14);
     assertTrue(pipeline.record(other).startedAt > 0, "other jobs do not start");
-    pipeline.runUntilOver(500);
-    assertTrue(pipeline.done(second));
+    pipeline.runUntilAllJobsEnd(500);
+    assertTrue(pipeline.isDone(second));
   }
 
   /** Cycles, which only damaged records can contain, must not block other jobs. */
@@ -324,10 +324,10 @@
     JobId other = pipeline.submit(step(3));
     JobId next = pipeline.submit(step(4).priority(Priority.HIGH), other);
     pipeline.run(80);
-    assertTrue(pipeline.done(other) && pipeline.done(next));
+    assertTrue(pipeline.isDone(other) && pipeline.isDone(next));
     assertEquals(-1, pipeline.record(jobId).startedAt);
     pipeline.simulation.cancel(jobId);
-    pipeline.runUntilOver(10);
-    assertTrue(pipeline.cancelled(otherJobId));
+    pipeline.runUntilAllJobsEnd(10);
+    assertTrue(pipeline.isCancelled(otherJobId));
   }
 }
--- a/src/test/java/io/saltflow/leader/DuplicateHeartbeats.java
+++ b/src/test/java/io/saltflow/leader/DuplicateHeartbeats.java
@@ -25,20 +25,20 @@
   private final Map<MachineId, List<WorkerHeartbeat>> sent = new LinkedHashMap<>();
 
   /** Probability that a copy is delivered, for each machine that sent heartbeats. */
-  double share;
+  double probability;
 
   /** Number of delivered copies. */
-  int delivered;
+  int deliveredCount;
 
   /** Number of delivered copies from an earlier agent epoch. */
-  int fromEarlierEpochs;
+  int earlierEpochCount;
 
   DuplicateHeartbeats(ClusterSimulation simulation) {
     this.simulation = simulation;
   }
 
   void sent(WorkerHeartbeat heartbeat) {
-    if (share > 0) {
+    if (probability > 0) {
       List<WorkerHeartbeat> all =
           sent.computeIfAbsent(heartbeat.machine(), machine -> new ArrayList<>());
       all.add(heartbeat);
@@ -51,7 +51,7 @@
   /** Delivers copies to a leader that has just read the recorded state. */
   void deliver(ClusterSimulation.SimulatedLeader newLeader) {
     for (List<WorkerHeartbeat> all : sent.values()) {
-      if (simulation.chance(share)) {
+      if (simulation.chance(probability)) {
         deliver(newLeader, all.get(simulation.random.nextInt(all.size())));
       }
     }
@@ -66,9 +66,9 @@
     Map<MachineId, Boolean> before = reconciled(core);
     String placements = placements(core);
     List<WorkerCommand> commands = core.onHeartbeat(copy, true, simulation.time());
-    delivered++;
+    deliveredCount++;
     ClusterSimulation.SimulatedWorker worker = simulation.workers.get(copy.machine());
-    fromEarlierEpochs += worker != null && worker.epoch != copy.agentEpoch() ? 1 : 0;
+    earlierEpochCount += worker != null && worker.epoch != copy.agentEpoch() ? 1 : 0;
     assertEquals(placements, placements(core), "a copy changes the placements");
     reconciled(core)
         .forEach(
--- a/src/test/java/io/saltflow/leader/FailoverFaultsTest.java
+++ b/src/test/java/io/saltflow/leader/FailoverFaultsTest.java
@@ -1,9 +1,9 @@
 package io.saltflow.leader;
 
-import static io.saltflow.leader.FaultScenarios.atEachMoment;
-import static io.saltflow.leader.FaultScenarios.cancelSome;
-import static io.saltflow.leader.FaultScenarios.constrained;
-import static io.saltflow.leader.FaultScenarios.running;
+import static io.saltflow.leader.FaultScenarios.atEachStep;
+import static io.saltflow.leader.FaultScenarios.cancelSomeJobs;
+import static io.saltflow.leader.FaultScenarios.withConstrainedJobs;
+import static io.saltflow.leader.FaultScenarios.withRunningJobs;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.saltflow.cluster.JobSpecBuilder;
@@ -22,11 +22,11 @@
   @ValueSource(booleans = {false, true})
   void staleHeartbeatsReachNextLeaderFirst(boolean earlierEpochs) {
     int[] counts = new int[2];
-    atEachMoment(
+    atEachStep(
         60,
-        () -> running(300, 60),
+        () -> withRunningJobs(300, 60),
         (simulation, step) -> {
-          simulation.duplicates.share = 1;
+          simulation.duplicates.probability = 1;
           simulation.run(5);
           if (earlierEpochs) {
             // Long enough for leases to expire; one worker restarts without its tasks.
@@ -39,13 +39,13 @@
                 .forEach(ClusterSimulation.SimulatedWorker::restart);
             simulation.run(10 + step * 0.5);
           }
-          cancelSome(simulation, step);
+          cancelSomeJobs(simulation, step);
           for (int i = 0; i < 3; i++) {
             simulation.failLeader(0);
             simulation.run(1 + step * 0.5);
           }
-          counts[0] += simulation.duplicates.delivered;
-          counts[1] += simulation.duplicates.fromEarlierEpochs;
+          counts[0] += simulation.duplicates.deliveredCount;
+          counts[1] += simulation.duplicates.earlierEpochCount;
         });
     assertTrue(counts[0] > 300, "too few copies delivered: " + counts[0]);
     assertTrue(
@@ -58,16 +58,16 @@
    */
   @Test
   void heartbeatIsDelayedUntilNewLeaderHasLaunched() {
-    atEachMoment(
+    atEachStep(
         80,
-        () -> constrained(310, 60),
+        () -> withConstrainedJobs(310, 60),
         (simulation, step) -> {
           simulation.workers.values().stream()
               .limit(3)
               .forEach(worker -> worker.partitionedUntil = simulation.now + 500L * step);
           simulation.run(step % 5);
           simulation.failLeader(0);
-          cancelSome(simulation, step);
+          cancelSomeJobs(simulation, step);
         });
   }
 
@@ -81,15 +81,15 @@
   void newMachinesReceiveTasksDuringDelayedWritesAndLeaderFailure(
       double delayedWrites, double lostResponses) {
     int[] launched = new int[1];
-    atEachMoment(
+    atEachStep(
         50,
         () -> {
           ClusterSimulation simulation = FaultScenarios.simulation(320);
           simulation.maxMachinesInZone = 6;
-          simulation.bootMs = 500;
-          simulation.bootSteps = 4;
-          simulation.delayedWriteShare = delayedWrites;
-          simulation.lostWriteResponseShare = lostResponses;
+          simulation.minBootMs = 500;
+          simulation.maxExtraBootSteps = 4;
+          simulation.delayedWriteProbability = delayedWrites;
+          simulation.lostWriteResponseProbability = lostResponses;
           for (int i = 1; i <= FaultScenarios.JOBS; i++) {
             simulation.submit(
                 JobSpecBuilder.job(i).team("blue").tasks(6).cores(2).estimateS(20).build());
@@ -109,7 +109,7 @@
               .limit(3)
               .forEach(worker -> worker.partitionedUntil = simulation.now + 14_000);
           simulation.run(3);
-          cancelSome(simulation, step);
+          cancelSomeJobs(simulation, step);
           simulation.run(20);
         });
     assertTrue(launched[0] > 50, "too few machines with tasks: " + launched[0]);
@@ -124,13 +124,13 @@
   @ValueSource(longs = {2_000, 6_000, 12_000})
   void machinesMissingFromLedgerRunNoTasks(long delayMs) {
     int[] missing = new int[1];
-    atEachMoment(
+    atEachStep(
         40,
         () -> {
-          ClusterSimulation simulation = running(325, 60);
+          ClusterSimulation simulation = withRunningJobs(325, 60);
           simulation.maxMachinesInZone = 10;
-          simulation.bootMs = 500;
-          simulation.bootSteps = 4;
+          simulation.minBootMs = 500;
+          simulation.maxExtraBootSteps = 4;
           return simulation;
         },
         (simulation, step) -> {
@@ -142,7 +142,7 @@
           simulation.run(1 + step * 0.5);
           simulation.failLeader(0);
           for (ClusterSimulation.SimulatedWorker worker : simulation.workers.values()) {
-            if (!simulation.inLedger(worker.id)) {
+            if (!simulation.isInLedger(worker.id)) {
               missing[0]++;
               worker.partitionedUntil = simulation.now + 14_000;
             }
@@ -156,16 +156,16 @@
   @ParameterizedTest
   @ValueSource(longs = {0, 8_000, 20_000, 45_000})
   void tenLeadersInTwoMinutes(long outageMs) {
-    atEachMoment(
+    atEachStep(
         24,
-        () -> constrained(330, 30),
+        () -> withConstrainedJobs(330, 30),
         (simulation, step) -> {
           simulation.leaderReadMs = 500L * (step % 4);
-          long first = simulation.termNumber;
+          long first = simulation.lastTermNumber;
           for (int i = 0; i < 10; i++) {
             if (outageMs > 0 && i == 4) {
               simulation.run(step * 0.5);
-              simulation.takeStoreDown(outageMs);
+              simulation.startStoreOutage(outageMs);
             }
             switch ((i + step) % 3) {
               case 0 -> simulation.failLeader(0);
@@ -173,11 +173,11 @@
               default -> simulation.supersede(9_000);
             }
             if (i == 5) {
-              cancelSome(simulation, step);
+              cancelSomeJobs(simulation, step);
             }
             simulation.run(12);
           }
-          long leaders = simulation.termNumber - first;
+          long leaders = simulation.lastTermNumber - first;
           assertTrue(leaders >= (outageMs > 30_000 ? 6 : 9), "too few leaders: " + leaders);
         });
   }
@@ -185,14 +185,14 @@
   /** There is no leader for up to four leases, so the last launches are reported to none. */
   @Test
   void noControllerLeadsForSeveralLeases() {
-    atEachMoment(
+    atEachStep(
         130,
-        () -> constrained(340, 45),
+        () -> withConstrainedJobs(340, 45),
         (simulation, step) -> {
           simulation.failLeader(0);
-          simulation.electAt = simulation.now + 500L * step;
+          simulation.nextElectionAt = simulation.now + 500L * step;
           simulation.run(step * 0.5 + 1);
-          cancelSome(simulation, step);
+          cancelSomeJobs(simulation, step);
         });
   }
 
@@ -202,28 +202,28 @@
    */
   @Test
   void leadershipAlternatesAndOneControllerRestarts() {
-    atEachMoment(
+    atEachStep(
         60,
-        () -> constrained(350, 40),
+        () -> withConstrainedJobs(350, 40),
         (simulation, step) -> {
-          simulation.duplicates.share = 0.5;
-          simulation.delayedWriteShare = 0.2;
-          simulation.lostWriteResponseShare = 0.2;
+          simulation.duplicates.probability = 0.5;
+          simulation.delayedWriteProbability = 0.2;
+          simulation.lostWriteResponseProbability = 0.2;
           for (int i = 0; i < 5; i++) {
             if (i % 2 == 0) {
               simulation.supersede(500L * (step % 9));
             } else {
               simulation.failLeader(0);
-              simulation.electAt = simulation.now + 500;
+              simulation.nextElectionAt = simulation.now + 500;
             }
             simulation.run((step + i) % 4 * 0.5);
           }
           simulation.failLeader(0);
-          simulation.electAt = simulation.now + 500L * (1 + step);
+          simulation.nextElectionAt = simulation.now + 500L * (1 + step);
           simulation.run(1 + step * 0.5);
           simulation.failLeader(0);
-          simulation.electAt = simulation.now + 500;
-          cancelSome(simulation, step);
+          simulation.nextElectionAt = simulation.now + 500;
+          cancelSomeJobs(simulation, step);
         });
   }
 
@@ -235,7 +235,7 @@
   @Test
   void partitionedLeaderLaunchesAndReceivesCompletions() {
     int[] counts = new int[2];
-    atEachMoment(
+    atEachStep(
         80,
         () -> {
           ClusterSimulation simulation = FaultScenarios.simulation(360);
@@ -251,7 +251,7 @@
           simulation.run(20 + step * 0.5);
           simulation.failLeader(30_000);
           simulation.run(step % 8);
-          cancelSome(simulation, step);
+          cancelSomeJobs(simulation, step);
           simulation.run(30);
           counts[0] += simulation.launchesByPartitionedLeaders;
           counts[1] += simulation.completionsToPartitionedLeaders;
--- a/src/test/java/io/saltflow/leader/FailoverQueueOrderTest.java
+++ b/src/test/java/io/saltflow/leader/FailoverQueueOrderTest.java
@@ -71,7 +71,7 @@
         (id, record) ->
             factors.put(
                 id,
-                record.done.cardinality()
+                record.recordedTasks.cardinality()
                     + " "
                     + simulation.leader.core.jobsWithinGuarantee().contains(id)));
     return factors;
@@ -95,7 +95,7 @@
             TestPolicies.withFairShareRules(
                 ClusterSimulation.policy(TimeSpan.millis(ClusterSimulation.LEASE_MS)), rules));
     simulation.clocksSkewed = true;
-    simulation.runtimeFactor = 1.7;
+    simulation.runTimeFactor = 1.7;
     for (int number = 1; number <= JOBS; number++) {
       simulation.submit(job(simulation, number));
       if (number % 20 == 0) {
--- a/src/test/java/io/saltflow/leader/FairShareTest.java
+++ b/src/test/java/io/saltflow/leader/FairShareTest.java
@@ -88,7 +88,7 @@
     ClusterSimulation simulation = new ClusterSimulation(7 + load.ordinal(), policy(rules));
     simulation.maxMachines = MACHINES;
     simulation.maxMachinesInZone = MACHINES / 2;
-    simulation.dropArrivals = dropArrivals;
+    simulation.ignoreSubmissionTimes = dropArrivals;
     int next = 1;
     for (int second = 0; simulation.now < DURATION_SECONDS * 1000; second++) {
       // 96 cores finish a competing job in 5 s, in which time 2.5 more arrive.
@@ -104,7 +104,7 @@
       if (load == CompetingLoad.HALF_THE_MACHINES_LOST && second == 200) {
         simulation.maxMachines = MACHINES / 2;
         List<ClusterSimulation.SimulatedWorker> all = new ArrayList<>(simulation.workers.values());
-        all.subList(0, all.size() / 2).forEach(worker -> worker.dead = true);
+        all.subList(0, all.size() / 2).forEach(worker -> worker.failed = true);
       }
       simulation.run(1);
     }
--- a/src/test/java/io/saltflow/leader/FaultScenarios.java
+++ b/src/test/java/io/saltflow/leader/FaultScenarios.java
@@ -24,7 +24,7 @@
   }
 
   /** Returns a simulation with unconstrained jobs that has run for 40 s. */
-  static ClusterSimulation running(long seed, double estimateS) {
+  static ClusterSimulation withRunningJobs(long seed, double estimateS) {
     ClusterSimulation simulation = simulation(seed);
     simulation.maxMachinesInZone = 3;
     for (int i = 1; i <= JOBS; i++) {
@@ -36,7 +36,7 @@
   }
 
   /** Returns a simulation with various placement constraints, some in a team with a limit. */
-  static ClusterSimulation constrained(long seed, double estimateS) {
+  static ClusterSimulation withConstrainedJobs(long seed, double estimateS) {
     ClusterSimulation simulation = simulation(seed);
     simulation.maxMachinesInZone = 3;
     for (int i = 1; i <= JOBS; i++) {
@@ -58,7 +58,7 @@
   }
 
   /** Runs the script once for each step at which a fault may occur, on a new simulation. */
-  static void atEachMoment(
+  static void atEachStep(
       int steps, Supplier<ClusterSimulation> start, ObjIntConsumer<ClusterSimulation> script) {
     for (int step = 0; step < steps; step++) {
       ClusterSimulation simulation = start.get();
@@ -77,7 +77,7 @@
     assertTrue(simulation.allJobsEnded(), "not all jobs ended, " + scenario);
   }
 
-  static void cancelSome(ClusterSimulation simulation, int first) {
+  static void cancelSomeJobs(ClusterSimulation simulation, int first) {
     for (int i = 0; i < 3; i++) {
       simulation.cancel(new JobId(JobSpecBuilder.id(1 + (first + i) % JOBS)));
     }
--- a/src/test/java/io/saltflow/leader/LeaderHarness.java
+++ b/src/test/java/io/saltflow/leader/LeaderHarness.java
@@ -46,7 +46,7 @@
   public LeaderHarness(Policy policy, List<Job> jobs, String... oldMachines) {
     List<LedgerEntry> ledger = new ArrayList<>();
     for (String machine : oldMachines) {
-      ledger.add(entry(machine));
+      ledger.add(ledgerEntry(machine));
     }
     leader =
         new LeaderCore(
@@ -64,7 +64,7 @@
   /** Replaces the leader by one with the given term; machines and their tasks remain. */
   void failOver(Policy policy, Term newTerm, List<Job> jobs, Resources machineSize) {
     List<LedgerEntry> ledger = new ArrayList<>();
-    tasksByMachine.keySet().forEach(machine -> ledger.add(entry(machine)));
+    tasksByMachine.keySet().forEach(machine -> ledger.add(ledgerEntry(machine)));
     term = newTerm;
     leader =
         new LeaderCore(
@@ -75,7 +75,7 @@
             now);
   }
 
-  private static LedgerEntry entry(String machine) {
+  private static LedgerEntry ledgerEntry(String machine) {
     return new LedgerEntry(new MachineId(machine), "box", "a", false);
   }
 
@@ -96,7 +96,7 @@
   }
 
   /** Advances the time while the machine sends a heartbeat every two seconds. */
-  public void runAndCheckIn(String machine, int seconds) {
+  public void advanceWithHeartbeats(String machine, int seconds) {
     for (int i = 0; i < seconds; i += 2) {
       advance(2);
       sendHeartbeat(machine);
--- a/src/test/java/io/saltflow/leader/LivenessChecks.java
+++ b/src/test/java/io/saltflow/leader/LivenessChecks.java
@@ -24,18 +24,18 @@
    * Time in which half of the jobs submitted before the faults ended must be done. The largest
    * random jobs use all of their team's limit for about four minutes.
    */
-  private static final long HALF_DONE_MS = 600_000;
+  private static final long HALF_COMPLETED_MS = 600_000;
 
   private final ClusterSimulation simulation;
   private final Map<JobId, Long> waitingSince = new HashMap<>();
   private final Map<JobId, Long> unknownSince = new HashMap<>();
-  private final Map<JobId, Integer> runningBefore = new HashMap<>();
+  private final Map<JobId, Integer> previouslyHeld = new HashMap<>();
   private long healthySince = -1;
   private boolean faultsEnded;
-  private boolean halvesChecked;
+  private boolean completionChecked;
 
   /** Longest wait of a job despite free room after the faults ended, in milliseconds. */
-  long longestWait;
+  long longestWaitMs;
 
   /** Job with the longest wait. */
   JobId longestWaitingJob;
@@ -45,7 +45,7 @@
   }
 
   /** Enables the checks; no new faults are injected from now on. */
-  void begin() {
+  void onFaultsEnded() {
     faultsEnded = true;
   }
 
@@ -72,11 +72,11 @@
       }
     }
     checkLargestStarted();
-    if (!halvesChecked && simulation.now - healthySince >= HALF_DONE_MS) {
-      halvesChecked = true;
-      checkHalfDone("class", record -> record.spec.jobClass(), false);
-      checkHalfDone("team", record -> record.spec.team(), false);
-      checkHalfDone("largest jobs of class", record -> record.spec.jobClass(), true);
+    if (!completionChecked && simulation.now - healthySince >= HALF_COMPLETED_MS) {
+      completionChecked = true;
+      checkHalfCompleted("class", record -> record.spec.jobClass(), false);
+      checkHalfCompleted("team", record -> record.spec.team(), false);
+      checkHalfCompleted("largest jobs of class", record -> record.spec.jobClass(), true);
     }
   }
 
@@ -84,7 +84,7 @@
     Map<String, Double> used = new HashMap<>();
     for (ClusterSimulation.SimulatedWorker worker : simulation.workers.values()) {
       for (TaskId id : worker.tasks.keySet()) {
-        if (worker.holds(id)) {
+        if (worker.holdsTask(id)) {
           JobSpec spec = simulation.records.get(id.job()).spec;
           used.merge(spec.team(), spec.size().cores(), Double::sum);
         }
@@ -99,22 +99,24 @@
     int held = 0;
     for (ClusterSimulation.SimulatedWorker worker : simulation.workers.values()) {
       for (TaskId task : worker.tasks.keySet()) {
-        if (task.job().equals(id) && worker.holds(task)) {
+        if (task.job().equals(id) && worker.holdsTask(task)) {
           held++;
           byZone.merge(worker.zone, 1, Integer::sum);
         }
       }
     }
-    int heldBefore = runningBefore.getOrDefault(id, 0);
-    runningBefore.put(id, held);
-    boolean pending = held + record.completed.cardinality() < record.spec.tasks();
-    if (!pending || held > heldBefore || !hasRoom(record.spec, byZone, held, teamCores)) {
+    int heldBefore = previouslyHeld.getOrDefault(id, 0);
+    previouslyHeld.put(id, held);
+    boolean pending = held + record.completedTasks.cardinality() < record.spec.tasks();
+    if (!pending
+        || held > heldBefore
+        || !fitsOnHealthyMachine(record.spec, byZone, held, teamCores)) {
       waitingSince.remove(id);
       return;
     }
     long since = waitingSince.computeIfAbsent(id, key -> simulation.now);
-    if (simulation.now - since > longestWait) {
-      longestWait = simulation.now - since;
+    if (simulation.now - since > longestWaitMs) {
+      longestWaitMs = simulation.now - since;
       longestWaitingJob = id;
     }
     if (simulation.now - since == MAX_WAIT_MS) {
@@ -122,14 +124,15 @@
     }
   }
 
-  private boolean hasRoom(JobSpec spec, Map<String, Integer> byZone, int held, double teamCores) {
+  private boolean fitsOnHealthyMachine(
+      JobSpec spec, Map<String, Integer> byZone, int held, double teamCores) {
     double limit = simulation.policy.teams().get(spec.team()).coreLimit();
     if (limit > 0 && teamCores + spec.size().cores() > limit) {
       return false;
     }
     for (ClusterSimulation.SimulatedWorker worker : simulation.workers.values()) {
       int here = byZone.getOrDefault(worker.zone, 0);
-      Resources free = ClusterSimulation.MACHINE_TYPE.size().minus(worker.used());
+      Resources free = ClusterSimulation.MACHINE_TYPE.size().minus(worker.usedResources());
       if (worker.isHealthy()
           && spec.allows(ClusterSimulation.MACHINE_TYPE.name(), worker.zone, worker.spot)
           && spec.size().fitsIn(free)
@@ -152,14 +155,14 @@
     }
   }
 
-  private static double size(ClusterSimulation.JobRecord record) {
+  private static double totalCores(ClusterSimulation.JobRecord record) {
     return record.spec.tasks() * record.spec.size().cores();
   }
 
   private Map<String, Double> largestByClass() {
     Map<String, Double> largest = new HashMap<>();
     for (ClusterSimulation.JobRecord record : simulation.records.values()) {
-      largest.merge(record.spec.jobClass(), size(record), Math::max);
+      largest.merge(record.spec.jobClass(), totalCores(record), Math::max);
     }
     return largest;
   }
@@ -168,7 +171,7 @@
     Map<String, Double> largest = largestByClass();
     for (ClusterSimulation.JobRecord record : simulation.records.values()) {
       long since = Math.max(healthySince, record.submittedAt);
-      boolean isLargest = size(record) == largest.get(record.spec.jobClass());
+      boolean isLargest = totalCores(record) == largest.get(record.spec.jobClass());
       if (isLargest
           && !record.ended
           && record.startedAt < 0
@@ -178,12 +181,13 @@
     }
   }
 
-  private void checkHalfDone(
+  private void checkHalfCompleted(
       String group, Function<ClusterSimulation.JobRecord, String> groupBy, boolean largestOnly) {
     Map<String, Double> largest = largestByClass();
     Map<String, int[]> counts = new TreeMap<>();
     for (ClusterSimulation.JobRecord record : simulation.records.values()) {
-      boolean counted = !largestOnly || size(record) >= largest.get(record.spec.jobClass()) / 2;
+      boolean counted =
+          !largestOnly || totalCores(record) >= largest.get(record.spec.jobClass()) / 2;
       if (counted
           && record.cancelledAt < 0
           && record.submittedAt < healthySince
--- a/src/test/java/io/saltflow/leader/MachineFault.java
+++ b/src/test/java/io/saltflow/leader/MachineFault.java
@@ -2,25 +2,25 @@
 
 /** Fault that interrupts the communication between the leader and a machine. */
 enum MachineFault {
-  HANGS {
+  PROCESS_PAUSE {
     @Override
     void apply(ClusterSimulation.SimulatedWorker worker, long until) {
-      worker.hungUntil = until;
+      worker.pausedUntil = until;
     }
   },
-  IS_PARTITIONED {
+  PARTITION {
     @Override
     void apply(ClusterSimulation.SimulatedWorker worker, long until) {
       worker.partitionedUntil = until;
     }
   },
-  LOSES_INBOUND {
+  INBOUND_LOSS {
     @Override
     void apply(ClusterSimulation.SimulatedWorker worker, long until) {
       worker.inboundLostUntil = until;
     }
   },
-  LOSES_OUTBOUND {
+  OUTBOUND_LOSS {
     @Override
     void apply(ClusterSimulation.SimulatedWorker worker, long until) {
       worker.outboundLostUntil = until;
--- a/src/test/java/io/saltflow/leader/PipelineDeadlinesTest.java
+++ b/src/test/java/io/saltflow/leader/PipelineDeadlinesTest.java
@@ -140,7 +140,7 @@
       }
       last.add(previous);
     }
-    pipeline.runUntilOver(1500);
+    pipeline.runUntilAllJobsEnd(1500);
     int countInTime = 0;
     for (int chainIndex = 0; chainIndex < CHAINS; chainIndex++) {
       ClusterSimulation.JobRecord end = pipeline.record(last.get(chainIndex));
--- a/src/test/java/io/saltflow/leader/PipelineSimulation.java
+++ b/src/test/java/io/saltflow/leader/PipelineSimulation.java
@@ -16,7 +16,7 @@
   final List<String> violations = new ArrayList<>();
 
   /** Probability that the response to a recorded cancellation is lost. */
-  double lostResponseShare;
+  double lostResponseProbability;
 
   /** Seeded fault: whether a job without a recorded end is treated as done. */
   boolean treatsRemovalAsDone;
@@ -52,10 +52,10 @@
       simulation.step();
       boolean storeReachable =
           simulation.leader != null
-              && simulation.leader.storeReachable()
+              && simulation.leader.canReachStore()
               && !simulation.leader.isPartitioned();
       if (storeReachable && core() != null) {
-        readEnds();
+        readEndedDependencies();
         cancelDependents();
       }
       check();
@@ -63,7 +63,7 @@
     assertEquals(List.of(), simulation.violations);
   }
 
-  private void readEnds() {
+  private void readEndedDependencies() {
     List<JobId> toRead = new ArrayList<>(core().dependencies().completionsToRead());
     toRead.addAll(core().dependencies().completionsToReadForTimes());
     for (JobId id : toRead) {
@@ -79,7 +79,7 @@
   private void cancelDependents() {
     for (JobId id : core().dependencies().jobsToCancel()) {
       ClusterSimulation.JobRecord record = record(id);
-      boolean acknowledged = !simulation.chance(lostResponseShare);
+      boolean acknowledged = !simulation.chance(lostResponseProbability);
       if (!record.ended) {
         record.ended = true;
         record.cancelledAt = simulation.now;
@@ -97,13 +97,15 @@
       for (JobId id : record.spec.dependencies()) {
         ClusterSimulation.JobRecord dependency = record(id);
         boolean done =
-            dependency.doneAt >= 0 && dependency.completed.cardinality() == dependency.spec.tasks();
+            dependency.doneAt >= 0
+                && dependency.completedTasks.cardinality() == dependency.spec.tasks();
         if (record.startedAt >= 0 && (!done || dependency.doneAt > record.startedAt)) {
           violations.add("too_early: " + record.spec.id() + " at " + record.startedAt);
         }
         boolean overdue =
             dependency.cancelledAt >= 0
-                && simulation.now > dependency.cancelledAt + ClusterSimulation.CANCEL_BOUND_MS;
+                && simulation.now
+                    > dependency.cancelledAt + ClusterSimulation.CANCELLATION_BOUND_MS;
         if (overdue && !record.ended) {
           violations.add("orphaned: " + record.spec.id() + " at " + simulation.now);
         }
@@ -111,7 +113,7 @@
     }
   }
 
-  void runUntilOver(double maxSeconds) {
+  void runUntilAllJobsEnd(double maxSeconds) {
     for (double elapsed = 0; elapsed < maxSeconds && !simulation.allJobsEnded(); elapsed += 5) {
       run(5);
     }
@@ -119,11 +121,11 @@
     assertEquals(List.of(), violations);
   }
 
-  boolean done(JobId id) {
+  boolean isDone(JobId id) {
     return record(id).doneAt >= 0;
   }
 
-  boolean cancelled(JobId id) {
+  boolean isCancelled(JobId id) {
     return record(id).cancelledAt >= 0;
   }
 }
--- a/src/test/java/io/saltflow/leader/QuotaChecks.java
+++ b/src/test/java/io/saltflow/leader/QuotaChecks.java
@@ -26,7 +26,7 @@
   /** A worker paused beyond its lease discards its tasks before it does anything else. */
   private boolean mayRunTasks(ClusterSimulation.SimulatedWorker worker) {
     boolean leaseExpired = simulation.now - worker.leaseRenewedAt > ClusterSimulation.LEASE_MS;
-    return !worker.dead && !(leaseExpired && simulation.now < worker.hungUntil);
+    return !worker.failed && !(leaseExpired && simulation.now < worker.pausedUntil);
   }
 
   private void addTasks(ClusterSimulation.SimulatedWorker worker, Map<String, Resources> used) {
--- a/src/test/java/io/saltflow/leader/QuotaFaultsTest.java
+++ b/src/test/java/io/saltflow/leader/QuotaFaultsTest.java
@@ -28,7 +28,7 @@
  * cancelled. Tasks on such a machine count towards the limit until they are known to have ended.
  */
 class QuotaFaultsTest {
-  static final MachineType GPU_BOX =
+  static final MachineType GPU_MACHINE_TYPE =
       new MachineType(
           "box", new Resources(8, 2, 32), 1, 0.4, 0.1, TimeSpan.seconds(15), List.of("a", "b"));
 
@@ -37,7 +37,7 @@
           TimeSpan.millis(ClusterSimulation.LEASE_MS),
           LeaderLease.workerRenewalBound(
               TimeSpan.millis(ClusterSimulation.LEASE_MS),
-              TimeSpan.millis(ClusterSimulation.CANCEL_BOUND_MS)),
+              TimeSpan.millis(ClusterSimulation.CANCELLATION_BOUND_MS)),
           1800,
           new Policy.TeamQuota("red", 0, 16, 0, 0),
           new Policy.TeamQuota("blue", 0, 0, 0, 2),
@@ -68,7 +68,7 @@
 
   private static ClusterSimulation withTeamsAtLimits(long seed) {
     ClusterSimulation simulation = new ClusterSimulation(seed, POLICY);
-    simulation.machineType = GPU_BOX;
+    simulation.machineType = GPU_MACHINE_TYPE;
     for (int i = 0; i < JOBS_PER_TEAM; i++) {
       simulation.submit(
           JobSpecBuilder.job(jobNumber("red", i))
@@ -127,12 +127,12 @@
           faultStep++) {
         ClusterSimulation simulation = withTeamsAtLimits(cancelStep + 100);
         assertTrue(
-            simulation.startCount >= 6,
-            "too few task starts to reach the limits: " + simulation.startCount);
+            simulation.taskStartCount >= 6,
+            "too few task starts to reach the limits: " + simulation.taskStartCount);
         for (int step = 0; step <= LAST_CANCEL_STEP + MAX_FAULT_DELAY_STEPS; step++) {
           if (step == 0 || step == SECOND_FAILOVER_STEP) {
             simulation.failLeader(0);
-            simulation.electAt = simulation.now + ClusterSimulation.STEP_MS;
+            simulation.nextElectionAt = simulation.now + ClusterSimulation.STEP_MS;
           }
           if (step == cancelStep) {
             cancelRunningJobs(simulation);
--- a/src/test/java/io/saltflow/leader/RandomFault.java
+++ b/src/test/java/io/saltflow/leader/RandomFault.java
@@ -8,102 +8,102 @@
 
 /** Fault that a randomized simulation injects. */
 enum RandomFault {
-  MACHINES_LOSE_OUTBOUND {
+  OUTBOUND_LOSS {
     @Override
     void apply(ClusterSimulation simulation) {
-      applyToSome(simulation, MachineFault.LOSES_OUTBOUND, 120);
+      applyToSome(simulation, MachineFault.OUTBOUND_LOSS, 120);
     }
   },
-  MACHINES_HANG {
+  PROCESS_PAUSE {
     @Override
     void apply(ClusterSimulation simulation) {
-      applyToSome(simulation, MachineFault.HANGS, 40);
+      applyToSome(simulation, MachineFault.PROCESS_PAUSE, 40);
     }
   },
-  MACHINES_ARE_PARTITIONED {
+  MACHINE_PARTITION {
     @Override
     void apply(ClusterSimulation simulation) {
-      applyToSome(simulation, MachineFault.IS_PARTITIONED, 60);
+      applyToSome(simulation, MachineFault.PARTITION, 60);
     }
   },
-  MACHINES_LOSE_INBOUND {
+  INBOUND_LOSS {
     @Override
     void apply(ClusterSimulation simulation) {
-      applyToSome(simulation, MachineFault.LOSES_INBOUND, 120);
+      applyToSome(simulation, MachineFault.INBOUND_LOSS, 120);
     }
   },
-  MACHINES_RESTART {
+  WORKER_RESTART {
     @Override
     void apply(ClusterSimulation simulation) {
-      ClusterSimulation.SimulatedWorker worker = simulation.anyWorker();
+      ClusterSimulation.SimulatedWorker worker = simulation.randomWorker();
       if (worker != null) {
         worker.restart();
       }
     }
   },
-  RUNNING_JOBS_ARE_CANCELLED_AND_HANG {
+  CANCELLATION_ON_PAUSED_MACHINE {
     @Override
     void apply(ClusterSimulation simulation) {
-      ClusterSimulation.SimulatedWorker worker = simulation.anyWorker();
+      ClusterSimulation.SimulatedWorker worker = simulation.randomWorker();
       if (worker != null) {
         worker.tasks.keySet().stream().limit(2).map(TaskId::job).forEach(simulation::cancel);
-        worker.hungUntil = simulation.now + steps(simulation, 30);
+        worker.pausedUntil = simulation.now + randomDurationMs(simulation, 30);
       }
     }
   },
-  JOBS_ARE_CANCELLED_AS_THEY_END {
+  CANCELLATION_AT_COMPLETION {
     @Override
     void apply(ClusterSimulation simulation) {
       completingJobs(simulation).forEach(simulation::cancel);
     }
   },
-  LEADERS_FAIL_OVER {
+  FAILOVER {
     @Override
     void apply(ClusterSimulation simulation) {
-      simulation.failLeader(simulation.chance(0.5) ? steps(simulation, 60) : 0);
+      simulation.failLeader(simulation.chance(0.5) ? randomDurationMs(simulation, 60) : 0);
       if (simulation.chance(0.3)) {
-        simulation.electAt = simulation.now + ClusterSimulation.STEP_MS;
+        simulation.nextElectionAt = simulation.now + ClusterSimulation.STEP_MS;
       }
     }
   },
-  LEADERS_ARE_SUPERSEDED {
+  SUPERSEDED_LEADER {
     @Override
     void apply(ClusterSimulation simulation) {
-      simulation.supersede(steps(simulation, 50));
+      simulation.supersede(randomDurationMs(simulation, 50));
     }
   },
-  STORE_REFUSES {
+  STORE_OUTAGE {
     @Override
     void apply(ClusterSimulation simulation) {
-      simulation.refuseLeader(steps(simulation, 60));
+      simulation.disconnectLeaderFromStore(randomDurationMs(simulation, 60));
       if (simulation.chance(0.3)) {
         simulation.run(1);
-        simulation.takeStoreDown(steps(simulation, 130));
+        simulation.startStoreOutage(randomDurationMs(simulation, 130));
       }
     }
   },
-  CLOUD_IS_DOWN {
+  CLOUD_OUTAGE {
     @Override
     void apply(ClusterSimulation simulation) {
-      simulation.cloudDownUntil = simulation.now + steps(simulation, 120);
+      simulation.cloudOutageUntil = simulation.now + randomDurationMs(simulation, 120);
     }
   },
-  DUPLICATES_ARRIVE_LATE {
+  LATE_DUPLICATES {
     @Override
     void prepare(ClusterSimulation simulation) {
-      simulation.duplicateShare = 0.1;
+      simulation.duplicateProbability = 0.1;
     }
   },
-  WRITES_ARE_LATE {
+  DELAYED_WRITES {
     @Override
     void prepare(ClusterSimulation simulation) {
-      simulation.delayedWriteShare = 0.1;
+      simulation.delayedWriteProbability = 0.1;
     }
   },
-  RESPONSES_ARE_SLOW {
+  SLOW_RESPONSES {
     @Override
     void prepare(ClusterSimulation simulation) {
-      simulation.slowResponseShare = 0.2;
+      simulation.slowResponseProbability = 0.2;
       simulation.leaderReadMs = 1000;
     }
   };
@@ -114,12 +114,12 @@
   /** Injects the fault once. */
   void apply(ClusterSimulation simulation) {}
 
-  private static long steps(ClusterSimulation simulation, int maxSteps) {
+  private static long randomDurationMs(ClusterSimulation simulation, int maxSteps) {
     return simulation.random.nextInt(maxSteps) * ClusterSimulation.STEP_MS;
   }
 
   private static void applyToSome(ClusterSimulation simulation, MachineFault fault, int maxSteps) {
-    long until = simulation.now + steps(simulation, maxSteps);
+    long until = simulation.now + randomDurationMs(simulation, maxSteps);
     for (ClusterSimulation.SimulatedWorker worker : simulation.workers.values()) {
       if (simulation.chance(0.3)) {
         fault.apply(worker, until);
--- a/src/test/java/io/saltflow/leader/RandomFaultCombinationsTest.java
+++ b/src/test/java/io/saltflow/leader/RandomFaultCombinationsTest.java
@@ -46,16 +46,16 @@
     ClusterSimulation simulation = FaultScenarios.simulation(seed);
     jobs = 0;
     simulation.maxMachinesInZone = 10;
-    simulation.bootMs = seed % 2 == 0 ? 500 : 4000;
-    simulation.bootSteps = 4;
+    simulation.minBootMs = seed % 2 == 0 ? 500 : 4000;
+    simulation.maxExtraBootSteps = 4;
     simulation.leaderReadMs = 500 * (seed % 4);
-    simulation.lostResponseShare = 0.02;
+    simulation.lostResponseProbability = 0.02;
     submitJobs(simulation, 8);
     simulation.run(30);
     for (int i = 0; i < COMBINATIONS; i++) {
       combineFaults(simulation);
     }
-    simulation.lostResponseShare = 0;
+    simulation.lostResponseProbability = 0;
     return simulation;
   }
 
@@ -95,30 +95,31 @@
       }
     }
     simulation.run(PAUSE_SECONDS * simulation.random.nextDouble());
-    simulation.delayedWriteShare = 0;
-    simulation.lostWriteResponseShare = 0;
-    simulation.duplicates.share = 0;
+    simulation.delayedWriteProbability = 0;
+    simulation.lostWriteResponseProbability = 0;
+    simulation.duplicates.probability = 0;
   }
 
   private void inject(ClusterSimulation simulation, Fault fault) {
     long durationMs = 500L * simulation.random.nextInt(100);
     switch (fault) {
-      case DUPLICATES_TO_NEXT_LEADER -> simulation.duplicates.share = 0.7;
-      case DELAYED_WRITES -> simulation.delayedWriteShare = 0.4;
-      case LOST_WRITE_RESPONSES -> simulation.lostWriteResponseShare = 0.4;
+      case DUPLICATES_TO_NEXT_LEADER -> simulation.duplicates.probability = 0.7;
+      case DELAYED_WRITES -> simulation.delayedWriteProbability = 0.4;
+      case LOST_WRITE_RESPONSES -> simulation.lostWriteResponseProbability = 0.4;
       case LEADER_CRASH -> simulation.failLeader(0);
       case LEADER_PARTITION -> simulation.failLeader(durationMs);
       case LEADER_SUPERSEDED -> simulation.supersede(durationMs);
       case REPEATED_FAILOVERS -> failOverRepeatedly(simulation);
       case NO_LEADER -> {
         simulation.failLeader(0);
-        simulation.electAt = Math.max(simulation.electAt, simulation.now + durationMs);
+        simulation.nextElectionAt =
+            Math.max(simulation.nextElectionAt, simulation.now + durationMs);
       }
       case ZONE_PARTITION ->
-          simulation.zoneCutUntil.put(
+          simulation.zonePartitionedUntil.put(
               simulation.chance(0.5) ? "a" : "b", simulation.now + durationMs);
-      case LEADER_LOSES_STORE -> simulation.refuseLeader(durationMs);
-      case STORE_OUTAGE -> simulation.takeStoreDown(durationMs);
+      case LEADER_LOSES_STORE -> simulation.disconnectLeaderFromStore(durationMs);
+      case STORE_OUTAGE -> simulation.startStoreOutage(durationMs);
       case CANCELLATIONS -> cancelSomeJobs(simulation);
       case SCALE_OUT -> submitJobs(simulation, 6);
       default -> injectMachineFault(simulation, fault, durationMs);
@@ -145,14 +146,14 @@
   private static void injectMachineFault(
       ClusterSimulation simulation, Fault fault, long durationMs) {
     for (int i = 0; i < 4; i++) {
-      ClusterSimulation.SimulatedWorker worker = simulation.anyWorker();
+      ClusterSimulation.SimulatedWorker worker = simulation.randomWorker();
       if (worker == null) {
         return;
       }
       switch (fault) {
-        case PROCESS_PAUSES -> worker.hungUntil = simulation.now + Math.min(durationMs, 30_000);
+        case PROCESS_PAUSES -> worker.pausedUntil = simulation.now + Math.min(durationMs, 30_000);
         case INBOUND_LOSS -> worker.inboundLostUntil = simulation.now + durationMs;
-        case MACHINE_FAILURES -> worker.dead = true;
+        case MACHINE_FAILURES -> worker.failed = true;
         default -> worker.restart();
       }
     }
@@ -161,7 +162,7 @@
   private void runAndAssert(long seed) {
     ClusterSimulation simulation = simulate(seed);
     FaultScenarios.assertRecovers(simulation, "seed " + seed);
-    assertTrue(simulation.startCount > 20, "too few task starts: " + simulation.startCount);
+    assertTrue(simulation.taskStartCount > 20, "too few task starts: " + simulation.taskStartCount);
   }
 
   @ParameterizedTest
--- a/src/test/java/io/saltflow/leader/RandomFaultsTest.java
+++ b/src/test/java/io/saltflow/leader/RandomFaultsTest.java
@@ -22,13 +22,13 @@
 
   private static ClusterSimulation simulate(long seed, Policy policy, boolean ignoreLedger) {
     ClusterSimulation simulation = new ClusterSimulation(seed, policy);
-    simulation.dropLedger = ignoreLedger;
+    simulation.ignoreLedger = ignoreLedger;
     return run(simulation, DURATION_SECONDS, 14);
   }
 
   private static ClusterSimulation run(
       ClusterSimulation simulation, double durationS, int maxTasks) {
-    simulation.lostResponseShare = 0.02;
+    simulation.lostResponseProbability = 0.02;
     int next = 1;
     while (simulation.now < durationS * 1000) {
       if (simulation.chance(0.06)) {
@@ -40,7 +40,7 @@
     // No more faults are injected, so all jobs must end. Delays and duplicates continue for a
     // while;
     // once they stop as well, the liveness checks apply.
-    simulation.lostResponseShare = 0;
+    simulation.lostResponseProbability = 0;
     simulation.run(TRAILING_FAULTS_SECONDS);
     simulation.endFaults();
     for (int i = 0; i < 5000 && !simulation.allJobsEnded(); i++) {
@@ -73,18 +73,18 @@
       simulation.supersede(simulation.random.nextInt(50) * 500L);
     }
     if (simulation.chance(0.004)) {
-      simulation.cloudDownUntil = simulation.now + 20_000;
+      simulation.cloudOutageUntil = simulation.now + 20_000;
     }
     if (simulation.storeFaults && simulation.chance(0.012)) {
       injectStoreFaults(simulation, jobs);
     }
-    ClusterSimulation.SimulatedWorker worker = simulation.anyWorker();
+    ClusterSimulation.SimulatedWorker worker = simulation.randomWorker();
     if (worker != null && simulation.chance(0.03)) {
       switch (simulation.random.nextInt(4)) {
-        case 0 -> worker.dead = true;
+        case 0 -> worker.failed = true;
         case 1 -> worker.partitionedUntil = simulation.now + simulation.random.nextInt(60) * 500L;
-        case 2 -> worker.hungUntil = simulation.now + simulation.random.nextInt(25) * 500L;
-        default -> worker.failsAll = true;
+        case 2 -> worker.pausedUntil = simulation.now + simulation.random.nextInt(25) * 500L;
+        default -> worker.failsAllTasks = true;
       }
     }
     if (worker != null && simulation.asymmetricPartitions && simulation.chance(0.03)) {
@@ -105,13 +105,13 @@
    */
   private static void injectStoreFaults(ClusterSimulation simulation, int jobs) {
     long outageMs = 1000 + simulation.random.nextInt(60) * 500L;
-    simulation.refuseLeader(outageMs);
+    simulation.disconnectLeaderFromStore(outageMs);
     for (int i = 0; i < 3 && jobs > 1; i++) {
       simulation.cancel(new JobId(JobSpecBuilder.id(1 + simulation.random.nextInt(jobs - 1))));
     }
     simulation.run(simulation.random.nextInt(30) * 0.5);
     if (simulation.chance(0.5)) {
-      simulation.takeStoreDown(1000 + simulation.random.nextInt(130) * 500L);
+      simulation.startStoreOutage(1000 + simulation.random.nextInt(130) * 500L);
     }
     if (simulation.chance(0.3)) {
       simulation.run(simulation.random.nextInt(10) * 0.5);
@@ -126,7 +126,7 @@
         simulate(
             seed, ClusterSimulation.policy(TimeSpan.millis(ClusterSimulation.LEASE_MS)), false);
     assertEquals("", String.join("\n", simulation.violations));
-    assertTrue(simulation.startCount > 50, "too few task starts: " + simulation.startCount);
+    assertTrue(simulation.taskStartCount > 50, "too few task starts: " + simulation.taskStartCount);
     assertTrue(simulation.allJobsEnded(), "not all jobs ended");
   }
 
@@ -141,7 +141,8 @@
     simulation.maxMachines = 150;
     run(simulation, 150, 150);
     assertEquals("", String.join("\n", simulation.violations));
-    assertTrue(simulation.startCount > 300, "too few task starts: " + simulation.startCount);
+    assertTrue(
+        simulation.taskStartCount > 300, "too few task starts: " + simulation.taskStartCount);
     assertTrue(simulation.allJobsEnded(), "not all jobs ended");
   }
 
@@ -158,7 +159,7 @@
     simulation.supersede = true;
     run(simulation, DURATION_SECONDS, 14);
     assertEquals("", String.join("\n", simulation.violations));
-    assertTrue(simulation.termNumber > 5, "too few terms: " + simulation.termNumber);
+    assertTrue(simulation.lastTermNumber > 5, "too few terms: " + simulation.lastTermNumber);
     assertTrue(simulation.allJobsEnded(), "not all jobs ended");
   }
 
@@ -168,7 +169,7 @@
         new ClusterSimulation(
             seed, ClusterSimulation.policy(TimeSpan.millis(ClusterSimulation.LEASE_MS)));
     simulation.asymmetricPartitions = true;
-    simulation.duplicateShare = 0.05;
+    simulation.duplicateProbability = 0.05;
     simulation.supersede = supersede;
     return run(simulation, DURATION_SECONDS, 14);
   }
@@ -179,9 +180,9 @@
         new ClusterSimulation(
             seed, ClusterSimulation.policy(TimeSpan.millis(ClusterSimulation.LEASE_MS)));
     simulation.asymmetricPartitions = true;
-    simulation.duplicateShare = 0.05;
-    simulation.delayedWriteShare = 0.05;
-    simulation.slowResponseShare = 0.1;
+    simulation.duplicateProbability = 0.05;
+    simulation.delayedWriteProbability = 0.05;
+    simulation.slowResponseProbability = 0.1;
     simulation.leaderReadMs = 1000;
     simulation.storeFaults = true;
     simulation.supersede = seed % 2 == 0;
--- a/src/test/java/io/saltflow/leader/RandomQuotaFaultsTest.java
+++ b/src/test/java/io/saltflow/leader/RandomQuotaFaultsTest.java
@@ -50,7 +50,7 @@
 
   private static void runAndAssert(long seed) {
     ClusterSimulation simulation = new ClusterSimulation(seed, QuotaFaultsTest.POLICY);
-    simulation.machineType = QuotaFaultsTest.GPU_BOX;
+    simulation.machineType = QuotaFaultsTest.GPU_MACHINE_TYPE;
     List<RandomFault> faults = randomFaults(simulation);
     faults.forEach(fault -> fault.prepare(simulation));
     int jobs = 0;
@@ -70,13 +70,13 @@
     }
     endDelays(simulation);
     SimulationAssertions.assertAllJobsEnd(simulation, "seed " + seed + " with " + faults);
-    assertTrue(simulation.startCount > 20, "too few task starts: " + simulation.startCount);
+    assertTrue(simulation.taskStartCount > 20, "too few task starts: " + simulation.taskStartCount);
   }
 
   private static void endDelays(ClusterSimulation simulation) {
-    simulation.delayedWriteShare = 0;
-    simulation.slowResponseShare = 0;
-    simulation.duplicateShare = 0;
+    simulation.delayedWriteProbability = 0;
+    simulation.slowResponseProbability = 0;
+    simulation.duplicateProbability = 0;
   }
 
   @ParameterizedTest
--- a/src/test/java/io/saltflow/leader/SchedulingRoundTest.java
+++ b/src/test/java/io/saltflow/leader/SchedulingRoundTest.java
@@ -69,15 +69,15 @@
             .priority(Priority.LOW)
             .build());
     harness.sendHeartbeat("vm-1");
-    harness.runAndCheckIn("vm-1", 20);
+    harness.advanceWithHeartbeats("vm-1", 20);
     harness.exitTask("vm-1", LeaderHarness.task(1, 0), WorkerHeartbeat.ExitCause.DONE);
-    harness.runAndCheckIn("vm-1", 20);
+    harness.advanceWithHeartbeats("vm-1", 20);
     harness.exitTask("vm-1", LeaderHarness.task(4, 0), WorkerHeartbeat.ExitCause.DONE);
-    harness.runAndCheckIn("vm-1", 30);
+    harness.advanceWithHeartbeats("vm-1", 30);
     harness.exitTask("vm-1", LeaderHarness.task(2, 0), WorkerHeartbeat.ExitCause.DONE);
-    harness.runAndCheckIn("vm-1", 40);
+    harness.advanceWithHeartbeats("vm-1", 40);
     harness.exitTask("vm-1", LeaderHarness.task(3, 0), WorkerHeartbeat.ExitCause.DONE);
-    harness.runAndCheckIn("vm-1", 2);
+    harness.advanceWithHeartbeats("vm-1", 2);
     GoldenTraces.check("figure3", harness.trace);
   }
 
@@ -121,7 +121,7 @@
             .priority(Priority.LOW)
             .build());
     harness.sendHeartbeat("vm-1");
-    harness.runAndCheckIn("vm-1", 20);
+    harness.advanceWithHeartbeats("vm-1", 20);
     harness.submit(JobSpecBuilder.job(4).cores(3).estimateS(10).priority(Priority.HIGH).build());
     harness.sendHeartbeat("vm-1");
     harness.advance(3);
@@ -136,7 +136,7 @@
     LeaderHarness harness = oneMachine(1800);
     harness.submit(JobSpecBuilder.job(1).cores(10).estimateS(30).priority(Priority.LOW).build());
     harness.sendHeartbeat("vm-1");
-    harness.runAndCheckIn("vm-1", 26);
+    harness.advanceWithHeartbeats("vm-1", 26);
     harness.submit(JobSpecBuilder.job(2).cores(3).estimateS(10).priority(Priority.HIGH).build());
     assertTrue(harness.sendHeartbeat("vm-1").isEmpty(), "a task that ends in 5 s was preempted");
   }
@@ -308,7 +308,7 @@
     harness.submit(JobSpecBuilder.job(1).cores(10).estimateS(20).build());
     harness.sendHeartbeat("vm-1s");
     harness.sendHeartbeat("vm-2");
-    harness.runAndCheckIn("vm-2", 4);
+    harness.advanceWithHeartbeats("vm-2", 4);
     harness.submit(JobSpecBuilder.job(2).cores(3).estimateS(20).build());
     assertEquals(
         List.of(),
@@ -333,9 +333,9 @@
     harness.submit(JobSpecBuilder.job(1).cores(10).estimateS(90).build());
     harness.sendHeartbeat("vm-1");
     harness.submit(JobSpecBuilder.job(2).cores(10).estimateS(20).priority(Priority.LOW).build());
-    harness.runAndCheckIn("vm-1", 60);
+    harness.advanceWithHeartbeats("vm-1", 60);
     harness.submit(JobSpecBuilder.job(3).cores(10).estimateS(20).build());
-    harness.runAndCheckIn("vm-1", 20);
+    harness.advanceWithHeartbeats("vm-1", 20);
     harness.exitTask("vm-1", LeaderHarness.task(1, 0), WorkerHeartbeat.ExitCause.DONE);
     assertEquals(List.of(LeaderHarness.task(2, 0)), launches(harness.sendHeartbeat("vm-1")));
   }
@@ -384,7 +384,7 @@
     harness.sendHeartbeat("vm-1");
     harness.submit(
         JobSpecBuilder.job(2).cores(10).estimateS(20).priority(Priority.LOW).deadlineS(90).build());
-    harness.runAndCheckIn("vm-1", 50);
+    harness.advanceWithHeartbeats("vm-1", 50);
     harness.submit(JobSpecBuilder.job(3).cores(10).estimateS(20).build());
     harness.exitTask("vm-1", LeaderHarness.task(1, 0), WorkerHeartbeat.ExitCause.DONE);
     assertEquals(List.of(LeaderHarness.task(2, 0)), launches(harness.sendHeartbeat("vm-1")));
--- a/src/test/java/io/saltflow/leader/SlowNetworkTest.java
+++ b/src/test/java/io/saltflow/leader/SlowNetworkTest.java
@@ -1,7 +1,7 @@
 package io.saltflow.leader;
 
-import static io.saltflow.leader.FaultScenarios.atEachMoment;
-import static io.saltflow.leader.FaultScenarios.cancelSome;
+import static io.saltflow.leader.FaultScenarios.atEachStep;
+import static io.saltflow.leader.FaultScenarios.cancelSomeJobs;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.saltflow.cluster.JobSpecBuilder;
@@ -65,17 +65,17 @@
   @ParameterizedTest
   @CsvSource({"0.3, 0", "0.6, 0", "0.3, 0.3"})
   void urgentJobsStartInTimeOnSlowNetwork(double slowResponseShare, double delayedWriteShare) {
-    atEachMoment(
+    atEachStep(
         40,
         SlowNetworkTest::overloaded,
         (simulation, moment) -> {
-          simulation.slowResponseShare = slowResponseShare;
-          simulation.delayedWriteShare = delayedWriteShare;
+          simulation.slowResponseProbability = slowResponseShare;
+          simulation.delayedWriteProbability = delayedWriteShare;
           simulation.run(moment * 0.5);
           submitUrgent(simulation, moment);
           simulation.run(MAX_URGENT_WAIT_MS / 1000.0);
           assertUrgentStartedInTime(simulation, moment);
-          cancelSome(simulation, moment);
+          cancelSomeJobs(simulation, moment);
           if (moment % 2 == 0) {
             simulation.failLeader(0);
           }
--- a/src/test/java/io/saltflow/leader/StarvationTest.java
+++ b/src/test/java/io/saltflow/leader/StarvationTest.java
@@ -22,8 +22,8 @@
     LeaderHarness harness = new LeaderHarness(POLICY, List.of());
     harness.sendHeartbeat("vm-000001s");
     harness.sendHeartbeat("vm-000002");
-    harness.runAndCheckIn("vm-000001s", 2);
-    harness.runAndCheckIn("vm-000002", 2);
+    harness.advanceWithHeartbeats("vm-000001s", 2);
+    harness.advanceWithHeartbeats("vm-000002", 2);
     harness.submit(JobSpecBuilder.job(1).spot(false).build());
     harness.submit(JobSpecBuilder.job(2).cores(9).build());
     harness.advance(2);
--- a/src/test/java/io/saltflow/leader/SupersededLeaderTest.java
+++ b/src/test/java/io/saltflow/leader/SupersededLeaderTest.java
@@ -43,7 +43,7 @@
         ClusterSimulation simulation = simulationWithRunningJobs(phase);
         simulation.run(phase * 0.5);
         // With the cloud unavailable the unreachable machine cannot be deleted.
-        simulation.cloudDownUntil = simulation.now + 60_000;
+        simulation.cloudOutageUntil = simulation.now + 60_000;
         workerRunning(simulation, 1).partitionedUntil =
             simulation.now + unreachableSteps * ClusterSimulation.STEP_MS;
         simulation.run((unreachableSteps - 1) * 0.5 - 4);
--- a/src/test/java/io/saltflow/leader/TaskReconcilerTest.java
+++ b/src/test/java/io/saltflow/leader/TaskReconcilerTest.java
@@ -28,7 +28,7 @@
     harness.sendHeartbeat("vm-1");
     harness.submit(JobSpecBuilder.job(1).tasks(2).cores(5).estimateS(60).build());
     harness.sendHeartbeat("vm-1");
-    harness.runAndCheckIn("vm-1", 4);
+    harness.advanceWithHeartbeats("vm-1", 4);
     harness.exitTask("vm-1", LeaderHarness.task(1, 0), WorkerHeartbeat.ExitCause.DONE);
     WorkerHeartbeat delayed = harness.heartbeat("vm-1", LeaderHarness.TERM);
     harness.leader.machines().onDeleted(List.of(new MachineId("vm-1")), harness.time());
--- a/src/test/java/io/saltflow/leader/ZoneFaultsTest.java
+++ b/src/test/java/io/saltflow/leader/ZoneFaultsTest.java
@@ -1,8 +1,8 @@
 package io.saltflow.leader;
 
-import static io.saltflow.leader.FaultScenarios.atEachMoment;
-import static io.saltflow.leader.FaultScenarios.cancelSome;
-import static io.saltflow.leader.FaultScenarios.constrained;
+import static io.saltflow.leader.FaultScenarios.atEachStep;
+import static io.saltflow.leader.FaultScenarios.cancelSomeJobs;
+import static io.saltflow.leader.FaultScenarios.withConstrainedJobs;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -18,13 +18,13 @@
   @ParameterizedTest
   @CsvSource({"a, false", "b, false", "a, true", "b, true"})
   void zoneIsPartitioned(String zone, boolean leaderCrashes) {
-    atEachMoment(
+    atEachStep(
         100,
-        () -> constrained(400, 40),
+        () -> withConstrainedJobs(400, 40),
         (simulation, step) -> {
-          simulation.zoneCutUntil.put(zone, simulation.now + 500L * step);
+          simulation.zonePartitionedUntil.put(zone, simulation.now + 500L * step);
           simulation.run(step % 11);
-          cancelSome(simulation, step);
+          cancelSomeJobs(simulation, step);
           if (leaderCrashes) {
             simulation.failLeader(0);
           }
@@ -34,16 +34,16 @@
   /** The partitioned zone contains the leader, which the workers of the zone still reach. */
   @Test
   void leadersZoneIsPartitioned() {
-    atEachMoment(
+    atEachStep(
         100,
-        () -> constrained(410, 40),
+        () -> withConstrainedJobs(410, 40),
         (simulation, step) -> {
           simulation.failLeader(500L * step);
           simulation.run(step % 13);
-          cancelSome(simulation, step);
+          cancelSomeJobs(simulation, step);
           simulation.run(step % 5);
           // The other zone is partitioned as well.
-          simulation.zoneCutUntil.put("a", simulation.now + 500L * (step % 40));
+          simulation.zonePartitionedUntil.put("a", simulation.now + 500L * (step % 40));
         });
   }
 
@@ -54,15 +54,15 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2, 3})
   void constrainedJobsLoseMachines(int fault) {
-    atEachMoment(
+    atEachStep(
         50,
-        () -> constrained(420, 40),
+        () -> withConstrainedJobs(420, 40),
         (simulation, step) -> {
           for (int i = 0; i < 4; i++) {
-            ClusterSimulation.SimulatedWorker worker = simulation.anyWorker();
+            ClusterSimulation.SimulatedWorker worker = simulation.randomWorker();
             switch (fault) {
-              case 0 -> worker.dead = true;
-              case 1 -> worker.hungUntil = simulation.now + 500L * step;
+              case 0 -> worker.failed = true;
+              case 1 -> worker.pausedUntil = simulation.now + 500L * step;
               case 2 -> worker.restart();
               default -> worker.partitionedUntil = simulation.now + 500L * step;
             }
@@ -71,7 +71,7 @@
               simulation.failLeader(step % 2 == 0 ? 0 : 8_000);
             }
           }
-          cancelSome(simulation, step);
+          cancelSomeJobs(simulation, step);
         });
   }
 }
