--- a/src/main/java/io/saltflow/store/CompressedValues.java
+++ b/src/main/java/io/saltflow/store/CompressedValues.java
@@ -11,33 +11,34 @@
 
 /**
  * Compresses bytes into texts (DEFLATE, Base64) that each fit in a value of the key-value store,
- * and back. It learns how well the bytes compress, to tell how many fit in one transaction.
+ * and decompresses them. Tracks the compression ratio to estimate how many bytes fit in one
+ * transaction.
  */
 public final class CompressedValues {
-  /** The protocol's limit for a transaction, less its frame. */
+  /** The protocol's size limit of a transaction less its framing. */
   private static final int MAX_TRANSACTION_BYTES = 62 * 1024;
 
-  /** Left for the other fields of a value. */
+  /** Reserved for the other fields of a value. */
   private static final int OTHER_FIELDS_BYTES = 160;
 
-  /** The most that DEFLATE adds to bytes that do not compress. */
+  /** Upper bound of the bytes that DEFLATE adds to incompressible input. */
   private static final int DEFLATE_OVERHEAD_BYTES = 64;
 
   private static final int MAX_DECOMPRESSED_BYTES = 64 << 20;
   private static final double MIN_COMPRESSION_RATIO = 0.2;
 
-  /** The weight of the latest ratio where it is better than before. */
+  /** Weight of the latest ratio if it is better than the previous ones. */
   private static final double RATIO_SMOOTHING = 0.2;
 
   private static final double KEPT_RATIO = 0.8;
 
-  /** The part of the expected bytes that is counted on, as ratios vary. */
+  /** Fraction of the estimated capacity that is used, because compression ratios vary. */
   private static final double EXPECTED_USE = 0.9;
 
   private final StoreLimits limits;
   private double compressionRatio = 1;
 
-  /** Compressed values within these limits, which are asked for each time. */
+  /** Creates a compressor that reads the current limits for each batch. */
   public CompressedValues(StoreLimits limits) {
     this.limits = limits;
   }
@@ -50,22 +51,21 @@
     return (maxValueBytes() - OTHER_FIELDS_BYTES) / 4 * 4;
   }
 
-  /** The most texts of one transaction. */
+  /** Returns the maximum number of texts in one transaction. */
   public int maxValuesPerTransaction() {
     return Math.max(1, Math.min(limits.maxOperations(), MAX_TRANSACTION_BYTES / maxValueBytes()));
   }
 
-  /** The compressed bytes that one text holds. */
   private int compressedBytesPerValue() {
     return maxTextBytes() / 4 * 3;
   }
 
-  /** The bytes that certainly fit in one transaction, however badly they compress. */
+  /** Returns the number of bytes that fit in one transaction even if they do not compress. */
   public int guaranteedBytes() {
     return compressedBytesPerValue() * maxValuesPerTransaction() - DEFLATE_OVERHEAD_BYTES;
   }
 
-  /** About how many bytes so many texts will hold, by the compression ratio so far. */
+  /** Estimates how many bytes fit in this number of texts, using the recent compression ratio. */
   public int expectedBytes(int values) {
     return (int)
         (compressedBytesPerValue()
@@ -74,11 +74,11 @@
             / Math.max(MIN_COMPRESSION_RATIO, compressionRatio));
   }
 
-  /** Compresses bytes into texts, in order. */
+  /** Compresses bytes into texts, whose order is significant. */
   public List<String> compress(byte[] bytes) {
     byte[] compressed = deflate(bytes);
     double latestRatio = compressed.length / (double) Math.max(1, bytes.length);
-    // A worse ratio counts at once, a better one gradually.
+    // A worse ratio takes effect immediately, a better one gradually.
     compressionRatio =
         Math.min(
             1,
@@ -116,7 +116,7 @@
   /**
    * Restores the bytes from all of their texts, in order.
    *
-   * @throws InvalidMessageException the texts are not what {@link #compress} made
+   * @throws InvalidMessageException if the texts were not produced by {@link #compress}
    */
   public byte[] decompress(List<String> texts) throws InvalidMessageException {
     Inflater inflater = new Inflater(true);
@@ -128,18 +128,19 @@
         int inflated = inflater.inflate(bytes, length, bytes.length - length);
         length += inflated;
         if (inflated == 0 && (inflater.needsInput() || inflater.needsDictionary())) {
-          throw new InvalidMessageException("a batch is cut short");
+          throw new InvalidMessageException("compressed batch is truncated");
         }
         if (length == bytes.length) {
           if (length >= MAX_DECOMPRESSED_BYTES) {
-            throw new InvalidMessageException("a batch is larger than any can be");
+            throw new InvalidMessageException(
+                "compressed batch exceeds the maximum decompressed size");
           }
           bytes = Arrays.copyOf(bytes, length * 2);
         }
       }
       return Arrays.copyOf(bytes, length);
     } catch (DataFormatException | IllegalArgumentException exception) {
-      throw new InvalidMessageException("a batch is not packed as it should be");
+      throw new InvalidMessageException("compressed batch is not valid Base64 or DEFLATE data");
     } finally {
       inflater.end();
     }
--- a/src/main/java/io/saltflow/store/GuardedKey.java
+++ b/src/main/java/io/saltflow/store/GuardedKey.java
@@ -8,10 +8,10 @@
 import java.util.function.Consumer;
 
 /**
- * A key that one leader writes again and again. Each write is guarded by the revision that it
- * replaces: one whose response was lost, and that is carried out after a later one, fails. One
- * request for the key is in flight at a time; after an unclear response the revision has to be read
- * before the next write. Runs on the event loop.
+ * A key that one leader writes repeatedly. Each write is guarded by the revision that it replaces,
+ * so a delayed write whose response was lost fails if a later one was executed first. At most one
+ * request for the key is in flight. After an indefinite response the revision must be read before
+ * the next write. Runs on the event loop.
  */
 final class GuardedKey {
   private static final TimeSpan REQUEST_TIMEOUT = TimeSpan.millis(1500);
@@ -22,7 +22,11 @@
   private boolean revisionUnknown;
   private boolean inFlight;
 
-  /** A key as it was read; absent: it is not there. */
+  /**
+   * Creates a key with a known revision.
+   *
+   * @param revision {@link Revision#ABSENT} if the key does not exist
+   */
   GuardedKey(String name, Revision revision) {
     this.name = name;
     this.revision = revision;
@@ -32,22 +36,22 @@
     return name;
   }
 
-  /** The revision that the next write replaces. */
+  /** Returns the revision that the next write replaces. */
   Revision revision() {
     return revision;
   }
 
-  /** The key was read anew, outside of this class. */
+  /** Sets the revision that another component has read. */
   void restore(Revision readRevision) {
     revision = readRevision;
   }
 
-  /** Whether a request for the key has not been answered yet. */
+  /** Returns whether a request for the key is in flight. */
   boolean isInFlight() {
     return inFlight;
   }
 
-  /** Whether the revision has to be read before the next write. */
+  /** Returns whether the revision must be read before the next write. */
   boolean isRevisionUnknown() {
     return revisionUnknown;
   }
@@ -55,7 +59,7 @@
   /**
    * Commits a transaction that writes this key, guarded by its revision.
    *
-   * @param callback hands the response to {@link #onCommitted}, unless it is void by now
+   * @param callback must pass the response to {@link #onCommitted}, unless the caller was cancelled
    */
   void commit(
       KeyValueClient client,
@@ -73,7 +77,7 @@
         });
   }
 
-  /** Takes over what a response to a commit says of the key's revision. */
+  /** Updates the key's revision from the response to a commit. */
   void onCommitted(StoreResponse response) {
     revisionUnknown = response.status() == 0 || response.status() == STATUS_CONFLICT;
     if (response.isSuccess()) {
@@ -82,9 +86,11 @@
   }
 
   /**
-   * Reads the key: a write without a clear response may have been carried out, or may yet be.
+   * Reads the key after a write without a definite response, which may have been executed or may
+   * still be.
    *
-   * @param callback hands the key to {@link #onRead}, unless it is void by now; null: not read
+   * @param callback must pass the entry, or {@code null} if the read failed, to {@link #onRead},
+   *     unless the caller was cancelled
    */
   void readRevision(KeyValueClient client, RequestPriority priority, Consumer<KeyValue> callback) {
     inFlight = true;
@@ -98,7 +104,11 @@
         });
   }
 
-  /** Takes over the revision that was read; null: it is not known yet. */
+  /**
+   * Updates the revision after a read.
+   *
+   * @param entry {@code null} if the read failed
+   */
   void onRead(KeyValue entry) {
     if (entry != null) {
       revision = entry.revision();
--- a/src/main/java/io/saltflow/store/GuardedKeyWriter.java
+++ b/src/main/java/io/saltflow/store/GuardedKeyWriter.java
@@ -10,8 +10,8 @@
 import java.util.function.Supplier;
 
 /**
- * Writes single keys that a leader writes again and again, each guarded by the leader key as well
- * as by its own revision: see {@link GuardedKey}. Runs on the event loop.
+ * Writes single keys that a leader updates repeatedly. Each write is guarded by the leader key and
+ * by the key's own revision (see {@link GuardedKey}). Runs on the event loop.
  */
 public final class GuardedKeyWriter extends Routine {
   private static final KeyValueClient.RequestPriority PRIORITY =
@@ -22,9 +22,9 @@
   private final Map<String, GuardedKey> keys = new HashMap<>();
 
   /**
-   * A writer that knows of no key yet.
+   * Creates a writer that knows no revisions yet.
    *
-   * @param newGuardedTransaction a transaction that is guarded by the leader key
+   * @param newGuardedTransaction creates a transaction that is guarded by the leader key
    */
   public GuardedKeyWriter(
       Routine parent, KeyValueClient client, Supplier<Transaction> newGuardedTransaction) {
@@ -33,25 +33,23 @@
     this.newGuardedTransaction = newGuardedTransaction;
   }
 
-  /** A key as an earlier leader left it. */
+  /** Sets the revision of a key that an earlier leader wrote. */
   public void restore(String key, Revision revision) {
     guardedKey(key).restore(revision);
   }
 
   /**
-   * Writes or deletes a key, if no request for it is in flight.
+   * Writes or deletes a key unless a request for it is in flight.
    *
-   * @param value null: the key is deleted
-   * @param callback whether it is certainly written; otherwise it may be tried again later
+   * @param value the value to write, or {@code null} to delete the key
+   * @param callback receives whether the write was confirmed; if not, the caller may retry later
    */
   public void write(String key, MessageBody value, Consumer<Boolean> callback) {
     GuardedKey guardedKey = guardedKey(key);
     if (guardedKey.isInFlight()) {
       callback.accept(false);
     } else if (value != null && !client.limits().fits(value)) {
-      client
-          .limits()
-          .warnTooLarge(key, JsonSize.of(value), "it is not written, and goes on without a record");
+      client.limits().warnTooLarge(key, JsonSize.of(value), "the value is not written");
       callback.accept(false);
     } else if (guardedKey.isRevisionUnknown()) {
       readRevision(guardedKey, callback);
--- a/src/main/java/io/saltflow/store/KeyValueClient.java
+++ b/src/main/java/io/saltflow/store/KeyValueClient.java
@@ -20,19 +20,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Client of the key-value store, within this node's share of the rates: reads, transactions with
- * guards, listings and watches. Requests of leadership never wait for the rates. All callbacks come
- * on the event loop, each once.
+ * Client of the key-value store for reads, guarded transactions, listings and watches. Limits the
+ * requests to this node's share of the rates; leadership requests are exempt. Each callback runs
+ * once, on the event loop.
  */
 public final class KeyValueClient extends Routine {
   private static final Logger LOG = LoggerFactory.getLogger(KeyValueClient.class);
   private static final byte[] EMPTY_BODY = new byte[0];
   private static final TimeSpan LIST_TIMEOUT = TimeSpan.seconds(3);
 
-  /** How much longer than the store holds a watch its response is waited for. */
+  /** Time to wait for the response to a watch beyond the time for which the store holds it. */
   private static final TimeSpan WATCH_GRACE = TimeSpan.seconds(2);
 
-  /** An outage that was longer is logged when it ends. */
+  /** Minimum duration of an outage whose end is logged. */
   private static final TimeSpan MIN_LOGGED_OUTAGE = TimeSpan.seconds(1);
 
   private static final int STATUS_NONE = 0;
@@ -42,56 +42,58 @@
   private static final int STATUS_TOO_MANY_REQUESTS = 429;
   private static final int STATUS_UNAVAILABLE = 503;
 
-  /** The order in which requests are sent, the first before all others. */
+  /** Request priorities, highest first. */
   public enum RequestPriority {
-    /** Elections and leases: never waits for the rates. */
+    /** Elections and leases, which never wait for the rates. */
     LEADERSHIP,
-    /** What a launch waits for: the ledger, and the jobs that may have been started. */
+    /** Records that must be written before a launch: the machine ledger and the started jobs. */
     SAFETY,
-    /** What a user's request waits for. */
+    /** Requests on behalf of users. */
     USER,
-    /** Records of jobs that were accepted already, together with others. */
+    /** Separate records of jobs that were accepted in a submission batch. */
     UNPACKING,
-    /** Records that can wait. */
+    /** Records that may be delayed. */
     BACKGROUND,
-    /** Status polls of jobs: there may be a great many, and whoever asks asks again. */
+    /** Status polls of jobs, which are numerous and are repeated by the user. */
     STATUS_POLLS
   }
 
   /**
    * A key as it was read.
    *
-   * @param value null: there is no such key
+   * @param value {@code null} if the key does not exist
    */
   public record KeyValue(String key, MessageBody value, Revision revision) {}
 
   /**
    * The store's response to a request.
    *
-   * @param status of HTTP; 0: no response came, and the request may yet be carried out
-   * @param body null: none
+   * @param status HTTP status, or 0 without a response; the request may then still be executed
+   * @param body {@code null} if the response has none
    * @param sentAt when the request was sent
    */
   public record StoreResponse(int status, MessageBody body, MonotonicTime sentAt) {
-    /** The request was carried out. */
+    /** Returns whether the request was executed. */
     public boolean isSuccess() {
       return status == STATUS_OK;
     }
 
-    /** The same request will be refused again; what it was guarded by was not looked at. */
+    /** Returns whether the request will always be rejected, regardless of its guards. */
     public boolean isPermanentlyRejected() {
       return status == STATUS_BAD_REQUEST
           && (body == null || !Wire.NO_SUCH_LEASE.equals(body.get(Wire.ERROR)));
     }
 
-    /** Certainly not carried out, whatever it was guarded by. */
+    /** Returns whether the request was definitely not executed, regardless of its guards. */
     public boolean isNotExecuted() {
       return status == STATUS_BAD_REQUEST
           || status == STATUS_TOO_MANY_REQUESTS
           || status == STATUS_UNAVAILABLE;
     }
 
-    /** Whether a transaction failed for that key: it did not have the guarded revision. */
+    /**
+     * Returns whether the transaction failed because this key did not have the guarded revision.
+     */
     public boolean failedGuardOn(String key) {
       return status == STATUS_CONFLICT
           && body != null
@@ -100,11 +102,11 @@
     }
 
     /**
-     * The changes that a watch reports, in the order in which they happened. PROTOCOL promises no
-     * order, and its example has the later change first: taken so, a job that was accepted and
-     * cancelled between two responses would be gone before it was there, and live from then on.
+     * Returns the changes that a watch reports, ordered by revision. The protocol guarantees no
+     * order; processing a deletion before the put that preceded it would leave a cancelled job
+     * live.
      *
-     * @throws InvalidMessageException the response holds no list of changes
+     * @throws InvalidMessageException if the response holds no list of changes
      */
     public List<MessageBody> events() throws InvalidMessageException {
       List<MessageBody> events = new ArrayList<>(body.maps(Wire.EVENTS));
@@ -115,13 +117,13 @@
       return events;
     }
 
-    /** The store's revision when it responded; 0: the response does not say. */
+    /** Returns the store's revision at the time of the response, or 0 if the response has none. */
     public long revision() {
       return body != null && body.get(Wire.REVISION) instanceof Long revision ? revision : 0;
     }
   }
 
-  /** The keys of a whole prefix, in order, as they were at this revision or later. */
+  /** All keys of a prefix in key order, each read at this revision or a later one. */
   public record PrefixListing(List<KeyValue> entries, long revision) {}
 
   private final EventLoop loop;
@@ -133,12 +135,12 @@
   private MonotonicTime failingSince = MonotonicTime.NEVER;
 
   /**
-   * A client that has sent nothing yet.
+   * Creates a client with unused rates.
    *
-   * @param watchCaller for watches, which occupy a connection for long
-   * @param requestsPerSecond of this node
-   * @param writesPerSecond of this node, where it has its usual share
-   * @param limits of the store, for all that writes
+   * @param watchCaller sends watches, which occupy a connection for a long time
+   * @param requestsPerSecond maximum request rate of this node
+   * @param writesPerSecond write rate of this node for a write share of 1
+   * @param limits limits of the store, shared by all writers
    */
   public KeyValueClient(
       Routine parent,
@@ -163,28 +165,28 @@
     this.lastResponseAt = loop.now();
   }
 
-  /** What the store accepts, as far as is known: to be asked for each write. */
+  /** Returns the known limits of the store, which may change at any time. */
   public StoreLimits limits() {
     return limits;
   }
 
-  /** How long ago the store last responded to a request of this node. */
+  /** Returns the time since the store last responded to a request of this node. */
   public TimeSpan timeSinceLastResponse() {
     return loop.now().since(lastResponseAt);
   }
 
-  /** How long requests have failed without one that succeeded; 0: the last one succeeded. */
+  /** Returns how long requests have been failing, or 0 if the last one succeeded. */
   public TimeSpan outageDuration() {
     return failingSince == MonotonicTime.NEVER ? new TimeSpan(0) : loop.now().since(failingSince);
   }
 
   /**
-   * Sends a request when its priority and the rates allow.
+   * Sends a request when its priority and the rates allow it.
    *
-   * @param body null: none
-   * @param writeCount how many writes it counts for
-   * @param timeout for the response, and for how long the request may wait to be sent
-   * @param callback the response; status 429: it was not sent in time
+   * @param body {@code null} for none
+   * @param writeCount number of writes that count towards the write rate
+   * @param timeout limits the time until the request is sent, and then the time until the response
+   * @param callback receives the response, with status 429 if the request was not sent in time
    */
   public void call(
       RequestPriority priority,
@@ -199,19 +201,19 @@
   }
 
   /**
-   * Lets this node use so many times its usual share of the writes, since a leader writes most of
-   * what is written. What the store can't take is refused to it as to any other.
+   * Multiplies this node's write rate by a factor, since the leader issues most of the writes. The
+   * store still rejects writes beyond its own rate.
    */
-  public void setWriteShare(double times) {
-    scheduler.setWriteShare(times);
+  public void setWriteShare(double factor) {
+    scheduler.setWriteShare(factor);
   }
 
-  /** Whether a user's write would be sent at once. */
+  /** Returns whether a user's write would be sent immediately. */
   public boolean canWriteNow() {
     return scheduler.canWriteNow();
   }
 
-  /** Whether nearly all that may be written at once is left, for what need not be written. */
+  /** Returns whether most of the write rate is unused, so that optional writes may be sent. */
   public boolean hasSpareWriteCapacity() {
     return scheduler.hasSpareWriteCapacity();
   }
@@ -240,7 +242,7 @@
       try {
         body = MessagePackCodec.decode(response.body());
       } catch (InvalidMessageException exception) {
-        LOG.error("can't read response of key-value store: {}", exception.getMessage());
+        LOG.error("cannot decode response of key-value store: {}", exception.getMessage());
         callback.accept(new StoreResponse(STATUS_NONE, null, response.sent()));
         return;
       }
@@ -261,7 +263,7 @@
     }
   }
 
-  /** Reads a key; null: it could not be read. */
+  /** Reads a key. The callback receives {@code null} if it could not be read. */
   public void get(
       RequestPriority priority, String key, TimeSpan timeout, Consumer<KeyValue> callback) {
     call(
@@ -275,8 +277,8 @@
   }
 
   /**
-   * Commits a transaction. What is permanently rejected lowers the limits that are assumed, before
-   * the callback runs.
+   * Commits a transaction. A permanent rejection lowers the assumed limits before the callback
+   * runs.
    */
   public void commit(
       RequestPriority priority,
@@ -300,12 +302,14 @@
         });
   }
 
-  /** Reads every key of a prefix, page by page; null: a page could not be read. */
+  /**
+   * Reads all keys of a prefix, page by page. The callback receives {@code null} if a page could
+   * not be read.
+   */
   public void list(RequestPriority priority, String prefix, Consumer<PrefixListing> callback) {
     listPage(priority, prefix, new PrefixListing(new ArrayList<>(), Long.MAX_VALUE), callback);
   }
 
-  /** Reads the page after the keys that were listed, and the pages after it. */
   private void listPage(
       RequestPriority priority,
       String prefix,
@@ -329,7 +333,7 @@
             next = KeyValueRequests.appendPage(listed, response);
             truncated = response.body().flagOr(Wire.TRUNCATED, false);
           } catch (InvalidMessageException exception) {
-            LOG.error("can't read list of {}: {}", prefix, exception.getMessage());
+            LOG.error("cannot decode listing of prefix {}: {}", prefix, exception.getMessage());
             callback.accept(null);
             return;
           }
@@ -342,10 +346,10 @@
   }
 
   /**
-   * Waits for changes of a prefix; the response shows everything up to when it was asked for.
+   * Waits for changes of a prefix. The response includes all changes up to the time of the request.
    *
    * @param after the revision after which changes are reported
-   * @param timeout how long the store holds the request when nothing changes
+   * @param timeout how long the store holds the request if there are no changes
    */
   public void watch(String prefix, long after, TimeSpan timeout, Consumer<StoreResponse> callback) {
     scheduler.countUnscheduled();
--- a/src/main/java/io/saltflow/store/KeyValueRequests.java
+++ b/src/main/java/io/saltflow/store/KeyValueRequests.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Targets of reads, listings and watches on the wire, and the decoding of their responses. */
+/** Encodes the request targets of reads, listings and watches, and decodes their responses. */
 final class KeyValueRequests {
   private static final Logger LOG = LoggerFactory.getLogger(KeyValueRequests.class);
   private static final int PAGE_SIZE = 500;
@@ -20,12 +20,12 @@
 
   private KeyValueRequests() {}
 
-  /** The target of a read of one key. */
+  /** Returns the request target for reading one key. */
   static String keyTarget(String key) {
     return Wire.PATH_KV + "/" + key;
   }
 
-  /** Decodes the response to a read of a key; null: it could not be read. */
+  /** Decodes the response to a read of a key, or returns {@code null} if the read failed. */
   static KeyValue decodeKey(String key, StoreResponse response) {
     if (response.status() == STATUS_NOT_FOUND) {
       return new KeyValue(key, null, Revision.ABSENT);
@@ -37,12 +37,12 @@
       MessageBody body = response.body();
       return new KeyValue(key, body.map(Wire.VALUE), new Revision(body.integer(Wire.VERSION)));
     } catch (InvalidMessageException exception) {
-      LOG.error("can't read key {}: {}", key, exception.getMessage());
+      LOG.error("cannot decode value of key {}: {}", key, exception.getMessage());
       return null;
     }
   }
 
-  /** The target of a listing's next page, after the keys that were listed. */
+  /** Returns the request target for the page after the keys that were listed. */
   static String listTarget(String prefix, List<KeyValue> listed) {
     String after =
         listed.isEmpty() ? "" : "&" + Wire.AFTER + "=" + listed.get(listed.size() - 1).key();
@@ -61,7 +61,7 @@
   /**
    * Appends a page to the keys that were listed.
    *
-   * @throws InvalidMessageException the response holds no page
+   * @throws InvalidMessageException if the response holds no valid page
    */
   static PrefixListing appendPage(PrefixListing listed, StoreResponse response)
       throws InvalidMessageException {
@@ -74,12 +74,13 @@
                   pair.map(Wire.VALUE),
                   new Revision(pair.integer(Wire.VERSION))));
     }
-    // Changes are watched from the first page's revision: later pages may be newer, and seeing a
+    // Changes are watched from the first page's revision. Later pages may be newer, but processing
+    // a
     // change twice is harmless.
     return new PrefixListing(listed.entries(), Math.min(listed.revision(), response.revision()));
   }
 
-  /** The target of a watch that the store holds for at most this timeout. */
+  /** Returns the request target for a watch that the store holds for at most this timeout. */
   static String watchTarget(String prefix, long after, TimeSpan timeout) {
     return Wire.PATH_WATCH
         + "?"
--- a/src/main/java/io/saltflow/store/Keys.java
+++ b/src/main/java/io/saltflow/store/Keys.java
@@ -2,24 +2,24 @@
 
 import io.saltflow.model.JobId;
 
-/** The keys and key prefixes of everything that is kept in the key-value store. */
+/** Keys and key prefixes in the key-value store. */
 public final class Keys {
-  /** The leader's host and term, under the leader's lease. */
+  /** The leader's host and term, stored under the leader's lease. */
   public static final String LEADER = "lead";
 
-  /** Counts terms; outlives the leader key. */
+  /** The counter of terms, which persists when the leader key is deleted. */
   public static final String TERM = "term";
 
-  /** The cloud's machine types as last listed. */
+  /** The cloud's machine types from the last listing. */
   public static final String MACHINE_TYPES = "types";
 
-  /** Records of live jobs, one a job or many in a submission batch. */
+  /** Records of live jobs, with one key per job or per submission batch. */
   public static final String LIVE_JOBS = "live/";
 
   /** Records of finished jobs. */
   static final String FINISHED_JOBS = "over/";
 
-  /** Pages of the machines that leaders rely on. */
+  /** Pages of the machine ledger. */
   public static final String MACHINE_LEDGER = "fleet/";
 
   /** Pages of the finished tasks of live jobs. */
@@ -28,13 +28,13 @@
   /** Batches of queue entries. */
   public static final String QUEUES = "queues/";
 
-  /** Decisions that outlive their leader: read at once by each that is elected. */
+  /** Decisions that persist across failovers and are read by each newly elected leader. */
   public static final String PLANS = "plan/";
 
   /** Plans of replica migrations. */
   public static final String REPLICA_MIGRATIONS = PLANS + "moves/";
 
-  /** Daily deadlines, under QUEUE/DAY. */
+  /** Daily deadlines, with keys of the form QUEUE/DAY. */
   public static final String DAILY_DEADLINES = PLANS + "ready/";
 
   /** Services and their rollouts. */
@@ -43,31 +43,31 @@
   /** The cluster version's state and the announcements of builds. */
   public static final String CLUSTER_VERSION = "level/";
 
-  /** Which cluster versions are required, active and stored. */
+  /** The required, active and oldest stored cluster versions. */
   public static final String CLUSTER_VERSION_STATE = CLUSTER_VERSION + "active";
 
   /** The versions that each host's build supports. */
   public static final String BUILD_ANNOUNCEMENTS = CLUSTER_VERSION + "on/";
 
-  /** What the queue order rests on beside the jobs' records. */
+  /** Inputs of the queue order that are not in the jobs' records. */
   public static final String QUEUE_ORDER_INPUTS = PLANS + "basis";
 
-  /** What operators changed about single jobs. */
+  /** Operator overrides for single jobs. */
   public static final String OPERATOR_OVERRIDES = PLANS + "order/";
 
   private Keys() {}
 
-  /** Key of what operators changed about a job. */
+  /** Returns the key of the operator overrides for a job. */
   public static String operatorOverride(JobId id) {
     return OPERATOR_OVERRIDES + id.text();
   }
 
-  /** Key of a live job that has a record of its own. */
+  /** Returns the key of a live job that has a separate record. */
   public static String liveJob(JobId id) {
     return LIVE_JOBS + id.text();
   }
 
-  /** Key of a finished job. */
+  /** Returns the key of a finished job. */
   public static String finishedJob(JobId id) {
     return FINISHED_JOBS + id.text();
   }
--- a/src/main/java/io/saltflow/store/LeaseClient.java
+++ b/src/main/java/io/saltflow/store/LeaseClient.java
@@ -9,23 +9,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Leases of the key-value store: keys that were put under a lease are deleted when it expires or is
- * released. All requests have the priority of leadership. Runs on the event loop.
+ * Grants, renews and releases leases of the key-value store, which deletes the keys of a lease when
+ * it expires or is released. All requests have leadership priority. Runs on the event loop.
  */
 public final class LeaseClient {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseClient.class);
 
   private final KeyValueClient client;
 
-  /** Leases asked for through this client. */
+  /** Creates a lease client that sends its requests through this client. */
   public LeaseClient(KeyValueClient client) {
     this.client = client;
   }
 
   /**
-   * Asks for a new lease.
+   * Requests a new lease.
    *
-   * @param callback the lease's id; empty: none was granted, or the response did not come
+   * @param callback receives the lease's ID, or empty if none was granted or no response arrived
    */
   public void grant(TimeSpan ttl, TimeSpan timeout, Consumer<OptionalLong> callback) {
     send(
@@ -40,7 +40,7 @@
                     : OptionalLong.empty()));
   }
 
-  /** Extends a lease by its time to live; status 404: it has expired. */
+  /** Renews a lease for its time to live. Status 404 means that it has expired. */
   public void renew(
       long leaseId,
       TimeSpan ttl,
@@ -49,14 +49,15 @@
     send("POST", path(leaseId) + Wire.RENEW_SUFFIX, timeToLive(ttl), timeout, callback);
   }
 
-  /** Ends a lease. Without a response it ends when it expires. */
+  /** Releases a lease. If the request is lost, the lease ends when it expires. */
   public void release(long leaseId, TimeSpan timeout) {
     send(
         "DELETE",
         path(leaseId),
         null,
         timeout,
-        response -> LOG.debug("released lease {}: status {}", leaseId, response.status()));
+        response ->
+            LOG.debug("release of lease {} answered with status {}", leaseId, response.status()));
   }
 
   private static String path(long leaseId) {
--- a/src/main/java/io/saltflow/store/LivenessCheck.java
+++ b/src/main/java/io/saltflow/store/LivenessCheck.java
@@ -13,33 +13,33 @@
 import java.util.function.Consumer;
 
 /**
- * Checks with one request that many jobs are still live: a transaction without writes compares the
- * revisions of their records with those that this node has read. It is carried out at one revision
- * after all of them were asked about, so its response is never older than a read's would be. With a
- * read each, the polls of some five hundred jobs used the whole rate of the key-value store, and
- * submissions were refused for it. Runs on the event loop.
+ * Checks with one request whether many jobs are still live. A transaction without writes compares
+ * the revisions of their records with those that this node has read. It is executed after all of
+ * the checks were requested, so its result is at least as recent as separate reads would be.
+ * Batching keeps status polls from using up the request rate of the key-value store. Runs on the
+ * event loop.
  */
 public final class LivenessCheck extends Routine {
-  /** What a check found. */
+  /** Result of a check. */
   public enum Liveness {
     /** The record is unchanged. */
     LIVE,
-    /** The record has changed, or its revision is not known here: it has to be read. */
+    /** The record has changed or its revision is not cached, so it must be read. */
     MUST_READ,
-    /** No clear response: to be asked again. */
+    /** The store gave no definite response; the check may be retried. */
     UNKNOWN
   }
 
   private static final TimeSpan REQUEST_TIMEOUT = TimeSpan.millis(1500);
 
-  /** Checks are collected for so long when the last request was sent just before. */
+  /** Minimum time between two requests, during which checks are collected. */
   private static final TimeSpan BATCH_INTERVAL = TimeSpan.millis(100);
 
   private static final int STATUS_CONFLICT = 409;
   private static final int MAX_GUARDS = 64;
   private static final int MAX_KNOWN_RECORDS = 8000;
 
-  /** A record as it was read: revisions of keys that all hold as long as the job is live. */
+  /** Revisions of keys, all of which stay unchanged while the job is live. */
   private record KnownRecord(List<RevisionGuard> guards) {}
 
   private record RevisionGuard(String key, Revision revision) {}
@@ -62,19 +62,19 @@
   private MonotonicTime lastSentAt = MonotonicTime.LONG_AGO;
   private boolean flushScheduled;
 
-  /** A check that knows of no record yet. */
+  /** Creates a check without cached records. */
   public LivenessCheck(Routine parent, EventLoop loop, KeyValueClient client) {
     super(parent);
     this.loop = loop;
     this.client = client;
   }
 
-  /** The job has a record of its own, of this revision. */
+  /** Caches the revision of a job that has a separate record. */
   public void remember(JobId id, Revision revision) {
     knownRecords.put(id, new KnownRecord(List.of(new RevisionGuard(Keys.liveJob(id), revision))));
   }
 
-  /** The job is in a submission batch of this revision, and had not ended. */
+  /** Caches the revision of the submission batch that holds a job that has not ended. */
   public void rememberInBatch(JobId id, String batchKey, Revision revision) {
     knownRecords.put(
         id,
@@ -84,17 +84,17 @@
                 new RevisionGuard(Keys.finishedJob(id), Revision.ABSENT))));
   }
 
-  /** Whether the job can be checked without a read. */
+  /** Returns whether the job can be checked without a read. */
   public boolean isKnown(JobId id) {
     return knownRecords.containsKey(id);
   }
 
-  /** Forgets a job whose record has changed. */
+  /** Discards the cached revision of a job whose record has changed. */
   public void forget(JobId id) {
     knownRecords.remove(id);
   }
 
-  /** Checks whether a job is live; the callback comes once, at once or with a later response. */
+  /** Checks whether a job is live. Runs the callback once, possibly before this method returns. */
   public void check(
       JobId id, KeyValueClient.RequestPriority priority, Consumer<Liveness> callback) {
     if (!knownRecords.containsKey(id)) {
@@ -165,7 +165,7 @@
           if (response.status() == STATUS_CONFLICT) {
             onConflict(priority, response, batch, compared);
           } else if (response.isPermanentlyRejected() && batch.size() > 1) {
-            // More guards than are accepted now: each half is compared by itself.
+            // The store accepts fewer guards than assumed: compare each half separately.
             halves(batch).forEach(half -> compare(priority, half));
           } else {
             Liveness liveness = response.isSuccess() ? Liveness.LIVE : Liveness.UNKNOWN;
@@ -175,8 +175,8 @@
   }
 
   /**
-   * Some records of the batch have changed. Those that the response names are read; it does not
-   * promise to name all, so the others are compared again without them.
+   * Handles a batch in which some records have changed. Jobs named in the response must be read.
+   * The response may not name all failed guards, so the others are compared again.
    */
   private void onConflict(
       KeyValueClient.RequestPriority priority,
@@ -194,8 +194,8 @@
     if (unchanged.size() == batch.size()) {
       unchanged.clear();
     }
-    // One that was forgotten meanwhile, as its end was recorded here, is read: left out, its poll
-    // was never answered, and counted for ever as in flight.
+    // A job that was forgotten in the meantime must be read. If it were left out, its poll would
+    // never be answered and would count as in flight indefinitely.
     unchanged.keySet().retainAll(knownRecords.keySet());
     batch.forEach(
         (id, callbacks) -> {
--- a/src/main/java/io/saltflow/store/PackedRecords.java
+++ b/src/main/java/io/saltflow/store/PackedRecords.java
@@ -14,15 +14,15 @@
 import java.util.function.Supplier;
 
 /**
- * Many small records in few keys, since the key-value store counts keys written and not bytes. Each
- * write of a page replaces the whole, so besides the leader key it is guarded by the page's own
- * revision: an earlier write whose response was lost can't be carried out after a later one and
- * take records away again. Runs on the event loop.
+ * Packs many small records into few keys, because the key-value store limits the number of keys
+ * written, not the bytes. A write replaces a whole page, so it is guarded by the page's revision as
+ * well as by the leader key: a write whose response was lost cannot take effect after a later one
+ * and remove records again. Runs on the event loop.
  *
- * <p>A page that is larger than the store accepts is not written any more. Its records move: each
- * is written on a later page first, and only then the old page is written without it. So a record
- * may be found on several pages, and the last one in the order of keys is the newest: earlier
- * builds, which know of one page for each record, take that one.
+ * <p>A page that is larger than the store accepts is split. Each of its records is written to a
+ * later page first, and only then is the old page written without it. A record may therefore be
+ * stored on several pages; the last page in key order holds its newest form. Builds that expect one
+ * page per record also use the last one.
  */
 public final class PackedRecords<T> extends Routine {
   private final KeyValueClient client;
@@ -37,11 +37,11 @@
   private int maxPageBytes;
 
   /**
-   * Records without a page yet.
+   * Creates a set of records that has no pages yet.
    *
-   * @param newGuardedTransaction a transaction that is guarded by the leader key
-   * @param prefix of the pages' keys
-   * @param writeInterval the least pause between two writes of the same page
+   * @param newGuardedTransaction creates a transaction that is guarded by the leader key
+   * @param prefix key prefix of the pages
+   * @param writeInterval minimum time between two writes of the same page
    */
   public PackedRecords(
       Routine parent,
@@ -61,7 +61,7 @@
     this.maxPageBytes = client.limits().maxValueBytes();
   }
 
-  /** A page as an earlier leader left it; its records are added by {@link #restoreRecord}. */
+  /** Adds a page that an earlier leader wrote, without its records. */
   public void restorePage(String key, Revision revision) {
     pages.put(key, new RecordPage<>(new GuardedKey(key, revision), format));
     nextNumber = Math.max(nextNumber, numberOf(key) + 1);
@@ -75,12 +75,13 @@
     }
   }
 
-  /** A record of a page that was restored; pages come in the order of their keys. */
+  /** Adds a record of a restored page. Pages must be passed in key order. */
   public void restoreRecord(String key, T record) {
     RecordPage<T> page = pages.get(key);
     RecordPage<T> earlier = pageByRecord.get(format.name(record));
     if (earlier != null && earlier != page) {
-      // It was moving when the earlier leader ended: what both pages hold is written first.
+      // The earlier leader ended while it moved the record. Keep the old copy until the new page is
+      // written.
       earlier.leaveMovedCopy(format.name(record));
       page.markDirty();
     }
@@ -93,9 +94,9 @@
   }
 
   /**
-   * Notes a record that is new or has changed.
+   * Marks a record as new or changed.
    *
-   * @param urgent its next write is waited for
+   * @param urgent whether an operation waits for its next write
    */
   public void markChanged(T record, boolean urgent) {
     updatePageLimit();
@@ -113,7 +114,7 @@
     }
   }
 
-  /** Counts all sizes anew when the limit has changed, as records may be bounded by it. */
+  /** Measures all pages again after a change of the limit, which may bound the record sizes. */
   private void updatePageLimit() {
     if (maxPageBytes == client.limits().maxValueBytes()) {
       return;
@@ -134,7 +135,7 @@
     return page;
   }
 
-  /** The record's home is a later page from now on. */
+  /** Reassigns the record to a later page and leaves a copy on the old one. */
   private RecordPage<T> moveToLaterPage(RecordPage<T> from, String name) {
     T record = from.records().get(name);
     from.leaveMovedCopy(name);
@@ -150,17 +151,17 @@
   /**
    * Removes a record from its page.
    *
-   * @param markDirty whether the page is to be written for it; otherwise the record is gone with
-   *     the page's next write
+   * @param markDirty whether the removal itself causes a write of the page; otherwise it takes
+   *     effect with the page's next write
    */
   public void remove(String name, boolean markDirty) {
-    RecordPage<T> home = pageByRecord.remove(name);
-    if (home == null) {
+    RecordPage<T> assignedPage = pageByRecord.remove(name);
+    if (assignedPage == null) {
       return;
     }
-    home.remove(name);
+    assignedPage.remove(name);
     if (markDirty) {
-      home.markDirty();
+      assignedPage.markDirty();
     }
     for (RecordPage<T> page : pages.values()) {
       if (page.dropMovedCopy(name) && markDirty) {
@@ -169,25 +170,29 @@
     }
   }
 
-  /** Removes all other records, each with the next write of its page. */
-  public void retainOnly(Predicate<T> wanted) {
+  /** Removes all records that do not match; the removals take effect with the next page writes. */
+  public void retainOnly(Predicate<T> retained) {
     for (Map.Entry<String, RecordPage<T>> entry : List.copyOf(pageByRecord.entrySet())) {
-      if (!wanted.test(entry.getValue().records().get(entry.getKey()))) {
+      if (!retained.test(entry.getValue().records().get(entry.getKey()))) {
         remove(entry.getKey(), false);
       }
     }
   }
 
-  /** Writes pages that have changed: those that are waited for, or all. */
+  /**
+   * Writes changed pages.
+   *
+   * @param all whether to write all changed pages; otherwise only those with urgent records
+   */
   public void flush(boolean all) {
     updatePageLimit();
     splitOversizedPages(all);
     for (RecordPage<T> page : pages.values()) {
-      boolean wanted = page.hasUrgent() || (all && page.isDirty());
-      // What comes in quick succession is written together, or pages would use up the rate.
+      boolean shouldWrite = page.hasUrgent() || (all && page.isDirty());
+      // Changes in quick succession are written together to save write rate.
       long intervalMs = writeInterval.get().ms();
       boolean due = page.isWriteDue(clock.get(), intervalMs);
-      if (wanted && due && !page.key().isInFlight() && !page.mustSplit(maxPageBytes)) {
+      if (shouldWrite && due && !page.key().isInFlight() && !page.mustSplit(maxPageBytes)) {
         page.onAttempt(clock.get());
         RequestPriority priority =
             page.hasUrgent() ? RequestPriority.SAFETY : RequestPriority.BACKGROUND;
@@ -201,8 +206,8 @@
   }
 
   /**
-   * What is waited for leaves a page that can't be written at once. Of the rest, one page is split
-   * at a time, or a failover would use up the rate of writes.
+   * Moves urgent records from oversized pages at once. The other records are moved from one page at
+   * a time, because splitting all pages after a failover would use up the write rate.
    */
   private void splitOversizedPages(boolean all) {
     boolean mayMoveExcess = all;
@@ -217,7 +222,11 @@
     }
   }
 
-  /** Moves records away until the others fit; false: they do already. */
+  /**
+   * Moves records to later pages until the others fit.
+   *
+   * @return whether any record was moved
+   */
   private boolean moveExcessRecords(RecordPage<T> page) {
     int keptBytes = RecordPage.EMPTY_PAGE_BYTES;
     boolean moved = false;
@@ -237,7 +246,7 @@
       retainReduced(page, content.reduced());
       return;
     }
-    Set<String> awaited = page.beginWrite();
+    Set<String> urgentNames = page.beginWrite();
     Transaction transaction = newGuardedTransaction.get().put(page.key().name(), content.body());
     page.key()
         .commit(
@@ -253,15 +262,13 @@
                 page.resetBackoff();
                 dropMovedCopies(page, content);
               } else {
-                onWriteFailed(page, awaited, response);
+                onWriteFailed(page, urgentNames, response);
               }
               format.onWritten(content.records(), content.values(), response.isSuccess());
             });
   }
 
-  /**
-   * The stored page holds more of these records than its next value could: they go on elsewhere.
-   */
+  /** Moves records whose encoded form would now lose stored data, and keeps their stored copies. */
   private void retainReduced(RecordPage<T> page, List<String> reduced) {
     for (String name : reduced) {
       if (page.records().containsKey(name)) {
@@ -271,14 +278,14 @@
       client
           .limits()
           .warnTooLarge(
-              page.key().name(), page.maxEncodedBytes(), name + " goes on in another page");
+              page.key().name(), page.maxEncodedBytes(), name + " is moved to another page");
     }
   }
 
-  /** Copies that earlier pages hold are of no more use, but for those that hold more. */
-  private void dropMovedCopies(RecordPage<T> home, PageContent<T> content) {
+  /** Drops copies on earlier pages, except those that hold more than the record's present form. */
+  private void dropMovedCopies(RecordPage<T> assignedPage, PageContent<T> content) {
     for (String name : content.body().fields().keySet()) {
-      if (pageByRecord.get(name) != home) {
+      if (pageByRecord.get(name) != assignedPage) {
         continue;
       }
       for (RecordPage<T> page : pages.values()) {
@@ -295,15 +302,15 @@
     }
   }
 
-  private void onWriteFailed(RecordPage<T> page, Set<String> awaited, StoreResponse response) {
+  private void onWriteFailed(RecordPage<T> page, Set<String> urgentNames, StoreResponse response) {
     if (response.isPermanentlyRejected()) {
       page.increaseBackoff();
     }
     page.markDirty();
-    for (String name : awaited) {
-      RecordPage<T> home = pageByRecord.get(name);
-      if (home != null) {
-        home.markUrgent(name);
+    for (String name : urgentNames) {
+      RecordPage<T> assignedPage = pageByRecord.get(name);
+      if (assignedPage != null) {
+        assignedPage.markUrgent(name);
       }
     }
   }
--- a/src/main/java/io/saltflow/store/PageContent.java
+++ b/src/main/java/io/saltflow/store/PageContent.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The encoded content of a page: its records, and copies of those that have moved. */
+/** The encoded content of a page: its records and the copies of moved records. */
 final class PageContent<T> {
   private final RecordFormat<T> format;
   private final List<T> records = new ArrayList<>();
@@ -30,22 +30,24 @@
     return value;
   }
 
-  /** The records whose home is the page. */
+  /** Returns the records that are assigned to the page. */
   List<T> records() {
     return records;
   }
 
-  /** The encoded form of each of the records. */
+  /** Returns the encoded forms of the records, in the same order. */
   List<Object> values() {
     return values;
   }
 
-  /** Names of records of which this content holds less than was stored before. */
+  /**
+   * Returns the names of records that this content encodes with less data than was stored before.
+   */
   List<String> reduced() {
     return reduced;
   }
 
-  /** The value that is written. */
+  /** Returns the value to be written. */
   MessageBody body() {
     return body;
   }
--- a/src/main/java/io/saltflow/store/RecordFormat.java
+++ b/src/main/java/io/saltflow/store/RecordFormat.java
@@ -2,25 +2,25 @@
 
 import java.util.List;
 
-/** How a record is named and encoded within a page, and how large its encoded form may get. */
+/** Defines the names, encoding and maximum encoded sizes of records in pages. */
 public interface RecordFormat<T> {
-  /** The record's name, which is unique among all pages. */
+  /** Returns the record's name, which is unique across all pages. */
   String name(T record);
 
-  /** The record's encoded form as it stands now. */
+  /** Returns the current encoded form of the record. */
   Object encode(T record);
 
-  /** The most bytes of JSON that the encoded form may take, with name and comma. */
+  /** Returns the maximum size of the encoded form in bytes of JSON, with its name and comma. */
   int maxEncodedBytes(T record);
 
-  /** Whether the encoded form still holds all that was stored of the record before. */
+  /** Returns whether the encoded form retains all data that was stored for the record before. */
   boolean retainsAll(T record, Object value);
 
   /**
-   * A page was written, or perhaps not.
+   * Handles the completion of a page write.
    *
    * @param values the encoded form of each record
-   * @param ok the records are stored as given here
+   * @param confirmed whether the write was confirmed; if not, it may or may not have been executed
    */
-  void onWritten(List<T> records, List<Object> values, boolean ok);
+  void onWritten(List<T> records, List<Object> values, boolean confirmed);
 }
--- a/src/main/java/io/saltflow/store/RecordPage.java
+++ b/src/main/java/io/saltflow/store/RecordPage.java
@@ -9,27 +9,27 @@
 import java.util.Set;
 
 /**
- * The records that share one key, and what is to be written of them. Records that have moved to a
- * later page leave a copy here until they are stored there.
+ * The records that share one key, and their pending changes. A record that has moved to a later
+ * page leaves a copy here until it is stored there.
  */
 final class RecordPage<T> {
   /** The braces of an encoded page. */
   static final int EMPTY_PAGE_BYTES = 2;
 
-  /** After rejections that may be permanent, a page waits so many times longer at the most. */
+  /** Maximum factor by which permanent rejections lengthen the write interval of a page. */
   private static final int MAX_BACKOFF_FACTOR = 64;
 
   private final GuardedKey key;
   private final RecordFormat<T> format;
   private final Map<String, T> records = new LinkedHashMap<>();
 
-  /** Records that have moved to later pages, where they may not be stored yet. */
+  /** Records that have moved to later pages but may not be stored there yet. */
   private final Map<String, T> movedCopies = new LinkedHashMap<>();
 
-  /** Copies that hold more than the record's present form could: they stay as they are. */
+  /** Names of copies that hold more than the record's present form, and are never rewritten. */
   private final Set<String> retainedCopies = new HashSet<>();
 
-  /** Records whose next write is waited for. */
+  /** Names of records for whose next write an operation waits. */
   private final Set<String> urgent = new HashSet<>();
 
   private int maxEncodedBytes = EMPTY_PAGE_BYTES;
@@ -37,23 +37,21 @@
   private MonotonicTime lastWriteAt = MonotonicTime.LONG_AGO;
   private int backoffFactor = 1;
 
-  /** An empty page. */
   RecordPage(GuardedKey key, RecordFormat<T> format) {
     this.key = key;
     this.format = format;
   }
 
-  /** The page's key, by which it is read and written. */
   GuardedKey key() {
     return key;
   }
 
-  /** The records whose home is this page, in the order in which they came. */
+  /** Returns the records that are assigned to this page, in insertion order. */
   Map<String, T> records() {
     return records;
   }
 
-  /** Copies of records that have moved to later pages. */
+  /** Returns copies of records that have moved to later pages. */
   Collection<T> movedCopies() {
     return movedCopies.values();
   }
@@ -68,12 +66,12 @@
     urgent.remove(name);
   }
 
-  /** The record has another home from now on; its copy stays until it is stored there. */
+  /** Removes a record that is now assigned to another page, but keeps a copy of it. */
   void leaveMovedCopy(String name) {
     movedCopies.put(name, records.remove(name));
   }
 
-  /** Whether there was a copy to drop. */
+  /** Drops the copy of a moved record and returns whether there was one. */
   boolean dropMovedCopy(String name) {
     T copy = movedCopies.remove(name);
     retainedCopies.remove(name);
@@ -83,12 +81,14 @@
     return copy != null;
   }
 
-  /** The stored copy holds more than the record's present form: it is never written again. */
+  /**
+   * Keeps the stored copy, which holds more than the record's present form, from being rewritten.
+   */
   void retainCopy(String name) {
     retainedCopies.add(name);
   }
 
-  /** Whether a copy may be dropped once the record is stored on its new page. */
+  /** Returns whether there is a copy that may be dropped once the record is stored elsewhere. */
   boolean hasDroppableCopy(String name) {
     return movedCopies.containsKey(name) && !retainedCopies.contains(name);
   }
@@ -97,13 +97,13 @@
     return maxEncodedBytes + bytes <= maxPageBytes && retainedCopies.isEmpty();
   }
 
-  /** Whether the page can't be written as it is: some records have to move to later pages. */
+  /** Returns whether records must move to later pages before this page can be written. */
   boolean mustSplit(int maxPageBytes) {
     boolean singleRecord = records.size() + movedCopies.size() <= 1;
     return !retainedCopies.isEmpty() || (maxEncodedBytes > maxPageBytes && !singleRecord);
   }
 
-  /** Counts the size anew, as the records' largest forms depend on the limits. */
+  /** Measures the page again, since the maximum record sizes depend on the limits. */
   void measure() {
     maxEncodedBytes = EMPTY_PAGE_BYTES;
     records.values().forEach(record -> maxEncodedBytes += format.maxEncodedBytes(record));
@@ -126,7 +126,7 @@
     urgent.add(name);
   }
 
-  /** Whether the record's next write was waited for; it no longer is. */
+  /** Clears the record's urgent mark and returns whether it was set. */
   boolean clearUrgent(String name) {
     return urgent.remove(name);
   }
@@ -139,26 +139,26 @@
     return List.copyOf(urgent);
   }
 
-  /** Whether the pause since the last write is over, in ms of the monotonic clock. */
+  /** Returns whether the write interval, including backoff, has elapsed since the last attempt. */
   boolean isWriteDue(MonotonicTime now, long writeIntervalMs) {
     return now.since(lastWriteAt).ms() >= writeIntervalMs * backoffFactor;
   }
 
-  /** A write or a read of the key is tried now. */
+  /** Records an attempt to write the page or to read its revision. */
   void onAttempt(MonotonicTime now) {
     lastWriteAt = now;
   }
 
   /**
-   * A write begins with all that has changed.
+   * Clears the dirty and urgent marks, as a write of all changes begins.
    *
-   * @return the records whose write was waited for
+   * @return the names of the urgent records
    */
   Set<String> beginWrite() {
-    Set<String> awaited = Set.copyOf(urgent);
+    Set<String> urgentNames = Set.copyOf(urgent);
     urgent.clear();
     dirty = false;
-    return awaited;
+    return urgentNames;
   }
 
   void resetBackoff() {
--- a/src/main/java/io/saltflow/store/RequestScheduler.java
+++ b/src/main/java/io/saltflow/store/RequestScheduler.java
@@ -18,26 +18,26 @@
 import java.util.function.Consumer;
 
 /**
- * Holds requests back until this node's share of the rates allows them: by priority, and in order
- * within a priority. Leadership never waits. A request that is not sent before its deadline is
- * answered with status 429. Runs on the event loop.
+ * Delays requests until this node's share of the rates allows them. Requests are sent by priority,
+ * and in submission order within a priority; leadership requests never wait. A request that is not
+ * sent before its deadline is answered with status 429. Runs on the event loop.
  */
 final class RequestScheduler extends Routine {
   private static final TimeSpan DRAIN_INTERVAL = TimeSpan.millis(20);
   private static final TimeSpan MAX_POLL_QUEUE_TIME = TimeSpan.millis(600);
 
-  /** The part of its rate that a node's status polls may always use. */
+  /** Fraction of the node's request rate that status polls may always use. */
   private static final double MIN_POLL_FRACTION = 0.1;
 
-  /** The part of a second's writes that is left alone by those that need not be written. */
+  /** Fraction of one second's writes that must be available before an optional write is sent. */
   private static final double SPARE_WRITE_FRACTION = 0.75;
 
   private static final int STATUS_TOO_MANY_REQUESTS = 429;
 
-  /** A node's share of the rates: requests, and writes where it has its usual share. */
+  /** A node's request rate, and its write rate for a write share of 1. */
   record Rates(double requestsPerSecond, double writesPerSecond) {}
 
-  /** A request and where its response goes. */
+  /** A request and the callback for its response. */
   record StoreRequest(
       RequestPriority priority,
       String method,
@@ -55,12 +55,12 @@
   private final Consumer<StoreRequest> sender;
   private final RateLimiter requestLimiter;
 
-  /** What polls may use of it: less when the store, which all nodes ask, says it is too much. */
+  /** Limits status polls, and reduces their rate when the store rejects requests for its rate. */
   private final AdaptiveRateLimiter pollLimiter;
 
   private RateLimiter writeLimiter;
 
-  /** How many times its usual share of the writes this node may use. */
+  /** Factor by which this node's write rate is multiplied. */
   private double writeShare = 1;
 
   private final Map<RequestPriority, ArrayDeque<QueuedRequest>> queues =
@@ -68,9 +68,9 @@
   private boolean drainScheduled;
 
   /**
-   * A scheduler with all of its rates unused.
+   * Creates a scheduler with unused rates.
    *
-   * @param sender sends a request at once
+   * @param sender sends a request immediately
    */
   RequestScheduler(
       Routine parent,
@@ -95,7 +95,7 @@
     }
   }
 
-  /** Sends a request as soon as its priority and the rates allow. */
+  /** Sends a request as soon as its priority and the rates allow it. */
   void submit(StoreRequest request) {
     MonotonicTime now = loop.now();
     if (request.priority() == RequestPriority.LEADERSHIP) {
@@ -108,7 +108,7 @@
     drainQueues();
   }
 
-  /** Who polls waits 2 s: what does not go soon is refused while its user still listens. */
+  /** Users wait 2 s for a status poll, so a delayed poll is refused before they give up. */
   private static TimeSpan maxQueueTime(StoreRequest request) {
     boolean poll = request.priority() == RequestPriority.STATUS_POLLS;
     return poll && request.timeout().longerThan(MAX_POLL_QUEUE_TIME)
@@ -116,19 +116,19 @@
         : request.timeout();
   }
 
-  /** Counts a request that is sent without waiting. */
+  /** Counts a request that bypasses this scheduler. */
   void countUnscheduled() {
     requestLimiter.forceAcquire(1, loop.now());
   }
 
-  /** The store refused a request for its rate. */
+  /** Handles a request that the store rejected for its rate. */
   void onRateLimited() {
     pollLimiter.onRejected(loop.now());
   }
 
-  /** Multiplies the writes that this node may use, by its usual share; see the client. */
-  void setWriteShare(double times) {
-    writeShare = times;
+  /** Sets the factor by which this node's write rate is multiplied. */
+  void setWriteShare(double factor) {
+    writeShare = factor;
     double rate = writeRate(loop.now());
     writeLimiter = new RateLimiter(rate, rate, loop.now());
   }
@@ -137,7 +137,7 @@
     return rates.writesPerSecond() * writeShare * limits.rateFraction(now);
   }
 
-  /** Whether a user's write would be sent at once. */
+  /** Returns whether a user's write would be sent immediately. */
   boolean canWriteNow() {
     for (RequestPriority priority : List.of(RequestPriority.SAFETY, RequestPriority.USER)) {
       for (QueuedRequest queued : queues.get(priority)) {
@@ -149,16 +149,16 @@
     return writeLimiter.canAcquire(1, loop.now());
   }
 
-  /** Whether nearly all that may be written at once is left, for what need not be written. */
+  /** Returns whether most of the write rate is unused, so that optional writes may be sent. */
   boolean hasSpareWriteCapacity() {
     int spareWrites = (int) Math.ceil(rates.writesPerSecond() * SPARE_WRITE_FRACTION);
     return canWriteNow() && writeLimiter.canAcquire(spareWrites, loop.now());
   }
 
   /**
-   * Sends what the rates allow, by priority and in order. Nothing of a lower priority is written
-   * while something of a higher one waits for the rate of writes, or a transaction of many writes
-   * would be starved by many of one.
+   * Sends the requests that the rates allow, by priority and in order. No write is sent while one
+   * ahead of it waits for the write rate; otherwise many small transactions would starve a large
+   * one.
    */
   private void drainQueues() {
     MonotonicTime now = loop.now();
@@ -208,7 +208,7 @@
   private boolean tryAcquire(StoreRequest request, boolean writesBlocked, MonotonicTime now) {
     int writeCount = request.writeCount();
     if (writeCount > 0) {
-      // Background records leave room for what users and tasks wait for.
+      // Background writes leave capacity for writes that users and tasks wait for.
       boolean background = request.priority() == RequestPriority.BACKGROUND;
       int required = background ? writeCount * 2 : writeCount;
       if (writesBlocked || !writeLimiter.canAcquire(required, now)) {
--- a/src/main/java/io/saltflow/store/StoreLimits.java
+++ b/src/main/java/io/saltflow/store/StoreLimits.java
@@ -14,28 +14,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The limits of the key-value store as far as they are known, in one place for all that writes. The
- * store may lower them without notice; writers that kept copies of the settings were rejected for
- * ever. What is rejected although it is within these limits lowers them: by halves, and whichever
- * of value size and number of operations is nearer to its limit. They are not raised again before
- * the next start.
+ * The known limits of the key-value store, shared by all writers. The store may lower its limits
+ * without notice, so writers must not keep copies. A permanent rejection of a transaction within
+ * these limits lowers, by halving, either the value size or the number of operations, whichever is
+ * nearer to its limit. They are not raised again before the next start.
  *
- * <p>The rate of writes decreases when writes are rejected for it, and recovers (additive increase,
- * multiplicative decrease). Used on the event loop only.
+ * <p>The write rate decreases when writes are rejected for it, and recovers over time (additive
+ * increase, multiplicative decrease). Used on the event loop only.
  */
 public final class StoreLimits {
   private static final Logger LOG = LoggerFactory.getLogger(StoreLimits.class);
 
-  /** With fewer operations at once a job can't be moved from the live to the finished ones. */
+  /** Moving a job from the live to the finished jobs takes this many operations. */
   public static final int MIN_OPERATIONS = 2;
 
-  /** Smaller values do not hold a job's description. */
+  /** Smallest value size that holds a job's description. */
   public static final int MIN_VALUE_BYTES = 1024;
 
-  /** How many guards count as one operation. */
+  /** Number of guards that count as one operation. */
   static final int GUARDS_PER_OPERATION = 4;
 
-  /** What is used of a value's limit: the store may encode numbers and texts a little longer. */
+  /** Fraction of the value limit that is used, as the store may encode values slightly longer. */
   private static final double USABLE_VALUE_FRACTION = 0.875;
 
   private static final int MAX_LOGGED_KEYS = 50;
@@ -43,7 +42,7 @@
   private static final double MIN_RATE_FRACTION = 0.25;
   private static final double RATE_INCREASE_PER_SECOND = 0.04;
 
-  /** What is rejected within this was sent before the rate was lowered. */
+  /** Rejections within this time are of requests that were sent before the rate was lowered. */
   private static final TimeSpan RATE_DECREASE_INTERVAL = TimeSpan.seconds(1);
 
   private final double writesPerSecond;
@@ -51,7 +50,7 @@
   private int maxOperations;
   private double valueLimitBytes;
 
-  /** A transaction was rejected: what is accepted from then on shows what was the cause. */
+  /** Whether a transaction was rejected, so that accepted sizes are tracked to find the cause. */
   private boolean learning;
 
   private int acceptedOperations;
@@ -61,11 +60,11 @@
   private MonotonicTime rateDecreasedAt = MonotonicTime.LONG_AGO;
 
   /**
-   * Limits as the settings give them.
+   * Creates limits from the settings.
    *
-   * @param maxOperations the most operations of one transaction
-   * @param valueKb the largest value in KiB of JSON
-   * @param writesPerSecond for all nodes together
+   * @param maxOperations maximum number of operations in one transaction
+   * @param valueKb maximum size of a value in KiB of JSON
+   * @param writesPerSecond write rate of all nodes together
    */
   public StoreLimits(int maxOperations, double valueKb, double writesPerSecond) {
     this.maxOperations = Math.max(1, maxOperations);
@@ -73,32 +72,32 @@
     this.writesPerSecond = writesPerSecond;
   }
 
-  /** The most operations of one transaction. */
+  /** Returns the maximum number of operations in one transaction. */
   public int maxOperations() {
     return maxOperations;
   }
 
-  /** The most guards of one transaction. */
+  /** Returns the maximum number of guards in one transaction. */
   public int maxGuards() {
     return GUARDS_PER_OPERATION * maxOperations;
   }
 
-  /** The most bytes of a value as JSON, less a margin. */
+  /** Returns the maximum size of a value in bytes of JSON, less a margin. */
   public int maxValueBytes() {
     return (int) (valueLimitBytes * USABLE_VALUE_FRACTION);
   }
 
-  /** Whether a value may be written, as far as is known. */
+  /** Returns whether a value is within the known size limit. */
   public boolean fits(MessageBody value) {
     return JsonSize.of(value) <= maxValueBytes();
   }
 
-  /** Writes a second, for all nodes together. */
+  /** Returns the write rate of all nodes together. */
   public double writesPerSecond() {
     return writesPerSecond * rateFraction;
   }
 
-  /** The part of its usual rate of writes that a node may use now. */
+  /** Returns the fraction of its normal write rate that a node may use now. */
   double rateFraction(MonotonicTime now) {
     if (rateFraction < 1) {
       rateFraction =
@@ -109,7 +108,7 @@
     return rateFraction;
   }
 
-  /** Writes were rejected for their rate. */
+  /** Lowers the write rate after a rejection for the rate. */
   void onRateLimited(MonotonicTime now) {
     rateFraction(now);
     if (now.since(rateDecreasedAt).longerThan(RATE_DECREASE_INTERVAL)) {
@@ -118,19 +117,19 @@
     }
   }
 
-  /** A transaction was rejected as one that will never be accepted. */
+  /** Lowers the limits after a permanent rejection of a transaction within them. */
   void onPermanentRejection(Transaction transaction) {
     int valueBytes = transaction.largestValueBytes();
     double operationsRatio = transaction.operationCost() / (double) maxOperations;
     double valueRatio = valueBytes / valueLimitBytes;
     if (operationsRatio > 1 || valueRatio > 1) {
-      // It was sent before the limits were lowered.
+      // The transaction was sent before the limits were lowered.
       return;
     }
     boolean reduceOperations = transaction.operationCost() > MIN_OPERATIONS;
     boolean reduceValue = valueBytes > MIN_VALUE_BYTES;
     if (reduceOperations && reduceValue) {
-      // A size that was accepted since the last rejection is not the cause of this one.
+      // A size that was accepted since the last rejection is not the cause of this rejection.
       boolean operationsAccepted = transaction.operationCost() <= acceptedOperations;
       boolean valueAccepted = valueBytes <= acceptedValueBytes;
       boolean byRatio = operationsAccepted == valueAccepted;
@@ -148,8 +147,8 @@
     } else {
       logOnce(
           transaction.mainKey(),
-          "key-value store rejects {} ({} writes, {} guards, largest value {} bytes), which"
-              + " can't be made smaller: it is tried again, other writes go on",
+          "key-value store rejected write of {} ({} writes, {} guards, largest value {} bytes)"
+              + " although it is of minimum size: it will be retried",
           transaction.mainKey(),
           transaction.writeCount(),
           transaction.guardCount(),
@@ -157,7 +156,7 @@
     }
   }
 
-  /** A transaction was carried out; it only counts once one has been rejected. */
+  /** Records the size of an accepted transaction, once a transaction has been rejected. */
   void onAccepted(Transaction transaction) {
     if (learning) {
       acceptedOperations = Math.max(acceptedOperations, transaction.operationCost());
@@ -179,8 +178,8 @@
 
   private void logLowered(Transaction transaction, int valueBytes) {
     LOG.warn(
-        "key-value store rejects {} ({} writes, {} guards, largest value {} bytes): limits"
-            + " lowered to values of {} bytes and {} operations a transaction",
+        "key-value store rejected write of {} ({} writes, {} guards, largest value {} bytes):"
+            + " limits lowered to {} bytes per value and {} operations per transaction",
         transaction.mainKey(),
         transaction.writeCount(),
         transaction.guardCount(),
@@ -189,14 +188,17 @@
         maxOperations);
   }
 
-  /** The value with as few items left out at the start of a list as makes it fit. */
+  /** Returns the value with the fewest items removed from the start of a list to make it fit. */
   public MessageBody truncatedFromStart(MessageBody value, String list) {
     MessageBody truncated = new MessageBody(new LinkedHashMap<>(value.fields()));
     removeUntilFits(truncated, list, remaining -> 0);
     return truncated;
   }
 
-  /** The value with as few items left out at the ends of these lists as makes it fit. */
+  /**
+   * Returns the value with the fewest items removed from the ends of these lists, in the given
+   * order, to make it fit.
+   */
   public MessageBody truncated(MessageBody value, String... lists) {
     MessageBody truncated = new MessageBody(new LinkedHashMap<>(value.fields()));
     for (String name : lists) {
@@ -216,16 +218,21 @@
   }
 
   /**
-   * Warns, once a key, that a record is larger than may be written.
+   * Logs a warning, once per key, that a record is larger than the limit.
    *
-   * @param consequence what becomes of the record
+   * @param consequence how the record is handled, as a clause in the log line
    */
   public void warnTooLarge(String key, int bytes, String consequence) {
     logOnce(
-        key, "{} takes {} bytes, the limit is {}: {}", key, bytes, maxValueBytes(), consequence);
+        key,
+        "record {} of {} bytes exceeds limit of {} bytes: {}",
+        key,
+        bytes,
+        maxValueBytes(),
+        consequence);
   }
 
-  /** One line for each key, and a bounded number of them. */
+  /** Logs one line per key, for a bounded number of keys. */
   private void logOnce(String key, String format, Object... arguments) {
     if (loggedKeys.size() < MAX_LOGGED_KEYS && loggedKeys.add(key)) {
       LOG.warn(format, arguments);
--- a/src/main/java/io/saltflow/store/Transaction.java
+++ b/src/main/java/io/saltflow/store/Transaction.java
@@ -9,33 +9,33 @@
 import java.util.List;
 
 /**
- * A transaction of the key-value store: its writes are carried out together, and only if each
+ * A transaction of the key-value store. Its writes are executed atomically, and only if each
  * guarded key has the given revision (compare-and-swap).
  */
 public final class Transaction {
   private final List<Object> guards = new ArrayList<>();
   private final List<Object> writes = new ArrayList<>();
 
-  /** Requires that a key has this revision; absent: that there is no such key. */
+  /** Requires a key to have this revision, or not to exist for {@link Revision#ABSENT}. */
   public Transaction guard(String key, Revision revision) {
     guards.add(MessageBody.of().with(Wire.KEY, key).with(Wire.VERSION, revision.number()));
     return this;
   }
 
-  /** Writes a key. */
+  /** Adds a write of a key. */
   public Transaction put(String key, MessageBody value) {
     writes.add(MessageBody.of().with(Wire.PUT, key).with(Wire.VALUE, value));
     return this;
   }
 
-  /** Writes a key that is deleted when the lease ends. */
+  /** Adds a write of a key that is deleted when the lease ends. */
   public Transaction put(String key, MessageBody value, long leaseId) {
     writes.add(
         MessageBody.of().with(Wire.PUT, key).with(Wire.VALUE, value).with(Wire.LEASE, leaseId));
     return this;
   }
 
-  /** Deletes a key. */
+  /** Adds a deletion of a key. */
   public Transaction delete(String key) {
     writes.add(MessageBody.of().with(Wire.DELETE, key));
     return this;
@@ -45,19 +45,19 @@
     return guards.size();
   }
 
-  /** The limit of operations that this transaction needs; guards count towards it as well. */
+  /** Returns how many operations this transaction counts for, including its guards. */
   public int operationCost() {
     int byGuards =
         (guards.size() + StoreLimits.GUARDS_PER_OPERATION - 1) / StoreLimits.GUARDS_PER_OPERATION;
     return Math.max(writes.size(), byGuards);
   }
 
-  /** Bytes of its largest value; 0: it puts none. */
+  /** Returns the size of the largest value in bytes, or 0 if the transaction puts none. */
   int largestValueBytes() {
     return writes.stream().mapToInt(Transaction::valueBytes).max().orElse(0);
   }
 
-  /** The key of its largest value, or the first that it writes; "null": it has only guards. */
+  /** Returns the key of the largest value, or the first written key, or "null" without writes. */
   String mainKey() {
     Object main =
         writes.stream()
@@ -78,7 +78,7 @@
     return writes.size();
   }
 
-  /** The form in which it is sent. */
+  /** Returns the wire form of the transaction. */
   public MessageBody encode() {
     return MessageBody.of().with(Wire.GUARDS, guards).with(Wire.WRITES, writes);
   }
--- a/src/main/java/io/saltflow/store/package-info.java
+++ b/src/main/java/io/saltflow/store/package-info.java
@@ -1,6 +1,5 @@
 /**
- * The client of the key-value store: prioritized and rate-limited requests, transactions with
- * guards, watches, the limits that the store accepts, and values that are compressed or packed many
- * to a key.
+ * The client of the key-value store: prioritized and rate-limited requests, guarded transactions,
+ * watches, the limits that the store accepts, and compressed or packed values.
  */
 package io.saltflow.store;
