--- a/src/test/java/io/saltflow/capacity/LinearFit.java
+++ b/src/test/java/io/saltflow/capacity/LinearFit.java
@@ -7,76 +7,76 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A least-squares line through measured points, and how far the worst point lies off it. */
+/** Fits a least-squares line to measured points and checks its parameters. */
 public final class LinearFit {
-  private static final int LEAST_POINTS = 4;
+  private static final int MIN_POINTS = 4;
 
   private final String name;
   private final List<double[]> points = new ArrayList<>();
 
-  /** A quantity that is measured at several sizes. */
+  /** Creates a fit without points for a named quantity. */
   public LinearFit(String name) {
     this.name = name;
   }
 
-  /** Adds what was measured at one size. */
+  /** Adds a point and returns this fit. */
   public LinearFit add(double size, double measured) {
     points.add(new double[] {size, measured});
     return this;
   }
 
-  /** The increase for one unit of size. */
+  /** Returns the slope per unit of size. */
   public double slope() {
     double meanX = mean(0);
     double meanY = mean(1);
     double covariance = 0;
     double variance = 0;
-    for (double[] p : points) {
-      covariance += (p[0] - meanX) * (p[1] - meanY);
-      variance += (p[0] - meanX) * (p[0] - meanX);
+    for (double[] point : points) {
+      covariance += (point[0] - meanX) * (point[1] - meanY);
+      variance += (point[0] - meanX) * (point[0] - meanX);
     }
     return covariance / variance;
   }
 
-  /** The value of the line at size 0. */
+  /** Returns the value of the line at size 0. */
   public double intercept() {
     return mean(1) - slope() * mean(0);
   }
 
-  /** The largest distance of a point from the line. */
+  /** Returns the largest vertical distance of a point from the line. */
   public double largestError() {
-    double worst = 0;
-    for (double[] p : points) {
-      worst = Math.max(worst, Math.abs(p[1] - intercept() - slope() * p[0]));
+    double largest = 0;
+    for (double[] point : points) {
+      largest = Math.max(largest, Math.abs(point[1] - intercept() - slope() * point[0]));
     }
-    return worst;
+    return largest;
   }
 
   private double mean(int coordinate) {
-    return points.stream().mapToDouble(p -> p[coordinate]).average().orElse(0);
+    return points.stream().mapToDouble(point -> point[coordinate]).average().orElse(0);
   }
 
   /**
-   * Prints the points and the line as a row of a table, and fails if the line is not the expected
-   * one.
+   * Prints the points and the line as a table row, and fails if the line is not within the
+   * tolerances.
    */
   public void check(
       double slope,
-      double slopeWithin,
+      double slopeTolerance,
       double intercept,
-      double interceptWithin,
-      double mostError) {
+      double interceptTolerance,
+      double maxError) {
     System.out.println(row());
-    assertTrue(points.size() >= LEAST_POINTS, name);
-    assertEquals(slope, slope(), slopeWithin, name + ": slope");
-    assertEquals(intercept, intercept(), interceptWithin, name + ": intercept");
-    assertTrue(largestError() <= mostError, name + ": largest error " + largestError());
+    assertTrue(points.size() >= MIN_POINTS, name);
+    assertEquals(slope, slope(), slopeTolerance, name + ": slope");
+    assertEquals(intercept, intercept(), interceptTolerance, name + ": intercept");
+    assertTrue(largestError() <= maxError, name + ": largest error " + largestError());
   }
 
   private String row() {
     StringBuilder text = new StringBuilder("| " + name + " |");
-    for (double[] p : points) {
-      text.append(String.format(Locale.ROOT, " %.0f: %.1f", p[0], p[1]));
+    for (double[] point : points) {
+      text.append(String.format(Locale.ROOT, " %.0f: %.1f", point[0], point[1]));
     }
     return text.append(
             String.format(
--- a/src/test/java/io/saltflow/capacity/MessageSizesTest.java
+++ b/src/test/java/io/saltflow/capacity/MessageSizesTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Bytes of the messages between controllers and workers and among controllers, as functions of what
- * they list. docs/CAPACITY.md is worked out from these lines: a change here changes that page.
+ * Tests the sizes of messages between controllers and workers and among controllers. The figures in
+ * docs/CAPACITY.md are based on these values and must be updated with them.
  */
 class MessageSizesTest {
   private static final int[] TASKS = {0, 9, 27, 81, 243};
@@ -34,77 +34,80 @@
     return TaskId.parse("req-" + (412_000 + number) + "/" + (100 + number));
   }
 
-  private static WorkerHeartbeat report(int tasks, WorkerHeartbeat.TaskState state) {
-    List<WorkerHeartbeat.TaskStatus> list = new ArrayList<>();
+  private static WorkerHeartbeat workerHeartbeat(int tasks, WorkerHeartbeat.TaskState state) {
+    List<WorkerHeartbeat.TaskStatus> statuses = new ArrayList<>();
     for (int i = 0; i < tasks; i++) {
       WorkerHeartbeat.ExitCause cause =
           state == WorkerHeartbeat.TaskState.EXITED
               ? WorkerHeartbeat.ExitCause.DONE
               : WorkerHeartbeat.ExitCause.OTHER;
-      list.add(new WorkerHeartbeat.TaskStatus(task(i), new Attempt(1), state, cause, false));
+      statuses.add(new WorkerHeartbeat.TaskStatus(task(i), new Attempt(1), state, cause, false));
     }
     MachineId machine = new MachineId("vm-003231");
     return new WorkerHeartbeat(
-        machine, "10.1.12.232:9000", "c96", "zone-a", true, 1, 70_000, TERM, null, list);
+        machine, "10.1.12.232:9000", "c96", "zone-a", true, 1, 70_000, TERM, null, statuses);
   }
 
-  private static byte[] reportBody(int tasks, WorkerHeartbeat.TaskState state) {
-    return MessagePackCodec.encode(WorkerCodec.encodeHeartbeat(report(tasks, state)));
+  private static byte[] heartbeatBody(int tasks, WorkerHeartbeat.TaskState state) {
+    return MessagePackCodec.encode(WorkerCodec.encodeHeartbeat(workerHeartbeat(tasks, state)));
   }
 
   @Test
-  void reportsGrowWithTheTasksListed() throws IOException {
-    LinearFit running = new LinearFit("report, running tasks, with head");
-    LinearFit exited = new LinearFit("report, exited tasks, with head");
-    LinearFit json = new LinearFit("report, running tasks, as JSON without head");
+  void heartbeatSizeIsLinearInTasks() throws IOException {
+    LinearFit running = new LinearFit("heartbeat, running tasks, with HTTP header");
+    LinearFit exited = new LinearFit("heartbeat, exited tasks, with HTTP header");
+    LinearFit json = new LinearFit("heartbeat, running tasks, as JSON without HTTP header");
     for (int n : TASKS) {
-      byte[] body = reportBody(n, WorkerHeartbeat.TaskState.RUNNING);
+      byte[] body = heartbeatBody(n, WorkerHeartbeat.TaskState.RUNNING);
       running.add(n, HttpFrames.requestBytes("POST", Wire.PATH_HEARTBEAT, body));
-      byte[] ended = reportBody(n, WorkerHeartbeat.TaskState.EXITED);
-      exited.add(n, HttpFrames.requestBytes("POST", Wire.PATH_HEARTBEAT, ended));
-      WorkerHeartbeat report = report(n, WorkerHeartbeat.TaskState.RUNNING);
-      json.add(n, JsonSize.of(WorkerCodec.encodeHeartbeat(report)));
+      byte[] exitedBody = heartbeatBody(n, WorkerHeartbeat.TaskState.EXITED);
+      exited.add(n, HttpFrames.requestBytes("POST", Wire.PATH_HEARTBEAT, exitedBody));
+      WorkerHeartbeat heartbeat = workerHeartbeat(n, WorkerHeartbeat.TaskState.RUNNING);
+      json.add(n, JsonSize.of(WorkerCodec.encodeHeartbeat(heartbeat)));
     }
     running.check(41, 0.1, 209, 1, 2);
     exited.check(59, 0.1, 209, 1, 2);
     json.check(53, 0.1, 150, 1, 1);
   }
 
-  private static LinearFit answers(String name, Function<TaskId, WorkerCommand> order) {
+  private static LinearFit fitAnswers(String name, Function<TaskId, WorkerCommand> newCommand) {
     LinearFit fit = new LinearFit(name);
     for (int n : COMMANDS) {
-      List<WorkerCommand> orders = new ArrayList<>();
+      List<WorkerCommand> commands = new ArrayList<>();
       for (int i = 0; i < n; i++) {
-        orders.add(order.apply(task(i)));
+        commands.add(newCommand.apply(task(i)));
       }
-      byte[] body = MessagePackCodec.encode(WorkerCodec.encodeCommands(TERM, orders));
+      byte[] body = MessagePackCodec.encode(WorkerCodec.encodeCommands(TERM, commands));
       fit.add(n, HttpFrames.answerBytes(200, body));
     }
     return fit;
   }
 
   @Test
-  void answersGrowWithTheCommands() {
-    Attempt first = new Attempt(1);
-    answers("answer, launches, with head", t -> new WorkerCommand.Launch(t, first))
+  void answerSizeIsLinearInCommands() {
+    Attempt attempt = new Attempt(1);
+    fitAnswers(
+            "answer, launch commands, with HTTP header", t -> new WorkerCommand.Launch(t, attempt))
         .check(39.1, 0.1, 90, 1, 1);
-    answers("answer, clears, with head", t -> new WorkerCommand.Clear(t, first))
+    fitAnswers("answer, clear commands, with HTTP header", t -> new WorkerCommand.Clear(t, attempt))
         .check(38.1, 0.1, 90, 1, 1);
-    answers("answer, halts, with head", t -> new WorkerCommand.Stop(t, first, TimeSpan.seconds(10)))
+    fitAnswers(
+            "answer, stop commands, with HTTP header",
+            t -> new WorkerCommand.Stop(t, attempt, TimeSpan.seconds(10)))
         .check(56.1, 0.1, 90, 1, 1);
   }
 
   @Test
-  void beatsGrowWithTheLiveJobs() {
-    LinearFit fit = new LinearFit("beat of a leader");
+  void peerHeartbeatSizeIsLinearInLiveJobs() {
+    LinearFit fit = new LinearFit("peer heartbeat of a leader");
     for (int n : JOBS) {
       List<PeerHeartbeat.JobCounts> counts = new ArrayList<>();
       for (int i = 0; i < n; i++) {
         counts.add(new PeerHeartbeat.JobCounts(new JobId("req-" + (412_000 + i)), 100, 100));
       }
-      PeerHeartbeat beat =
+      PeerHeartbeat heartbeat =
           new PeerHeartbeat("saltbox-0", TERM, true, 0, counts, true, List.of(), 1, true);
-      fit.add(n, beat.encode().length);
+      fit.add(n, heartbeat.encode().length);
     }
     fit.check(15, 0.01, 19, 1, 2);
   }
--- a/src/test/java/io/saltflow/store/PackedRecordsSplitTest.java
+++ b/src/test/java/io/saltflow/store/PackedRecordsSplitTest.java
@@ -32,16 +32,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Pages that are larger than the key-value store accepts are split, whenever its limits are lowered
- * and whatever becomes of each write. What was confirmed of a record is found afterwards, both by
- * readers of all pages and by earlier builds, for which the last page counts.
+ * Tests that oversized pages are split without data loss, whenever the limits are loweredLimits and
+ * whether or not a write succeeds. Confirmed data must be readable by all builds, including earlier
+ * ones, which read only the last page that holds a record.
  */
 class PackedRecordsSplitTest {
   private static final KeyValueLimits LARGE = new KeyValueLimits(1e6, 1e6, 8, 8);
-  private static final int ENTRIES = 36;
+  private static final int RECORD_COUNT = 36;
   private static final int PADDING = 300;
 
-  /** So many times faster than the machine's clock, since lost responses are waited for. */
+  /** Speedup of the loop's clock, which shortens the timeouts of lost responses. */
   private static final int CLOCK_SPEEDUP = 40;
 
   private static final class Root extends Routine {
@@ -50,7 +50,7 @@
     }
   }
 
-  /** A record that only ever grows. */
+  /** A record whose count only increases. */
   private static final class Counter {
     final String name;
     int padding = PADDING;
@@ -65,54 +65,54 @@
 
   private Root root;
 
-  /** What was certainly written. */
+  /** Highest count per record in a confirmed write. */
   private final Map<String, Long> confirmed = new HashMap<>();
 
   private EventLoop loop;
   private EmulatedKeyValueStore store;
-  private KeyValueServer front;
+  private KeyValueServer keyValueServer;
   private HttpServer server;
-  private KeyValueLimits lowered;
-  private int messages;
-  private int lowerAt = Integer.MAX_VALUE;
+  private KeyValueLimits loweredLimits;
+  private int messageCount;
+  private int lowerLimitsAt = Integer.MAX_VALUE;
   private Random faults;
   private long leaderKey;
   private Root leader;
-  private KeyValueClient state;
+  private KeyValueClient client;
   private PackedRecords<Counter> packedRecords;
-  private Map<String, Counter> entries;
+  private Map<String, Counter> counters;
 
   private void start() throws IOException {
     root = new Root();
     leader = null;
-    lowerAt = Integer.MAX_VALUE;
+    lowerLimitsAt = Integer.MAX_VALUE;
     loop = new EventLoop(() -> System.nanoTime() * CLOCK_SPEEDUP, System::currentTimeMillis);
     store = new EmulatedKeyValueStore(LARGE, steps -> {}, loop.now());
-    front = new KeyValueServer(root, loop, store.core(), () -> store.flush(loop.now()));
+    keyValueServer = new KeyValueServer(root, loop, store.core(), () -> store.flush(loop.now()));
     server = new HttpServer(root, loop, Addresses.parse("127.0.0.1:0"), 64, this::serve);
     startLeader();
   }
 
-  private void serve(String method, String target, byte[] body, Consumer<HttpResponse> answer) {
-    if (++messages == lowerAt) {
-      store.core().setLimits(lowered, loop.now());
+  private void serve(String method, String target, byte[] body, Consumer<HttpResponse> callback) {
+    if (++messageCount == lowerLimitsAt) {
+      store.core().setLimits(loweredLimits, loop.now());
     }
     if (faults != null && faults.nextInt(6) == 0) {
       if (faults.nextBoolean()) {
-        // Carried out late, if at all.
+        // The request is executed later, or not at all.
         loop.schedule(
             TimeSpan.millis(faults.nextInt(4000)),
             root,
-            () -> front.handle(method, target, body, reply -> {}));
+            () -> keyValueServer.handle(method, target, body, reply -> {}));
       } else {
-        front.handle(method, target, body, reply -> {});
+        keyValueServer.handle(method, target, body, reply -> {});
       }
       return;
     }
-    front.handle(method, target, body, answer);
+    keyValueServer.handle(method, target, body, callback);
   }
 
-  /** A leader reads what is there and goes on with it. */
+  /** Starts a leader that restores the stored records. */
   private void startLeader() throws IOException {
     startLeader(new StoreLimits(8, 8, 1e6));
   }
@@ -124,27 +124,28 @@
     leader = new Root();
     HttpClient http =
         new HttpClient(leader, loop, Addresses.parse("127.0.0.1:" + server.port()), 4, 64);
-    state = new KeyValueClient(leader, loop, http, http, 1e6, 1e6, limits);
+    client = new KeyValueClient(leader, loop, http, http, 1e6, 1e6, limits);
     packedRecords =
         new PackedRecords<>(
             leader,
-            state,
-            this::guarded,
+            client,
+            this::newGuardedTransaction,
             "p/",
             () -> new TimeSpan(0),
             loop::now,
             new CounterFormat());
     put(Keys.LEADER, MessageBody.of());
     leaderKey = store.value(Keys.LEADER).modRevision();
-    entries = new TreeMap<>();
-    for (Map.Entry<String, KeyValueStore.Value> page : stored().entrySet()) {
+    counters = new TreeMap<>();
+    for (Map.Entry<String, KeyValueStore.Value> page : storedPages().entrySet()) {
       packedRecords.restorePage(page.getKey(), new Revision(page.getValue().modRevision()));
       page.getValue()
           .data()
           .fields()
           .forEach(
               (name, value) -> {
-                Counter counter = entries.computeIfAbsent(name, ignored -> new Counter(ignored, 0));
+                Counter counter =
+                    counters.computeIfAbsent(name, ignored -> new Counter(ignored, 0));
                 counter.count = Math.max(counter.count, count(value));
                 packedRecords.restoreRecord(page.getKey(), counter);
               });
@@ -161,40 +162,40 @@
     }
   }
 
-  private Transaction guarded() {
+  private Transaction newGuardedTransaction() {
     return new Transaction().guard(Keys.LEADER, new Revision(leaderKey));
   }
 
   private final class CounterFormat implements RecordFormat<Counter> {
     @Override
-    public String name(Counter item) {
-      return item.name;
+    public String name(Counter counter) {
+      return counter.name;
     }
 
     @Override
-    public Object encode(Counter item) {
-      return item.count + "+" + "x".repeat(padding(item));
+    public Object encode(Counter counter) {
+      return counter.count + "+" + "x".repeat(padding(counter));
     }
 
-    private int padding(Counter item) {
-      return Math.min(item.padding, state.limits().maxValueBytes() - 30);
+    private int padding(Counter counter) {
+      return Math.min(counter.padding, client.limits().maxValueBytes() - 30);
     }
 
     @Override
-    public int maxEncodedBytes(Counter item) {
-      return JsonSize.of(item.name) + JsonSize.of("") + 8 + padding(item);
+    public int maxEncodedBytes(Counter counter) {
+      return JsonSize.of(counter.name) + JsonSize.of("") + 8 + padding(counter);
     }
 
     @Override
-    public boolean retainsAll(Counter item, Object value) {
-      return ((String) value).length() >= item.recorded;
+    public boolean retainsAll(Counter counter, Object value) {
+      return ((String) value).length() >= counter.recorded;
     }
 
     @Override
-    public void onWritten(List<Counter> items, List<Object> values, boolean ok) {
-      for (int i = 0; ok && i < items.size(); i++) {
-        confirmed.merge(items.get(i).name, count(values.get(i)), Math::max);
-        items.get(i).recorded = ((String) values.get(i)).length();
+    public void onWritten(List<Counter> counters, List<Object> values, boolean confirmedWrite) {
+      for (int i = 0; confirmedWrite && i < counters.size(); i++) {
+        confirmed.merge(counters.get(i).name, count(values.get(i)), Math::max);
+        counters.get(i).recorded = ((String) values.get(i)).length();
       }
     }
   }
@@ -204,27 +205,29 @@
     return Long.parseLong(text.substring(0, text.indexOf('+')));
   }
 
-  private Map<String, KeyValueStore.Value> stored() {
-    Map<String, KeyValueStore.Value> out = new TreeMap<>();
+  private Map<String, KeyValueStore.Value> storedPages() {
+    Map<String, KeyValueStore.Value> pages = new TreeMap<>();
     for (int n = 0; n < 200; n++) {
       String key = String.format("p/%05d", n);
       if (store.value(key) != null) {
-        out.put(key, store.value(key));
+        pages.put(key, store.value(key));
       }
     }
-    return out;
+    return pages;
   }
 
-  /** As an earlier build reads it: in the order of keys, the last counts. */
+  /** Reads the pages like an earlier build, which uses the last page in key order. */
   private void assertNothingLost() {
     Map<String, Long> last = new HashMap<>();
-    stored()
+    storedPages()
         .values()
         .forEach(
             page -> page.data().fields().forEach((name, value) -> last.put(name, count(value))));
     confirmed.forEach(
         (name, count) ->
-            assertTrue(last.getOrDefault(name, -1L) >= count, name + " is older than " + count));
+            assertTrue(
+                last.getOrDefault(name, -1L) >= count,
+                name + " has a count below the confirmed " + count));
   }
 
   private void runOnce() throws IOException {
@@ -235,7 +238,7 @@
 
   private void change(int number, boolean urgent) {
     Counter counter =
-        entries.computeIfAbsent(String.format("e%03d", number), name -> new Counter(name, 0));
+        counters.computeIfAbsent(String.format("e%03d", number), name -> new Counter(name, 0));
     counter.count++;
     packedRecords.markChanged(counter, urgent);
   }
@@ -243,13 +246,13 @@
   private void remove(int number) {
     String name = String.format("e%03d", number);
     packedRecords.remove(name, true);
-    entries.remove(name);
+    counters.remove(name);
     confirmed.remove(name);
   }
 
   private void fill() throws IOException {
-    fill(ENTRIES);
-    assertEquals(2, stored().size(), "two full pages");
+    fill(RECORD_COUNT);
+    assertEquals(2, storedPages().size(), "full pages");
   }
 
   private void fill(int count) throws IOException {
@@ -264,84 +267,85 @@
   }
 
   private boolean allWritten() {
-    return entries.values().stream()
+    return counters.values().stream()
         .allMatch(counter -> confirmed.getOrDefault(counter.name, -1L) >= counter.count);
   }
 
-  private boolean settled(KeyValueLimits limits) {
+  private boolean isSettled(KeyValueLimits limits) {
     Map<String, Integer> occurrences = new HashMap<>();
     boolean fit = true;
-    for (KeyValueStore.Value page : stored().values()) {
+    for (KeyValueStore.Value page : storedPages().values()) {
       fit &= JsonSize.of(page.data()) <= limits.maxValueKib() * 1024;
       page.data().fields().keySet().forEach(name -> occurrences.merge(name, 1, Integer::sum));
     }
     return fit && allWritten() && occurrences.values().stream().allMatch(n -> n == 1);
   }
 
-  /** Once each entry has changed, each is on one page that is small enough. */
-  private void settle(KeyValueLimits limits) throws IOException {
-    settle(limits, 0);
+  /** Changes each record and runs until each is stored on exactly one page within the limits. */
+  private void runUntilSettled(KeyValueLimits limits) throws IOException {
+    runUntilSettled(limits, 0);
   }
 
-  private void settle(KeyValueLimits limits, int from) throws IOException {
-    for (int n = from; n < ENTRIES; n++) {
+  private void runUntilSettled(KeyValueLimits limits, int from) throws IOException {
+    for (int n = from; n < RECORD_COUNT; n++) {
       change(n, n % 2 == 0);
     }
-    for (int i = 0; i < 6000 && !settled(limits); i++) {
+    for (int i = 0; i < 6000 && !isSettled(limits); i++) {
       packedRecords.flush(true);
       runOnce();
     }
-    assertTrue(settled(limits));
+    assertTrue(isSettled(limits));
   }
 
   @AfterEach
-  void end() {
+  void stop() {
     leader.cancel();
     root.cancel();
   }
 
-  /** The limits are lowered, and the leader ends, at each message in turn. */
+  /** Guards against data loss when limits are loweredLimits and the leader fails at any message. */
   @ParameterizedTest
   @CsvSource({"2,4", "1,2"})
-  void limitsLoweredAndFailoverAtEachMessage(double valueKb, int operations) throws IOException {
-    lowered = new KeyValueLimits(1e6, 1e6, valueKb, operations);
-    for (int endAfter = 0; endAfter < 24; endAfter++) {
+  void loweredLimitsAndFailoverAtAnyMessageLoseNoRecords(double valueKb, int operations)
+      throws IOException {
+    loweredLimits = new KeyValueLimits(1e6, 1e6, valueKb, operations);
+    for (int failoverAfter = 0; failoverAfter < 24; failoverAfter++) {
       start();
       confirmed.clear();
       fill();
-      messages = 0;
-      lowerAt = 1 + endAfter % 5;
-      for (int step = 0; messages < endAfter && step < 400; step++) {
-        change(step * 7 % ENTRIES, step % 2 == 0);
+      messageCount = 0;
+      lowerLimitsAt = 1 + failoverAfter % 5;
+      for (int step = 0; messageCount < failoverAfter && step < 400; step++) {
+        change(step * 7 % RECORD_COUNT, step % 2 == 0);
         packedRecords.flush(true);
         runOnce();
       }
       startLeader();
       assertNothingLost();
-      settle(lowered);
-      end();
+      runUntilSettled(loweredLimits);
+      stop();
     }
   }
 
-  /** Responses are lost and writes carried out late, with failovers in between. */
+  /** Guards against data loss through lost responses and delayed writes across failovers. */
   @Test
-  void lostAndDelayedWritesWithFailovers() throws IOException {
-    lowered = new KeyValueLimits(1e6, 1e6, 2, 4);
+  void lostAndDelayedWritesAcrossFailoversLoseNoRecords() throws IOException {
+    loweredLimits = new KeyValueLimits(1e6, 1e6, 2, 4);
     for (int seed = 0; seed < 12; seed++) {
       start();
       confirmed.clear();
       fill();
       Random random = new Random(seed);
-      messages = 0;
-      lowerAt = 1 + random.nextInt(10);
+      messageCount = 0;
+      lowerLimitsAt = 1 + random.nextInt(10);
       faults = new Random(seed);
-      // The first page has room in every other day.
+      // With every other seed, the first page has room.
       int from = seed % 2 * 20;
       for (int n = 0; n < from; n++) {
         remove(n);
       }
       for (int step = 0; step < 120; step++) {
-        change(from + random.nextInt(ENTRIES - from), random.nextBoolean());
+        change(from + random.nextInt(RECORD_COUNT - from), random.nextBoolean());
         packedRecords.flush(random.nextInt(3) == 0);
         runOnce();
         if (random.nextInt(40) == 0) {
@@ -349,87 +353,85 @@
         }
       }
       faults = null;
-      settle(lowered, from);
-      end();
+      runUntilSettled(loweredLimits, from);
+      stop();
     }
   }
 
-  /** A successor with lower limits splits one page at a time: the rate is for others too. */
+  /** Guards against a new leader that uses up the write rate by splitting all pages at once. */
   @Test
-  void oversizedPagesAreSplitOneAtATime() throws IOException {
-    lowered = new KeyValueLimits(1e6, 1e6, 2, 4);
+  void oversizedPagesAreSplitOnePerPass() throws IOException {
+    loweredLimits = new KeyValueLimits(1e6, 1e6, 2, 4);
     start();
     fill();
     StoreLimits next = new StoreLimits(4, 2, 1e6);
     startLeader(next);
     int passes = 0;
-    int most = 0;
-    while (!settled(lowered) && passes < 50) {
+    int maxChanges = 0;
+    while (!isSettled(loweredLimits) && passes < 50) {
       long before = store.revision();
       packedRecords.flush(true);
       passes++;
       for (int i = 0; i < 40; i++) {
         runOnce();
       }
-      most = Math.max(most, (int) (store.revision() - before));
+      maxChanges = Math.max(maxChanges, (int) (store.revision() - before));
     }
-    // Of 24 and 12 entries, 5 fit on a page: four more pages for the first, two for the other.
-    assertTrue(most <= 5, most + " changes at once");
+    // A page holds 5 records, so the pages of 24 and 12 records need four and two more pages.
+    assertTrue(maxChanges <= 5, maxChanges + " changes in one pass");
     assertTrue(passes <= 5, passes + " passes");
-    assertEquals(ENTRIES, confirmed.size());
+    assertEquals(RECORD_COUNT, confirmed.size());
   }
 
-  /**
-   * What was stored of a record and fits nowhere any more stays on its page until it is removed.
-   */
+  /** Guards against truncation of a stored record that no longer fits on any page. */
   @Test
-  void oversizedRecordIsNeverReduced() throws IOException {
-    lowered = new KeyValueLimits(1e6, 1e6, 2, 4);
+  void oversizedRecordIsNotTruncated() throws IOException {
+    loweredLimits = new KeyValueLimits(1e6, 1e6, 2, 4);
     start();
-    Counter big = new Counter("big", 1);
-    big.padding = 3000;
-    entries.put("big", big);
-    packedRecords.markChanged(big, true);
+    Counter oversized = new Counter("big", 1);
+    oversized.padding = 3000;
+    counters.put("big", oversized);
+    packedRecords.markChanged(oversized, true);
     fill(3);
-    store.core().setLimits(lowered, loop.now());
-    int before = ((String) store.value("p/00000").data().get("big")).length();
-    assertTrue(before > 3000);
+    store.core().setLimits(loweredLimits, loop.now());
+    int storedLength = ((String) store.value("p/00000").data().get("big")).length();
+    assertTrue(storedLength > 3000);
     for (int n = 0; n < 30; n++) {
-      change(n % ENTRIES, true);
-      big.count++;
-      packedRecords.markChanged(big, n % 2 == 0);
+      change(n % RECORD_COUNT, true);
+      oversized.count++;
+      packedRecords.markChanged(oversized, n % 2 == 0);
       for (int i = 0; i < 20; i++) {
         packedRecords.flush(true);
         runOnce();
       }
     }
-    assertEquals(before, ((String) store.value("p/00000").data().get("big")).length());
-    assertTrue(allWritten(), "each goes on, on another page");
-    assertTrue(stored().size() < 20, stored().size() + " pages");
+    assertEquals(storedLength, ((String) store.value("p/00000").data().get("big")).length());
+    assertTrue(allWritten(), "all records are written to other pages");
+    assertTrue(storedPages().size() < 20, storedPages().size() + " pages");
     packedRecords.remove("big", true);
-    entries.remove("big");
+    counters.remove("big");
     confirmed.remove("big");
-    settle(lowered);
+    runUntilSettled(loweredLimits);
   }
 
-  /** A page of which one part changes all the time, and the other never. */
+  /** Guards against urgent writes that wait until an oversized page is completely split. */
   @Test
-  void urgentWriteDoesNotWaitForTheRestOfItsPage() throws IOException {
-    lowered = new KeyValueLimits(1e6, 1e6, 2, 4);
+  void urgentRecordIsMovedBeforeRestOfOversizedPage() throws IOException {
+    loweredLimits = new KeyValueLimits(1e6, 1e6, 2, 4);
     start();
     fill();
-    store.core().setLimits(lowered, loop.now());
+    store.core().setLimits(loweredLimits, loop.now());
     change(3, true);
     for (int i = 0; i < 6000 && !allWritten(); i++) {
       packedRecords.flush(false);
       runOnce();
     }
     assertTrue(allWritten());
-    assertEquals(ENTRIES, confirmed.size());
+    assertEquals(RECORD_COUNT, confirmed.size());
     assertTrue(store.value("p/00002").data().fields().containsKey("e003"));
     assertEquals(
         MessageBody.of().with("e003", "2+" + "x".repeat(PADDING)).fields(),
         store.value("p/00002").data().fields(),
-        "nothing else has moved yet");
+        "only the urgent record has moved");
   }
 }
--- a/src/test/java/io/saltflow/store/PackedRecordsTest.java
+++ b/src/test/java/io/saltflow/store/PackedRecordsTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Records packed into pages, single guarded keys, and the order in which requests are sent. */
+/** Tests packed records, guarded keys, listings, watches and request priorities. */
 class PackedRecordsTest {
   private record StoredValue(MessageBody body, long revision) {}
 
@@ -39,26 +39,26 @@
 
   private final Map<String, StoredValue> stored = new TreeMap<>();
   private final List<String> written = new ArrayList<>();
-  private final List<MessageBody> held = new ArrayList<>();
+  private final List<MessageBody> delayedTransactions = new ArrayList<>();
   private final Root root = new Root();
-  private final List<String> recorded = new ArrayList<>();
-  private boolean holdNext;
+  private final List<String> confirmedRecords = new ArrayList<>();
+  private boolean delayNext;
   private long epoch = 1;
   private EventLoop loop;
   private KeyValueClient client;
 
   @BeforeEach
-  void start() throws IOException {
+  void startStore() throws IOException {
     loop = new EventLoop();
     HttpServer server = new HttpServer(root, loop, Addresses.parse("127.0.0.1:0"), 16, this::serve);
     HttpClient http =
         new HttpClient(root, loop, Addresses.parse("127.0.0.1:" + server.port()), 4, 64);
-    // Four writes a second, of which a background transaction takes two at once.
+    // Four writes per second, of which a background write requires two to be available.
     client = new KeyValueClient(root, loop, http, http, 1000, 4, new StoreLimits(8, 2, 4));
   }
 
   @AfterEach
-  void end() {
+  void stopStore() {
     root.cancel();
   }
 
@@ -78,10 +78,10 @@
         return;
       }
       MessageBody transaction = MessagePackCodec.decode(body);
-      if (holdNext) {
-        // Its response is lost, and it is carried out late.
-        holdNext = false;
-        held.add(transaction);
+      if (delayNext) {
+        // The response is lost, and the transaction is executed later.
+        delayNext = false;
+        delayedTransactions.add(transaction);
         return;
       }
       reply.accept(
@@ -92,7 +92,7 @@
     }
   }
 
-  /** Two keys a page, and a change between two pages. */
+  /** Returns a page of two keys, and advances the revision after each page. */
   private MessageBody listing(String target) {
     String after = target.contains("after=") ? target.replaceAll(".*after=([^&]*).*", "$1") : "";
     List<Object> pairs = new ArrayList<>();
@@ -125,7 +125,7 @@
     return 200;
   }
 
-  private PackedRecords<String> pages() {
+  private PackedRecords<String> newPackedRecords() {
     return new PackedRecords<>(
         root,
         client,
@@ -135,130 +135,127 @@
         loop::now,
         new RecordFormat<String>() {
           @Override
-          public String name(String item) {
-            return item;
+          public String name(String record) {
+            return record;
           }
 
           @Override
-          public Object encode(String item) {
-            return "is " + item;
+          public Object encode(String record) {
+            return "is " + record;
           }
 
           @Override
-          public int maxEncodedBytes(String item) {
+          public int maxEncodedBytes(String record) {
             return 800;
           }
 
           @Override
-          public boolean retainsAll(String item, Object value) {
+          public boolean retainsAll(String record, Object value) {
             return true;
           }
 
           @Override
-          public void onWritten(List<String> items, List<Object> values, boolean ok) {
-            if (ok) {
-              recorded.addAll(items);
+          public void onWritten(List<String> records, List<Object> values, boolean confirmed) {
+            if (confirmed) {
+              confirmedRecords.addAll(records);
             }
           }
         });
   }
 
-  private void runUntil(BooleanSupplier reached, Runnable step) throws IOException {
-    for (int i = 0; i < 400 && !reached.getAsBoolean(); i++) {
+  private void runUntil(BooleanSupplier condition, Runnable step) throws IOException {
+    for (int i = 0; i < 400 && !condition.getAsBoolean(); i++) {
       step.run();
       loop.schedule(TimeSpan.millis(20), root, loop::pause);
       loop.run();
     }
-    assertTrue(reached.getAsBoolean());
+    assertTrue(condition.getAsBoolean());
   }
 
-  /**
-   * A write whose response was lost is carried out after a later one of the same page: it must not
-   * take the later record away again, or a successor would not know of that machine.
-   */
+  /** Guards against a delayed page write that removes a record which a later write has added. */
   @Test
-  void delayedPageWriteDoesNotOverwriteALaterOne() throws IOException, InvalidMessageException {
-    PackedRecords<String> pages = pages();
-    holdNext = true;
-    pages.markChanged("one", true);
-    pages.flush(false);
-    pages.markChanged("two", true);
-    runUntil(() -> recorded.contains("two"), () -> pages.flush(false));
+  void delayedPageWriteDoesNotOverwriteLaterWrite() throws IOException, InvalidMessageException {
+    PackedRecords<String> packedRecords = newPackedRecords();
+    delayNext = true;
+    packedRecords.markChanged("one", true);
+    packedRecords.flush(false);
+    packedRecords.markChanged("two", true);
+    runUntil(() -> confirmedRecords.contains("two"), () -> packedRecords.flush(false));
     assertEquals(Set.of("one", "two"), stored.get("p/00000").body.fields().keySet());
-    assertEquals(409, apply(held.get(0)));
+    assertEquals(409, apply(delayedTransactions.get(0)));
     assertEquals(Set.of("one", "two"), stored.get("p/00000").body.fields().keySet());
   }
 
-  /** The same of a single key: a plan that has ended stays ended. */
+  /** Guards against a delayed write that reopens an ended plan. */
   @Test
-  void delayedKeyWriteDoesNotOverwriteALaterOne() throws IOException, InvalidMessageException {
-    GuardedKeyWriter writes = new GuardedKeyWriter(root, client, Transaction::new);
+  void delayedKeyWriteDoesNotOverwriteLaterWrite() throws IOException, InvalidMessageException {
+    GuardedKeyWriter writer = new GuardedKeyWriter(root, client, Transaction::new);
     stored.put("plan/a", new StoredValue(MessageBody.of(), 1));
-    writes.restore("plan/a", new Revision(1));
-    holdNext = true;
-    writes.write("plan/a", MessageBody.of().with("says", "open"), ok -> assertFalse(ok));
-    List<Boolean> told = new ArrayList<>();
+    writer.restore("plan/a", new Revision(1));
+    delayNext = true;
+    writer.write(
+        "plan/a", MessageBody.of().with("says", "open"), confirmed -> assertFalse(confirmed));
+    List<Boolean> results = new ArrayList<>();
     runUntil(
-        () -> told.contains(true),
-        () -> writes.write("plan/a", MessageBody.of().with("says", "ended"), told::add));
-    assertEquals(409, apply(held.get(0)));
+        () -> results.contains(true),
+        () -> writer.write("plan/a", MessageBody.of().with("says", "ended"), results::add));
+    assertEquals(409, apply(delayedTransactions.get(0)));
     assertEquals("ended", stored.get("plan/a").body.get("says"));
   }
 
   @Test
-  void pagesAreFilledAndReused() throws IOException {
-    PackedRecords<String> pages = pages();
-    for (String item : List.of("a", "b", "c", "d", "e")) {
-      pages.markChanged(item, true);
+  void removedRecordsMakeRoomOnTheirPage() throws IOException {
+    PackedRecords<String> packedRecords = newPackedRecords();
+    for (String record : List.of("a", "b", "c", "d", "e")) {
+      packedRecords.markChanged(record, true);
     }
-    runUntil(() -> recorded.containsAll(List.of("a", "b", "c", "d", "e")), () -> pages.flush(true));
+    runUntil(
+        () -> confirmedRecords.containsAll(List.of("a", "b", "c", "d", "e")),
+        () -> packedRecords.flush(true));
     assertEquals(Set.of("p/00000", "p/00001", "p/00002"), stored.keySet());
-    pages.remove("a", true);
-    pages.retainOnly(item -> !item.equals("b"));
-    pages.markChanged("f", true);
-    recorded.clear();
-    runUntil(() -> recorded.contains("f"), () -> pages.flush(true));
+    packedRecords.remove("a", true);
+    packedRecords.retainOnly(record -> !record.equals("b"));
+    packedRecords.markChanged("f", true);
+    confirmedRecords.clear();
+    runUntil(() -> confirmedRecords.contains("f"), () -> packedRecords.flush(true));
     assertEquals(Set.of("f"), stored.get("p/00000").body.fields().keySet());
   }
 
-  private static MessageBody sent(MessageBody body) throws InvalidMessageException {
+  private static MessageBody encodeAndDecode(MessageBody body) throws InvalidMessageException {
     return MessagePackCodec.decode(MessagePackCodec.encode(body));
   }
 
-  /** A listing goes over pages, and what changed since its first page is watched for. */
+  /** Guards against missed changes: the listing has the revision of its first page. */
   @Test
-  void listingSpansSeveralPages() throws IOException {
+  void listingOfSeveralPagesHasRevisionOfFirstPage() throws IOException {
     for (int i = 0; i < 7; i++) {
       stored.put("live/" + i, new StoredValue(MessageBody.of().with("n", (long) i), i + 1));
     }
     epoch = 100;
-    List<KeyValueClient.PrefixListing> got = new ArrayList<>();
-    client.list(KeyValueClient.RequestPriority.LEADERSHIP, "live/", got::add);
-    runUntil(() -> !got.isEmpty(), () -> {});
-    assertEquals(7, got.get(0).entries().size());
-    assertEquals(100, got.get(0).revision());
+    List<KeyValueClient.PrefixListing> listings = new ArrayList<>();
+    client.list(KeyValueClient.RequestPriority.LEADERSHIP, "live/", listings::add);
+    runUntil(() -> !listings.isEmpty(), () -> {});
+    assertEquals(7, listings.get(0).entries().size());
+    assertEquals(100, listings.get(0).revision());
     assertEquals(104, epoch);
   }
 
-  /** Accepted and cancelled between two responses: it is not live, in whatever order they are. */
+  /** Guards against a cancelled job that stays live because its events arrive in reverse order. */
   @Test
   void watchEventsAreSortedByRevision() throws InvalidMessageException {
     MessageBody cancelled = MessageBody.of().with("delete", "live/a").with("stamp", 433L);
     MessageBody accepted =
         MessageBody.of().with("put", "live/a").with("data", MessageBody.of()).with("stamp", 432L);
-    MessageBody told =
+    MessageBody watchBody =
         MessageBody.of().with("epoch", 433L).with("news", List.of(cancelled, accepted));
-    KeyValueClient.StoreResponse answer =
-        new KeyValueClient.StoreResponse(200, sent(told), loop.now());
-    assertEquals("live/a", answer.events().get(0).get("put"));
-    assertEquals("live/a", answer.events().get(1).get("delete"));
+    KeyValueClient.StoreResponse response =
+        new KeyValueClient.StoreResponse(200, encodeAndDecode(watchBody), loop.now());
+    assertEquals("live/a", response.events().get(0).get("put"));
+    assertEquals("live/a", response.events().get(1).get("delete"));
   }
 
-  /**
-   * What a launch waits for goes before users, and background writes go last, whoever asked first.
-   */
   @Test
-  void rateLimitIsSpentByPriority() throws IOException {
+  void queuedWritesAreSentByPriority() throws IOException {
     List<KeyValueClient.RequestPriority> order =
         List.of(
             KeyValueClient.RequestPriority.BACKGROUND,
--- a/src/test/java/io/saltflow/store/StoreLimitsTest.java
+++ b/src/test/java/io/saltflow/store/StoreLimitsTest.java
@@ -12,29 +12,29 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** What is known of the key-value store's limits after rejections, and what fits into them. */
+/** Tests how rejections change the known limits, and that compressed batches fit within them. */
 class StoreLimitsTest {
   private static final StoreLimits SMALL = new StoreLimits(4, 2, 18);
-  private static final StoreLimits FLOOR =
+  private static final StoreLimits MINIMAL =
       new StoreLimits(StoreLimits.MIN_OPERATIONS, StoreLimits.MIN_VALUE_BYTES / 1024.0, 18);
 
-  private static Transaction txn(int changes, int conditions, int valueBytes) {
+  private static Transaction transaction(int writes, int guards, int valueBytes) {
     Transaction transaction = new Transaction();
-    for (int i = 0; i < changes; i++) {
+    for (int i = 0; i < writes; i++) {
       transaction.put(
           "k/" + i, MessageBody.of().with("v", "x".repeat(Math.max(0, valueBytes - 8))));
     }
-    for (int i = 0; i < conditions; i++) {
+    for (int i = 0; i < guards; i++) {
       transaction.guard("g/" + i, Revision.ABSENT);
     }
     return transaction;
   }
 
-  /** A store with these limits responds, until all that is tried is accepted. */
+  /** Reports the responses of a store with these limits to repeated attempts. */
   private static void learn(
-      StoreLimits limits, int operations, int valueBytes, Transaction... tried) {
+      StoreLimits limits, int operations, int valueBytes, Transaction... attempts) {
     for (int round = 0; round < 20; round++) {
-      for (Transaction transaction : tried) {
+      for (Transaction transaction : attempts) {
         if (transaction.operationCost() > operations
             || transaction.largestValueBytes() > valueBytes) {
           limits.onPermanentRejection(transaction);
@@ -46,88 +46,94 @@
   }
 
   @Test
-  void limitWithTheHigherUseIsLowered() {
+  void limitWithHigherUseIsLowered() {
     StoreLimits limits = new StoreLimits(8, 8, 25);
-    learn(limits, 4, 2048, txn(8, 9, 500));
+    learn(limits, 4, 2048, transaction(8, 9, 500));
     assertEquals(4, limits.maxOperations());
     assertEquals(16, limits.maxGuards());
-    assertEquals(7168, limits.maxValueBytes(), "small values say nothing of size");
-    learn(limits, 4, 2048, txn(1, 2, 7000), txn(1, 2, 3500));
+    assertEquals(7168, limits.maxValueBytes(), "small values do not lower the value limit");
+    learn(limits, 4, 2048, transaction(1, 2, 7000), transaction(1, 2, 3500));
     assertEquals(1792, limits.maxValueBytes());
     assertEquals(4, limits.maxOperations());
   }
 
-  /** Sent before the limits were lowered, and rejected after that. */
+  /** Guards against lowering limits twice for requests sent before they were lowered. */
   @Test
-  void delayedRejectionLowersNothing() {
+  void delayedRejectionDoesNotLowerLimits() {
     StoreLimits limits = new StoreLimits(8, 8, 25);
-    limits.onPermanentRejection(txn(8, 1, 10));
-    limits.onPermanentRejection(txn(8, 1, 10));
-    limits.onPermanentRejection(txn(1, 1, 7000));
-    limits.onPermanentRejection(txn(1, 1, 7000));
+    limits.onPermanentRejection(transaction(8, 1, 10));
+    limits.onPermanentRejection(transaction(8, 1, 10));
+    limits.onPermanentRejection(transaction(1, 1, 7000));
+    limits.onPermanentRejection(transaction(1, 1, 7000));
     assertEquals(4, limits.maxOperations());
     assertEquals(3584, limits.maxValueBytes());
   }
 
   @Test
-  void rejectedComparisonHasTooManyGuards() {
+  void rejectionOfGuardsLowersGuardLimit() {
     StoreLimits limits = new StoreLimits(8, 8, 25);
-    learn(limits, 4, 2048, txn(0, 32, 0));
+    learn(limits, 4, 2048, transaction(0, 32, 0));
     assertEquals(16, limits.maxGuards());
   }
 
-  /** A size that was accepted since the last rejection is not the cause of the next. */
   @Test
-  void recentlyAcceptedSizeIsNotTheCause() {
+  void rejectionLowersLimitOfSizeNotRecentlyAccepted() {
     StoreLimits limits = new StoreLimits(24, 16, 80);
-    learn(limits, 24, 2048, txn(1, 4, 14_000));
-    limits.onAccepted(txn(20, 30, 50));
-    limits.onPermanentRejection(txn(20, 30, 1700));
+    learn(limits, 24, 2048, transaction(1, 4, 14_000));
+    limits.onAccepted(transaction(20, 30, 50));
+    limits.onPermanentRejection(transaction(20, 30, 1700));
     assertEquals(24, limits.maxOperations());
     assertTrue(limits.maxValueBytes() < 1700);
   }
 
-  /** Whatever is rejected, and for whatever cause: useful records still fit. */
+  /** Guards against limits too small for a job's description. */
   @Test
-  void limitsNeverFallBelowTheMinimum() {
+  void limitsStayAboveMinimum() {
     StoreLimits limits = new StoreLimits(8, 8, 25);
     int[] sizes = {8000, 4000, 3000, 1700, 1200, 900, 300};
     for (int size : sizes) {
-      learn(limits, 0, 0, txn(1, 2, size), txn(8, 32, size), txn(4, 9, 10), txn(3, 7, 10));
+      learn(
+          limits,
+          0,
+          0,
+          transaction(1, 2, size),
+          transaction(8, 32, size),
+          transaction(4, 9, 10),
+          transaction(3, 7, 10));
     }
     assertEquals(StoreLimits.MIN_OPERATIONS, limits.maxOperations());
     assertEquals(StoreLimits.MIN_VALUE_BYTES * 7 / 8, limits.maxValueBytes());
   }
 
-  /** Decreases on rejections, at most once a second, and recovers. */
+  /** The rate decreases at most once per second. */
   @Test
-  void rateLimitedWritesLowerTheRateTemporarily() {
+  void rateDecreasesOnRejectionsAndRecovers() {
     StoreLimits limits = new StoreLimits(8, 8, 25);
     MonotonicTime now = new MonotonicTime(10_000);
     limits.onRateLimited(now);
     limits.onRateLimited(new MonotonicTime(10_100));
     assertEquals(20, limits.writesPerSecond(), 0.2);
-    for (int s = 12; s < 40; s += 2) {
-      limits.onRateLimited(new MonotonicTime(s * 1000L));
+    for (int second = 12; second < 40; second += 2) {
+      limits.onRateLimited(new MonotonicTime(second * 1000L));
     }
-    double low = limits.writesPerSecond();
-    assertTrue(low >= 25 * 0.25 && low < 12, "" + low);
+    double lowestRate = limits.writesPerSecond();
+    assertTrue(lowestRate >= 25 * 0.25 && lowestRate < 12, "" + lowestRate);
     limits.rateFraction(new MonotonicTime(80_000));
     assertEquals(25, limits.writesPerSecond());
   }
 
-  /** Queue batches fit however badly they compress. */
+  /** Guards against queue batches that exceed the limits because they do not compress. */
   @Test
-  void compressedQueueBatchesAlwaysFit() throws InvalidMessageException {
+  void incompressibleBatchesFitWithinLimits() throws InvalidMessageException {
     assertEquals(4832, new CompressedValues(SMALL).guaranteedBytes());
-    assertEquals(1040, new CompressedValues(FLOOR).guaranteedBytes());
-    for (StoreLimits limits : List.of(SMALL, FLOOR)) {
-      CompressedValues chunks = new CompressedValues(limits);
-      byte[] bytes = new byte[chunks.guaranteedBytes()];
+    assertEquals(1040, new CompressedValues(MINIMAL).guaranteedBytes());
+    for (StoreLimits limits : List.of(SMALL, MINIMAL)) {
+      CompressedValues compressedValues = new CompressedValues(limits);
+      byte[] bytes = new byte[compressedValues.guaranteedBytes()];
       new Random(1).nextBytes(bytes);
-      List<String> parts = chunks.compress(bytes);
-      assertTrue(parts.size() <= limits.maxOperations());
-      for (String part : parts) {
+      List<String> texts = compressedValues.compress(bytes);
+      assertTrue(texts.size() <= limits.maxOperations());
+      for (String text : texts) {
         MessageBody value =
             MessageBody.of()
                 .with("b", Long.MAX_VALUE)
@@ -135,10 +141,10 @@
                 .with("f", Long.MAX_VALUE)
                 .with("i", 99)
                 .with("n", 99)
-                .with("d", part);
+                .with("d", text);
         assertTrue(limits.fits(value), "" + JsonSize.of(value));
       }
-      assertEquals(bytes.length, chunks.decompress(parts).length);
+      assertEquals(bytes.length, compressedValues.decompress(texts).length);
     }
   }
 }
