--- a/src/main/java/io/saltflow/admission/CascadeBarrier.java
+++ b/src/main/java/io/saltflow/admission/CascadeBarrier.java
@@ -6,36 +6,36 @@
 import java.util.Set;
 
 /**
- * Decides whether a job may be reported as live although it may depend on a cancelled one. A job
- * that does is to be reported as cancelled within {@code cancel_s} after the cancellation was
- * confirmed. The leader records that within a second or two. After an outage, without a leader, or
- * with one of a version that knows no dependencies it may be late; then the records are checked,
- * and until that is done no job is reported as live.
+ * Decides whether a job may be reported as live although it may depend on a cancelled job. A
+ * dependent job must be reported as cancelled within {@code cancel_s} after the cancellation was
+ * confirmed. The leader normally records that within seconds. It may be late after an outage,
+ * without a leader, or with a leader whose version does not support dependencies. In these cases
+ * the records are checked, and no job is reported as live until the check has finished.
  *
- * <p>Pure: time is passed in. The invariant is {@link #settledAsOf}: of every cancellation that was
- * confirmed before it, all dependent jobs are recorded as cancelled, or are among the orphans,
- * which are not reported as live.
+ * <p>Pure: time is passed in. The invariant concerns {@link #cascadedUntil}: for each cancellation
+ * that was confirmed before that time, all dependent jobs are either recorded as cancelled or among
+ * the orphans, which are not reported as live.
  */
 public final class CascadeBarrier {
-  /** A leader that has led for so long has recorded the cancellation of all dependents. */
+  /** Time after which an active leader has recorded the cancellation of all dependents. */
   private static final TimeSpan LEADER_SETTLING_TIME = TimeSpan.seconds(5);
 
-  /** After a longer gap without such a leader, its return alone proves nothing. */
+  /** After a longer gap without such a leader, the records must be checked. */
   private static final TimeSpan MAX_LEADER_GAP = TimeSpan.seconds(10);
 
-  /** From reading a record until its user has the answer, with a margin. */
+  /** Upper bound of the time from reading a record until the user receives the answer. */
   private static final TimeSpan ANSWER_MARGIN = TimeSpan.seconds(5);
 
-  /** Ticks come several times a second; two that are further apart had a process pause between. */
+  /** Interval between two ticks that indicates a process pause. */
   private static final TimeSpan PAUSE_THRESHOLD = TimeSpan.seconds(5);
 
   private static final TimeSpan CHECK_INTERVAL = TimeSpan.seconds(2);
 
-  /** A job about which nobody is answered for 90 s counts as forgotten. */
+  /** Keeps status polls unanswered for less than the 90 s after which a job counts as lost. */
   private static final TimeSpan MAX_WITHHELD = TimeSpan.seconds(60);
 
   private final TimeSpan maxLag;
-  private MonotonicTime settledAsOf = MonotonicTime.LONG_AGO;
+  private MonotonicTime cascadedUntil = MonotonicTime.LONG_AGO;
   private MonotonicTime leaderCancelsSince = MonotonicTime.NEVER;
   private MonotonicTime withheldSince = MonotonicTime.NEVER;
   private MonotonicTime lastTick = MonotonicTime.LONG_AGO;
@@ -44,7 +44,9 @@
   private Set<JobId> orphans = Set.of();
 
   /**
-   * @param cancelTimeout the time within which a dependent of a cancelled job is to be reported as
+   * Creates a barrier that reports no job as live before the first check.
+   *
+   * @param cancelTimeout time within which a dependent of a cancelled job must be reported as
    *     cancelled
    */
   public CascadeBarrier(TimeSpan cancelTimeout) {
@@ -55,11 +57,11 @@
   }
 
   /**
-   * Takes note of what is reachable now; to be called several times a second.
+   * Updates the state from what is reachable now. Must be called several times a second.
    *
-   * @param storeAvailable whether the key-value store answers here
-   * @param leaderCancels whether it does, and a leader is heard that records what follows from
-   *     cancellations
+   * @param storeAvailable whether the key-value store answers this node
+   * @param leaderCancels whether the store is available and a reachable leader cascades
+   *     cancellations to dependent jobs
    */
   public void tick(boolean storeAvailable, boolean leaderCancels, MonotonicTime now) {
     if (!leaderCancels) {
@@ -70,9 +72,9 @@
     boolean settled =
         leaderCancels && !LEADER_SETTLING_TIME.longerThan(now.since(leaderCancelsSince));
     if (settled && !isBehind(MAX_LEADER_GAP, now)) {
-      settledAsOf = new MonotonicTime(now.ms() - LEADER_SETTLING_TIME.ms());
+      cascadedUntil = new MonotonicTime(now.ms() - LEADER_SETTLING_TIME.ms());
     }
-    // During a process pause no query was refused: that time does not count as withheld.
+    // No query was refused during a process pause, so that time does not count as withheld.
     boolean paused = now.since(lastTick).longerThan(PAUSE_THRESHOLD);
     lastTick = now;
     if (!storeAvailable || !isBehind(maxLag, now)) {
@@ -83,38 +85,39 @@
   }
 
   private boolean isBehind(TimeSpan maximum, MonotonicTime now) {
-    return now.since(settledAsOf).longerThan(maximum);
+    return now.since(cascadedUntil).longerThan(maximum);
   }
 
-  /** Whether the records are to be checked now. */
+  /** Returns whether the records should be checked now. */
   public boolean checkDue(MonotonicTime now) {
     boolean due = !CHECK_INTERVAL.longerThan(now.since(lastCheck));
     return !checking && due && (isBehind(MAX_LEADER_GAP, now) || !orphans.isEmpty());
   }
 
-  /** A check of the records has begun. */
+  /** Records that a check of the records has started. */
   public void onCheckStarted(MonotonicTime now) {
     checking = true;
     lastCheck = now;
   }
 
   /**
-   * The check has ended; its result holds as of when it began.
+   * Records the result of a check, which is valid for the time at which the check started.
    *
-   * @param foundOrphans live jobs that depend on cancelled ones; null: the check failed
+   * @param foundOrphans live jobs that depend on cancelled ones, or {@code null} if the check
+   *     failed
    */
   public void onCheckFinished(Set<JobId> foundOrphans) {
     checking = false;
     if (foundOrphans != null) {
       orphans = Set.copyOf(foundOrphans);
-      if (settledAsOf.before(lastCheck)) {
-        settledAsOf = lastCheck;
+      if (cascadedUntil.before(lastCheck)) {
+        cascadedUntil = lastCheck;
       }
       withheldSince = MonotonicTime.NEVER;
     }
   }
 
-  /** Whether a job whose record says that it is live may be reported so. */
+  /** Returns whether a job whose record is live may be reported as live. */
   public boolean mayReportLive(JobId id, MonotonicTime now) {
     if (orphans.contains(id)) {
       return false;
--- a/src/main/java/io/saltflow/admission/FairPolling.java
+++ b/src/main/java/io/saltflow/admission/FairPolling.java
@@ -8,61 +8,60 @@
 import java.util.Map;
 
 /**
- * Decides which status queries are answered when not all can be. By chance alone some job of a
- * thousand is refused a dozen times in a row, and a job that nobody is answered about for 75 s
- * counts as forgotten. A node announces to its peers which jobs it refused, so that it does not
- * matter which of them is asked next.
+ * Decides which status queries to answer under overload. Random refusal would leave some jobs
+ * without an answer for 75 s, after which a job counts as lost. Each node therefore announces the
+ * jobs that it refused to its peers, so that fairness holds across nodes.
  *
- * <p>Memory: some 100 bytes for each of the jobs last asked about, of which there are at most
- * {@value #MAX_TRACKED_JOBS}.
+ * <p>Uses about 100 bytes for each recently queried job, for at most {@value #MAX_TRACKED_JOBS}
+ * jobs.
  */
 public final class FairPolling {
-  /** How a query is treated. */
+  /** How to handle a query. */
   public enum Verdict {
-    /** Refused: its user was answered just before, or too many are in flight. */
+    /** Refuse it, because the job was answered recently or too many queries are in flight. */
     REFUSED,
-    /** Answered when no other work waits. */
+    /** Answer it when no other work waits. */
     BEST_EFFORT,
-    /** Answered like other work: its job has been refused for long. */
+    /** Answer it with the priority of other work, because its job has been refused for long. */
     OVERDUE
   }
 
   /**
-   * From how many requests in flight on queries are refused.
+   * Numbers of requests in flight from which queries are refused.
    *
-   * @param refuseRepeatedFrom from here on those whose job was answered just now
-   * @param refuseRecentFrom from here on those whose job was answered lately
-   * @param refuseAllFrom from here on all
+   * @param refuseRepeatedFrom threshold for jobs that were answered within the usual poll interval
+   * @param refuseRecentFrom threshold for jobs that were answered recently
+   * @param refuseAllFrom threshold for all jobs
    */
   public record PollLimits(int refuseRepeatedFrom, int refuseRecentFrom, int refuseAllFrom) {}
 
   private static final int MAX_TRACKED_JOBS = 8000;
 
-  /** Users ask roughly every 5 s: one who asks again within this asks more often than that. */
+  /** Polls within this time of an answer are more frequent than the usual interval of 5 s. */
   private static final TimeSpan REPEATED_WITHIN = TimeSpan.seconds(4);
 
   private static final TimeSpan RECENT_WITHIN = TimeSpan.seconds(10);
 
-  /** A fifth of the time after which a job that nobody is answered about counts as forgotten. */
+  /** Time without an answer after which queries of a job are prioritized. */
   private static final TimeSpan OVERDUE_AFTER = TimeSpan.seconds(15);
 
-  /** Bounds what is answered like other work: an outage leaves all jobs overdue. */
+  /** Bounds the prioritized queries, since all jobs are overdue after an outage. */
   private static final int MAX_OVERDUE_IN_FLIGHT = 32;
 
-  /** So many refused jobs are announced to the peers. */
+  /** Maximum number of refused jobs that are announced to the peers. */
   private static final int MAX_REPORTED = 200;
 
-  /** A job is announced until so long after its last query here. */
+  /** Time after the last refusal for which a job is announced to the peers. */
   private static final TimeSpan REPORT_WINDOW = TimeSpan.seconds(40);
 
-  /** The last answers and refusals of queries for one job. */
+  /** Times of the last answer to and refusals of queries for one job. */
   private static final class PollState {
     MonotonicTime answeredAt = MonotonicTime.LONG_AGO;
 
-    /** The first refusal since then, here or by a peer. */
+    /** First refusal since the last answer, by this node or a peer. */
     MonotonicTime firstRefusedAt = MonotonicTime.NEVER;
 
-    /** The last refusal here. */
+    /** Last refusal by this node. */
     MonotonicTime lastRefusedAt = MonotonicTime.LONG_AGO;
   }
 
@@ -76,15 +75,15 @@
       };
   private int overdueInFlight;
 
-  /** Knows of no job at first. */
+  /** Creates a policy that tracks no jobs yet. */
   public FairPolling(PollLimits limits) {
     this.limits = limits;
   }
 
   /**
-   * Decides on a query.
+   * Decides how to handle a query.
    *
-   * @param inFlight the queries and other requests that are not answered yet
+   * @param inFlight number of queries and other requests that are not answered yet
    */
   public Verdict onPoll(JobId id, int inFlight, MonotonicTime now) {
     PollState poll = tracked.computeIfAbsent(id, i -> new PollState());
@@ -106,7 +105,7 @@
     return Verdict.BEST_EFFORT;
   }
 
-  /** Takes note of the end of a query that was not refused at once. */
+  /** Records the end of a query that was not refused by {@link #onPoll}. */
   public void onFinished(JobId id, Verdict verdict, boolean answered, MonotonicTime now) {
     overdueInFlight -= verdict == Verdict.OVERDUE ? 1 : 0;
     PollState poll = tracked.computeIfAbsent(id, i -> new PollState());
@@ -123,7 +122,7 @@
     poll.lastRefusedAt = now;
   }
 
-  /** The jobs whose queries were refused here, with for how long; the longest first. */
+  /** Returns the jobs that this node refused and for how long, longest first. */
   public Map<JobId, TimeSpan> unanswered(MonotonicTime now) {
     Map<JobId, TimeSpan> unanswered = new LinkedHashMap<>();
     tracked.entrySet().stream()
@@ -136,7 +135,7 @@
     return unanswered;
   }
 
-  /** Takes note that a peer has refused queries of a job for so long. */
+  /** Records that queries of a job have been refused by a peer for this time. */
   public void onPeerRefused(JobId id, TimeSpan since, MonotonicTime now) {
     PollState poll = tracked.computeIfAbsent(id, i -> new PollState());
     MonotonicTime from = new MonotonicTime(now.ms() - since.ms());
--- a/src/main/java/io/saltflow/clusterversion/BuildAnnouncement.java
+++ b/src/main/java/io/saltflow/clusterversion/BuildAnnouncement.java
@@ -3,9 +3,9 @@
 import io.saltflow.model.Revision;
 
 /**
- * What a controller's process announced of its build before it served.
+ * Announcement of a controller's build, which its process writes before it serves.
  *
  * @param supported the cluster versions that the build supports
- * @param revision of its key: another process of the host, or another announcement, has another
+ * @param revision revision of its key, which changes with each announcement and process
  */
 public record BuildAnnouncement(String host, VersionRange supported, Revision revision) {}
--- a/src/main/java/io/saltflow/clusterversion/ClusterVersion.java
+++ b/src/main/java/io/saltflow/clusterversion/ClusterVersion.java
@@ -1,15 +1,15 @@
 package io.saltflow.clusterversion;
 
 /**
- * A version of all stored and sent forms together.
+ * The version of all storage and wire formats together.
  *
- * @param number from 1 on
+ * @param number at least 1
  */
 public record ClusterVersion(int number) implements Comparable<ClusterVersion> {
-  /** Of builds that know no cluster version; a host without an announcement counts as one. */
+  /** Version of builds without cluster versions, and of hosts without an announcement. */
   public static final ClusterVersion INITIAL = new ClusterVersion(1);
 
-  /** From here on every build announces its versions before it serves. */
+  /** Version from which every build announces its versions before it serves. */
   public static final ClusterVersion ANNOUNCED_BUILDS = new ClusterVersion(3);
 
   @Override
@@ -17,7 +17,7 @@
     return Integer.compare(number, other.number);
   }
 
-  /** Whether this is the older one. */
+  /** Returns whether this version is older than the other one. */
   public boolean isBelow(ClusterVersion other) {
     return number < other.number;
   }
--- a/src/main/java/io/saltflow/clusterversion/ClusterVersionState.java
+++ b/src/main/java/io/saltflow/clusterversion/ClusterVersionState.java
@@ -3,43 +3,47 @@
 import io.saltflow.model.Revision;
 
 /**
- * The cluster versions as they are recorded, under one key.
+ * The recorded cluster versions, which are stored under one key.
  *
- * @param required by every controller's build: there is no way back to builds before it
- * @param active the version that is written from now on; never above the required one
- * @param oldestStored nothing that is stored has an older version
- * @param revision of the key; absent: nothing is recorded yet
+ * @param required version that every build must support; older builds can no longer be used
+ * @param active version in which data is written; never newer than the required version
+ * @param oldestStored lower bound of the versions of stored data
+ * @param revision revision of the key, or {@link Revision#ABSENT} if nothing is recorded yet
  */
 public record ClusterVersionState(
     ClusterVersion required,
     ClusterVersion active,
     ClusterVersion oldestStored,
     Revision revision) {
-  /** Of a store that only builds without cluster versions may have written to. */
+  /** State of a store that only builds without cluster versions may have used. */
   public static final ClusterVersionState UNRECORDED =
       new ClusterVersionState(
           ClusterVersion.INITIAL, ClusterVersion.INITIAL, ClusterVersion.INITIAL, Revision.ABSENT);
 
-  /** Checks that the versions do not contradict each other. */
+  /** Validates that the versions are consistent. */
   public ClusterVersionState {
     if (required.isBelow(active) || active.isBelow(oldestStored)) {
-      throw new InvalidVersionsException(required + ", " + active + ", " + oldestStored);
+      throw new InvalidVersionsException(
+          "inconsistent cluster versions: required "
+              + required
+              + ", active "
+              + active
+              + ", oldest stored "
+              + oldestStored);
     }
   }
 
-  /**
-   * Whether a build that supports this range may serve: it reads all that is and will be stored.
-   */
+  /** Returns whether a build can read all present and future stored data, and thus may serve. */
   public boolean supportsBuild(VersionRange build) {
     return build.contains(required) && build.contains(oldestStored);
   }
 
-  /** Whether a feature may be used now. */
+  /** Returns whether a feature may be used now. */
   public boolean allows(VersionedFeature feature) {
     return !active.isBelow(feature.introducedIn());
   }
 
-  /** Why a build may not serve and which build to install, in one line for operators. */
+  /** Returns why a build may not serve and which build to install, in one line for operators. */
   public String incompatibility(VersionRange build) {
     return build.newest().isBelow(required)
         ? "the stored state is of level "
--- a/src/main/java/io/saltflow/clusterversion/InvalidVersionsException.java
+++ b/src/main/java/io/saltflow/clusterversion/InvalidVersionsException.java
@@ -1,6 +1,6 @@
 package io.saltflow.clusterversion;
 
-/** Cluster versions that contradict each other, such as a range whose newest is the older one. */
+/** Thrown for inconsistent cluster versions, such as a range whose newest version is the older. */
 public final class InvalidVersionsException extends IllegalArgumentException {
   private static final long serialVersionUID = 1;
 
--- a/src/main/java/io/saltflow/clusterversion/VersionGate.java
+++ b/src/main/java/io/saltflow/clusterversion/VersionGate.java
@@ -3,31 +3,31 @@
 import io.saltflow.model.Revision;
 
 /**
- * Lets a process serve only with a build that supports the cluster version: the process reads the
- * cluster versions and its host's last announcement, announces its build in a transaction that is
- * guarded by both, and serves once that is carried out. Until then it admits nothing, answers
- * nothing from records, and does not stand for election. Pure: events in, actions out.
+ * Lets a process serve only if its build supports the cluster version. The process reads the
+ * cluster versions and its host's last announcement, announces its build in a transaction guarded
+ * by both, and serves once that has committed. Until then it accepts no requests, answers nothing
+ * from records, and does not stand for election. Pure: events are passed in, actions are returned.
  */
 public final class VersionGate {
-  /** What the caller is to do next. */
+  /** Next action of the caller. */
   public sealed interface GateAction {
     /** Read the cluster versions and the host's announcement, at one revision. */
     record Read() implements GateAction {}
 
     /**
-     * Write the announcement, if the cluster versions and the host's announcement still have these
-     * revisions.
+     * Write the announcement, guarded by these revisions of the cluster versions and of the host's
+     * announcement.
      *
-     * @param leased whether it is to end with the process, as there may be builds that announce
-     *     nothing
+     * @param leased whether the announcement must expire when the process ends, since builds that
+     *     announce nothing may still be in use
      */
     record Announce(Revision stateRevision, Revision announcementRevision, boolean leased)
         implements GateAction {}
 
-    /** Serve, by the active version. */
+    /** Serve with the active version. */
     record Serve(ClusterVersionState state) implements GateAction {}
 
-    /** Serve nothing and stay up; read again from time to time. */
+    /** Keep running without serving, and read again periodically. */
     record Incompatible(String reason) implements GateAction {}
   }
 
@@ -36,17 +36,17 @@
   private boolean serving;
   private boolean announcementLeased;
 
-  /** A gate that is closed. */
+  /** Creates a closed gate for a build with this supported range. */
   public VersionGate(VersionRange supported) {
     this.supported = supported;
   }
 
-  /** The first action. */
+  /** Returns the first action. */
   public GateAction start() {
     return new GateAction.Read();
   }
 
-  /** The cluster versions and the host's announcement were read. */
+  /** Handles a read of the cluster versions and of the host's announcement. */
   public GateAction onRead(ClusterVersionState state, Revision announcementRevision) {
     lastRead = state;
     if (!state.supportsBuild(supported)) {
@@ -61,8 +61,8 @@
   }
 
   /**
-   * The announcement was carried out, or perhaps not: with a lost response only another read and
-   * another announcement can tell.
+   * Handles the response to the announcement. If it was not confirmed, it may still have been
+   * written, so the versions are read and the announcement is repeated.
    */
   public GateAction onAnnounced(boolean confirmed) {
     if (!confirmed) {
@@ -74,8 +74,8 @@
   }
 
   /**
-   * The announcement's lease expired. This process goes on serving by what it has read, since no
-   * version is raised while its host has no announcement; it has to announce itself anew.
+   * Handles the expiry of the announcement's lease. The process continues to serve, since no
+   * version is raised while its host has no announcement, but it must announce its build again.
    */
   public void onLeaseExpired() {
     serving = false;
--- a/src/main/java/io/saltflow/clusterversion/VersionRange.java
+++ b/src/main/java/io/saltflow/clusterversion/VersionRange.java
@@ -1,23 +1,23 @@
 package io.saltflow.clusterversion;
 
-/** The cluster versions that a build supports, both ends included. */
+/** An inclusive range of cluster versions that a build supports. */
 public record VersionRange(ClusterVersion oldest, ClusterVersion newest) {
-  /** What this build supports. */
+  /** Versions that this build supports. */
   public static final VersionRange THIS_BUILD =
       new VersionRange(ClusterVersion.INITIAL, ClusterVersion.ANNOUNCED_BUILDS);
 
-  /** What is assumed of a controller that announces nothing. */
+  /** Versions that are assumed for a controller without an announcement. */
   public static final VersionRange UNANNOUNCED =
       new VersionRange(ClusterVersion.INITIAL, ClusterVersion.INITIAL);
 
-  /** Checks that the newest is not older than the oldest. */
+  /** Validates that the newest version is not older than the oldest. */
   public VersionRange {
     if (newest.isBelow(oldest)) {
-      throw new InvalidVersionsException("from " + oldest + " to " + newest);
+      throw new InvalidVersionsException("invalid version range: from " + oldest + " to " + newest);
     }
   }
 
-  /** Whether the version is supported. */
+  /** Returns whether the version is supported. */
   public boolean contains(ClusterVersion version) {
     return !version.isBelow(oldest) && !newest.isBelow(version);
   }
--- a/src/main/java/io/saltflow/clusterversion/VersionUpgrade.java
+++ b/src/main/java/io/saltflow/clusterversion/VersionUpgrade.java
@@ -11,34 +11,34 @@
 import java.util.TreeSet;
 
 /**
- * Decides for the leader when the required cluster version is raised, and when it becomes active.
- * Both are transactions that are guarded by the leader key, the key of the cluster versions, and
- * every announcement that they rest on; carried out late, they change nothing. Pure.
+ * Decides for the leader when the required cluster version is raised and when it becomes active.
+ * Both steps are transactions guarded by the leader key, the key of the cluster versions, and the
+ * announcements on which the decision is based, so a delayed transaction has no effect. Pure.
  *
- * <p>Builds without cluster versions announce nothing, also when one replaces a build that did. So
- * while the active version is below {@link ClusterVersion#ANNOUNCED_BUILDS}, announcements are
- * under leases, which expire after their process has ended, and a raise has two steps. An
- * announcement that has kept its revision from before the time t1 until t1 and a lease later is of
- * a process that ran at t1. The required version becomes active once that holds with a t1 after the
- * raise: whoever starts an earlier build then does so after the raise.
+ * <p>Builds without cluster versions announce nothing, even when one replaces a build that did.
+ * While the active version is below {@link ClusterVersion#ANNOUNCED_BUILDS}, announcements are
+ * therefore held under leases, which expire after their process has ended, and an upgrade takes two
+ * steps. An announcement that keeps its revision from before a time t1 until one lease after t1
+ * belongs to a process that was running at t1. The required version becomes active once this holds
+ * for a t1 after the raise, so any earlier build that starts later does so after the raise.
  */
 public final class VersionUpgrade {
   /**
-   * The settings of operators.
+   * Settings for upgrades.
    *
-   * @param stabilization how long all must have supported the new version, without a blocker,
-   *     before the raise
-   * @param announcementLease how long an announcement outlives its last renewal
+   * @param stabilization time for which all controllers must have supported the new version without
+   *     a blocker before the raise
+   * @param announcementLease time to live of an announcement after its last renewal
    */
   public record UpgradePolicy(TimeSpan stabilization, TimeSpan announcementLease) {}
 
   /**
-   * What is known of the cluster now.
+   * Current view of the cluster.
    *
-   * @param announcements of all hosts that have one, at one revision
-   * @param configuredHosts every controller in this one's settings, itself included
-   * @param blocker why no version is to be raised now, in words; null: nothing is in the way
-   * @param newCluster no leader has ever been elected on this store
+   * @param announcements all announcements, read at one revision
+   * @param configuredHosts all controllers in this controller's settings, including itself
+   * @param blocker reason in plain text not to raise the version now, or {@code null}
+   * @param newCluster whether no leader has been elected on this store before
    */
   public record ClusterView(
       ClusterVersionState state,
@@ -48,19 +48,19 @@
       boolean newCluster) {}
 
   /**
-   * Since when a leader has seen the same announcements beside the same cluster versions, without a
+   * Period in which a leader has seen the same announcements and cluster versions without a
    * blocker.
    */
   public record StabilityWindow(
       Map<String, Revision> announcementRevisions, Revision stateRevision, MonotonicTime since) {
-    /** Nothing was seen yet. */
+    /** Window of a leader that has seen no announcements yet. */
     public static final StabilityWindow NONE =
         new StabilityWindow(Map.of(), Revision.ABSENT, MonotonicTime.LONG_AGO);
   }
 
-  /** What to do now. */
+  /** Decision on the next step. */
   public sealed interface UpgradeDecision {
-    /** Wait, for this reason in one line; empty: there is nothing to do. */
+    /** Wait for this reason, which is empty if there is nothing to do. */
     record Wait(String reason) implements UpgradeDecision {}
 
     /** Write the next versions, guarded by the revisions of their key and of the announcements. */
@@ -68,12 +68,12 @@
         implements UpgradeDecision {}
   }
 
-  /** A decision, and the window to hand over with the next view. */
+  /** A decision, and the window to pass with the next view. */
   public record UpgradeOutcome(UpgradeDecision decision, StabilityWindow window) {}
 
   private VersionUpgrade() {}
 
-  /** Decides what to do now, by what is known and how long it has been stable. */
+  /** Decides on the next step from the current view and how long it has been stable. */
   public static UpgradeOutcome decide(
       UpgradePolicy policy, ClusterView view, StabilityWindow before, MonotonicTime now) {
     Map<String, Revision> revisions = new TreeMap<>();
@@ -115,25 +115,31 @@
     if (!state.required().isBelow(commonNewest)) {
       return new UpgradeDecision.Wait(
           state.required().isBelow(overallNewest)
-              ? "level " + overallNewest + " waits: " + laggards(view, newestByHost, overallNewest)
+              ? "cluster version "
+                  + overallNewest
+                  + " not required yet: "
+                  + unsupportingHosts(view, newestByHost, overallNewest)
               : "");
     }
     if (view.newCluster) {
       return write(state, commonNewest, commonNewest, window);
     }
     if (view.blocker != null) {
-      return new UpgradeDecision.Wait("level " + commonNewest + " waits: " + view.blocker);
+      return new UpgradeDecision.Wait(
+          "cluster version " + commonNewest + " not required yet: " + view.blocker);
     }
     if (stableFor.compareTo(policy.stabilization) < 0) {
       return new UpgradeDecision.Wait(
-          "level " + commonNewest + " waits until all have had it for long enough");
+          "cluster version "
+              + commonNewest
+              + " not required yet: builds not stable for long enough");
     }
-    // Where all builds announce themselves before they serve, one step is enough.
+    // One step suffices if all builds announce themselves before they serve.
     boolean oneStep = !state.active().isBelow(ClusterVersion.ANNOUNCED_BUILDS);
     return write(state, commonNewest, oneStep ? commonNewest : state.active(), window);
   }
 
-  /** Whether the required version becomes active. */
+  /** Decides whether the required version becomes active. */
   private static UpgradeDecision decideActivation(
       UpgradePolicy policy,
       ClusterView view,
@@ -141,10 +147,10 @@
       StabilityWindow window,
       TimeSpan stableFor) {
     ClusterVersionState state = view.state;
-    String waiting = "level " + state.required() + " is raised and not used yet";
+    String waiting = "cluster version " + state.required() + " required but not active yet";
     if (!window.announcementRevisions.keySet().containsAll(view.configuredHosts)) {
       return new UpgradeDecision.Wait(
-          waiting + ": " + laggards(view, newestByHost, state.required()));
+          waiting + ": " + unsupportingHosts(view, newestByHost, state.required()));
     }
     if (!stableFor.longerThan(policy.announcementLease.maximumOnRemoteClock())) {
       return new UpgradeDecision.Wait(
@@ -164,8 +170,8 @@
     return new UpgradeDecision.Write(next, window.announcementRevisions);
   }
 
-  /** The hosts that do not support a version, and why. */
-  private static String laggards(
+  /** Returns the hosts that do not support a version, with reasons. */
+  private static String unsupportingHosts(
       ClusterView view, Map<String, ClusterVersion> newestByHost, ClusterVersion version) {
     Set<String> unannounced = new TreeSet<>(view.configuredHosts);
     view.announcements.forEach(announcement -> unannounced.remove(announcement.host()));
@@ -173,9 +179,9 @@
     newestByHost.forEach(
         (host, newest) -> {
           if (unannounced.contains(host)) {
-            reasons.add(host + " has announced nothing");
+            reasons.add(host + " has no announcement");
           } else if (newest.isBelow(version)) {
-            reasons.add(host + " knows levels up to " + newest);
+            reasons.add(host + " supports versions up to " + newest);
           }
         });
     return String.join(", ", reasons);
--- a/src/main/java/io/saltflow/clusterversion/VersionedFeature.java
+++ b/src/main/java/io/saltflow/clusterversion/VersionedFeature.java
@@ -1,17 +1,16 @@
 package io.saltflow.clusterversion;
 
-/** The features that came with a cluster version: each is used once that version is active. */
+/** Features that may be used once the cluster version that introduced them is active. */
 public enum VersionedFeature {
   /**
-   * In records: many jobs under one key, {@code live/~NAME}. An earlier build takes the key for a
-   * damaged job, does not find the jobs in it, and answers 404 for what was accepted.
+   * Records of several jobs under one key, {@code live/~NAME}. An earlier build treats such a
+   * record as a damaged job, so it answers 404 for accepted jobs in it.
    */
   SUBMISSION_BATCHES(2),
 
   /**
-   * In records: a machine's entry in {@code fleet/N} also holds its address and when it was
-   * created. An earlier build takes the entry for damage and waits until the longest lease has
-   * expired.
+   * Addresses and creation times in the machine records under {@code fleet/N}. An earlier build
+   * treats such a record as damaged and waits until the longest lease has expired.
    */
   MACHINE_ADDRESSES(3);
 
@@ -21,7 +20,7 @@
     this.introducedIn = new ClusterVersion(introducedIn);
   }
 
-  /** The version that has to be active before the feature is used. */
+  /** Returns the version that must be active before the feature may be used. */
   public ClusterVersion introducedIn() {
     return introducedIn;
   }
--- a/src/main/java/io/saltflow/clusterversion/package-info.java
+++ b/src/main/java/io/saltflow/clusterversion/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The cluster version: which formats of records, frames and responses a build may read and write.
- * One number for all of them; it only rises, and only when all controllers have announced that they
- * support it. Pure: the shell reads and commits, this package decides. No comparison of builds or
- * versions is made anywhere else. {@code docs/design/cluster-version.md} has the proof and compares
- * the alternatives.
+ * The cluster version, which determines the formats of records, frames and responses that a build
+ * may read and write. One number covers all formats. It never decreases, and it increases only when
+ * all controllers have announced that they support the new version. Pure: callers read and commit,
+ * this package decides. Builds and versions are compared only in this package. {@code
+ * docs/design/cluster-version.md} contains the proof and compares the alternatives.
  */
 package io.saltflow.clusterversion;
--- a/src/main/java/io/saltflow/failuredetector/LeaderFailureDetector.java
+++ b/src/main/java/io/saltflow/failuredetector/LeaderFailureDetector.java
@@ -10,21 +10,21 @@
 
 /**
  * Detects, on a follower, that the leader's process has ended before its lease expires. Independent
- * pieces of evidence must agree: the leader's host has closed the connection and refuses new ones,
- * nothing was heard since, and workers that it served turn to other controllers. Refused
- * connections alone are no evidence: a packet filter between controllers refuses them as well, and
- * so does a host without free sockets, but then the workers stay where they are.
+ * evidence must agree: the leader's host has closed the connection and refuses new ones, no message
+ * has arrived since, and workers that it served contact other controllers. Refused connections
+ * alone are not sufficient, since a packet filter between controllers or a host without free
+ * sockets refuses them as well; in these cases the workers stay with the leader.
  *
- * <p>A wrong verdict costs a failover and breaks no invariant ({@code docs/SAFETY.md}).
+ * <p>A false positive causes a failover but violates no invariant ({@code docs/SAFETY.md}).
  */
 public final class LeaderFailureDetector {
-  /** One refusal may be due to a burst that fills the listen backlog. */
+  /** A single refusal may be caused by a full listen backlog. */
   private static final int MIN_REFUSALS = 2;
 
-  /** One worker may have its own reason to look for another controller. */
+  /** A single worker may switch controllers for an unrelated reason. */
   private static final int MIN_WORKERS = 2;
 
-  /** Older evidence does not count: by then the lease has expired anyway. */
+  /** Evidence expires when the lease has expired as well. */
   private static final TimeSpan EVIDENCE_LIFETIME = TimeSpan.seconds(6);
 
   private String leader;
@@ -34,9 +34,9 @@
   private final Set<MachineId> workers = new HashSet<>();
 
   /**
-   * A leader is known; evidence about an earlier one is dropped.
+   * Sets the current leader and discards evidence about an earlier one.
    *
-   * @param name null: nobody leads
+   * @param name {@code null} if there is no leader
    */
   public void onLeader(String name, Term leaderTerm) {
     if (leaderTerm.equals(term) && Objects.equals(name, leader)) {
@@ -53,7 +53,7 @@
     workers.clear();
   }
 
-  /** The connection to a peer was closed by the peer's host. */
+  /** Records that a peer's host closed the connection. */
   public void onConnectionClosed(String peer, MonotonicTime now) {
     if (peer.equals(leader)) {
       connectionLostAt = now;
@@ -61,20 +61,20 @@
     }
   }
 
-  /** A peer's host refused a connection. */
+  /** Records that a peer's host refused a connection. */
   public void onConnectionRefused(String peer, MonotonicTime now) {
     if (!peer.equals(leader)) {
       return;
     }
     if (!leaderSuspected()) {
-      // Its last heartbeat came by another connection and was read after the end of this one.
+      // Its last heartbeat came over another connection and was read after this one closed.
       connectionLostAt = now;
       clearEvidence();
     }
     refusals++;
   }
 
-  /** A peer can be reached, or was heard. */
+  /** Records that a peer was reached or sent a message. */
   public void onAlive(String peer) {
     if (peer.equals(leader)) {
       connectionLostAt = MonotonicTime.NEVER;
@@ -82,24 +82,26 @@
     }
   }
 
-  /** Whether the leader's connection is lost, so that misdirected workers are evidence. */
+  /**
+   * Returns whether the connection to the leader is lost, so that worker heartbeats are evidence.
+   */
   public boolean leaderSuspected() {
     return connectionLostAt != MonotonicTime.NEVER;
   }
 
   /**
-   * A worker's heartbeat came to this node.
+   * Records that a worker sent a heartbeat to this node.
    *
-   * @param highestTerm the highest fencing token that the worker has seen
+   * @param highestTerm the highest term that the worker has seen
    */
   public void onWorkerHeartbeat(MachineId id, Term highestTerm) {
-    // A new worker begins at any node; one that knows the term was served by this leader.
+    // A new worker may contact any node first; one that knows the term was served by this leader.
     if (leaderSuspected() && highestTerm.equals(term) && workers.size() < MIN_WORKERS) {
       workers.add(id);
     }
   }
 
-  /** The leader whose process has ended; null: there is no leader, or too little evidence. */
+  /** Returns the failed leader, or {@code null} without a leader or with insufficient evidence. */
   public String failedLeader(MonotonicTime now) {
     boolean fresh = leaderSuspected() && !now.since(connectionLostAt).longerThan(EVIDENCE_LIFETIME);
     return fresh && refusals >= MIN_REFUSALS && workers.size() >= MIN_WORKERS ? leader : null;
--- a/src/main/java/io/saltflow/failuredetector/package-info.java
+++ b/src/main/java/io/saltflow/failuredetector/package-info.java
@@ -1,6 +1,5 @@
 /**
- * Failure detection of the leader: whether its process has ended, from closed and refused
- * connections, silence, and workers that turn to other controllers. Pure: events and times are
- * passed in.
+ * Failure detection of the leader, based on closed and refused connections, missing messages, and
+ * workers that contact other controllers. Pure: events and times are passed in.
  */
 package io.saltflow.failuredetector;
--- a/src/main/java/io/saltflow/faultattribution/FaultAttribution.java
+++ b/src/main/java/io/saltflow/faultattribution/FaultAttribution.java
@@ -12,30 +12,32 @@
 
 /**
  * Attributes task failures to defective jobs, which fail on every machine, or to faulty machines,
- * which fail every job. One failure shows neither. A job is judged by the machines that it failed
- * on, a machine by the jobs that failed on it, and each only by those of the other kind that are
- * not in doubt themselves.
+ * on which every job fails. A single failure is not conclusive. A job is evaluated by the machines
+ * on which it failed, excluding faulty ones, and a machine by the jobs that failed on it, excluding
+ * defective ones.
  *
- * <p>Memory is bounded by the known jobs and machines: a job keeps a bounded number of machines, a
- * machine the jobs that failed on it since its last success.
+ * <p>Memory is bounded by the known jobs and machines: a job keeps a bounded number of machines,
+ * and a machine keeps the jobs that failed on it since its last success.
  */
 public final class FaultAttribution {
-  /**
-   * A job that failed on so many machines that are not faulty, and never succeeded, is defective.
-   */
+  /** Number of non-faulty machines on which a job without a success fails to count as defective. */
   private static final int DEFECTIVE_JOB_THRESHOLD = 3;
 
   private static final int MAX_MACHINES_PER_JOB = 16;
 
-  /** What a success or a failure shows of a job or a machine. */
+  /** Conclusion from a success or a failure about a job or a machine. */
   public sealed interface Finding {
-    /** The machine fails tasks of several jobs. */
+    /** Tasks of several jobs fail on the machine. */
     record FaultyMachine(MachineId machine) implements Finding {}
 
-    /** The job fails on every machine, on so many so far. */
+    /**
+     * The job fails on every machine.
+     *
+     * @param machines number of machines on which it has failed
+     */
     record DefectiveJob(JobId job, int machines) implements Finding {}
 
-    /** The job was taken to be defective, and is not. */
+    /** The job was considered defective, but is not. */
     record ClearedJob(JobId job) implements Finding {}
   }
 
@@ -48,21 +50,21 @@
   private final int faultyThreshold;
   private final Map<JobId, JobHistory> jobs = new HashMap<>();
 
-  /** Of each machine, the failures of each job since a task last succeeded there. */
+  /** Failures per job on each machine since a task last succeeded there. */
   private final Map<MachineId, Map<JobId, Integer>> failuresByMachine = new HashMap<>();
 
   private final Set<MachineId> faultyMachines = new HashSet<>();
 
   /**
-   * Creates an attribution without any history.
+   * Creates an attribution without history.
    *
-   * @param faultyThreshold how many failures that are not their jobs' fault make a machine faulty
+   * @param faultyThreshold number of failures not caused by their jobs that make a machine faulty
    */
   public FaultAttribution(int faultyThreshold) {
     this.faultyThreshold = faultyThreshold;
   }
 
-  /** Whether the job is taken to be defective. */
+  /** Returns whether the job is considered defective. */
   public boolean isDefective(JobId job) {
     JobHistory history = jobs.get(job);
     return history != null && history.defective;
@@ -89,7 +91,7 @@
   /**
    * Records that a task of the job succeeded.
    *
-   * @param machine where; null: the machine is deleted or not known
+   * @param machine the machine of the task, or {@code null} if it is deleted or unknown
    */
   public List<Finding> recordSuccess(JobId job, MachineId machine) {
     List<Finding> findings = new ArrayList<>();
@@ -105,7 +107,7 @@
       findings.add(new Finding.ClearedJob(job));
     }
     if (first) {
-      // Its earlier failures were not the job's fault, so they count against the machines.
+      // Its earlier failures were not caused by the job, so they count against the machines.
       for (MachineId machineId : List.copyOf(history.failedOn)) {
         evaluate(machineId, findings);
       }
@@ -113,7 +115,7 @@
     return findings;
   }
 
-  /** Forgets an ended job and its failures. */
+  /** Removes an ended job and its failures. */
   public void removeJob(JobId job) {
     JobHistory history = jobs.remove(job);
     if (history != null) {
@@ -121,7 +123,7 @@
     }
   }
 
-  /** The failures of the job count against no machine any more. */
+  /** Stops counting the failures of the job against machines. */
   private void discountFailures(JobId job, JobHistory history) {
     for (MachineId machineId : history.failedOn) {
       Map<JobId, Integer> failuresByJob = failuresByMachine.get(machineId);
@@ -131,13 +133,13 @@
     }
   }
 
-  /** Forgets a deleted machine. Failures there still count against their jobs. */
+  /** Removes a deleted machine. Failures on it still count against their jobs. */
   public void removeMachine(MachineId machine) {
     failuresByMachine.remove(machine);
     faultyMachines.remove(machine);
   }
 
-  /** How many failures since the last success on the machine count against it. */
+  /** Returns how many failures since the last success on the machine count against it. */
   public int failureWeight(MachineId machine) {
     int weight = 0;
     for (Map.Entry<JobId, Integer> entry :
@@ -149,7 +151,7 @@
       if (history.succeeded) {
         weight += entry.getValue();
       } else if (history.failedOn.size() == 1) {
-        // It failed on this machine alone so far: all of its failures count as one.
+        // The job has failed only on this machine, so all of its failures count as one.
         weight++;
       }
     }
@@ -160,8 +162,8 @@
     if (!faultyMachines.contains(machine) && failureWeight(machine) >= faultyThreshold) {
       faultyMachines.add(machine);
       findings.add(new Finding.FaultyMachine(machine));
-      // Failures on a faulty machine count against no job. Faulty machines are few: a pass over all
-      // jobs is cheaper than an index of the jobs that failed on each machine.
+      // Failures on a faulty machine do not count against jobs. Faulty machines are rare, so a scan
+      // of all jobs is cheaper than an index of the jobs that failed on each machine.
       jobs.forEach(
           (job, history) -> {
             boolean counted = history.failedOn.remove(machine);
@@ -178,7 +180,7 @@
         && !history.defective
         && history.failedOn.size() >= DEFECTIVE_JOB_THRESHOLD) {
       history.defective = true;
-      // For good: even if the job is cleared later, those failures were its own.
+      // This is permanent: even if the job is cleared later, it caused these failures.
       discountFailures(job, history);
       findings.add(new Finding.DefectiveJob(job, history.failedOn.size()));
     }
--- a/src/main/java/io/saltflow/faultattribution/package-info.java
+++ b/src/main/java/io/saltflow/faultattribution/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Fault attribution: whether a task's failures are the fault of its job or of the machine. Pure:
- * failures and successes in, findings out.
+ * Fault attribution: whether task failures are caused by the job or by the machine. Pure: failures
+ * and successes are passed in, findings are returned.
  */
 package io.saltflow.faultattribution;
--- a/src/main/java/io/saltflow/processpause/PauseDetector.java
+++ b/src/main/java/io/saltflow/processpause/PauseDetector.java
@@ -4,21 +4,20 @@
 import io.saltflow.model.TimeSpan;
 
 /**
- * Detects process pauses from two clocks that are sampled by a process which never waits for longer
- * than {@link #SAMPLE_INTERVAL}.
+ * Detects process pauses by sampling two clocks at least every {@link #SAMPLE_INTERVAL}.
  *
- * <p>The monotonic clock alone is not enough: a machine that its host suspends may come back with
- * that clock where it was, and its leases would look as fresh as before. The wall clock is set
- * right again, so it reveals that; but as it may also be set for other reasons, what it shows is
- * only ever a reason to do less. Nothing expires, and nothing starts, because of it.
+ * <p>The monotonic clock alone is not sufficient: it may stop while a virtual machine is suspended,
+ * so that leases appear valid after they have expired. The wall clock is corrected on resumption
+ * and reveals such a pause. Since it may also be adjusted for other reasons, its result is only
+ * used conservatively: it must not cause an expiry or a start.
  */
 public final class PauseDetector {
-  /** A running process samples the clocks at least this often. */
+  /** Maximum interval between two samples of a running process. */
   public static final TimeSpan SAMPLE_INTERVAL = TimeSpan.seconds(1);
 
   /**
-   * Shorter pauses don't count: they happen on a part of a core whenever much comes at once. Users
-   * wait for the answer to a poll for so long.
+   * Minimum length of a reported pause. Shorter ones are normal under load on a shared core, and do
+   * not exceed the time that users wait for the answer to a poll.
    */
   static final TimeSpan MIN_PAUSE = TimeSpan.seconds(2);
 
@@ -28,7 +27,10 @@
   private long lastWallMs;
 
   /**
-   * @param wallClockSkew by how much the wall clock may be off the true time, either way
+   * Creates a detector without samples.
+   *
+   * @param wallClockSkew maximum deviation of the wall clock from the true time, in either
+   *     direction
    */
   public PauseDetector(TimeSpan wallClockSkew) {
     this.wallClockSkew = wallClockSkew;
@@ -38,7 +40,7 @@
    * Samples both clocks.
    *
    * @param wallMs the wall clock in milliseconds since the epoch
-   * @return the pause that has just ended; null: there was none
+   * @return the pause that has just ended, or {@code null} if there was none
    */
   public ProcessPause sample(MonotonicTime monotonicNow, long wallMs) {
     TimeSpan monotonicElapsed = sampled ? monotonicNow.since(lastMonotonic) : new TimeSpan(0);
@@ -46,7 +48,7 @@
     sampled = true;
     lastMonotonic = monotonicNow;
     lastWallMs = wallMs;
-    // The wall clock may move from one end of its skew to the other meanwhile.
+    // The wall clock may have moved from one end of its skew to the other.
     TimeSpan unexplained = wallElapsed.minus(monotonicElapsed).minus(wallClockSkew.times(2));
     boolean monotonicStopped = !MIN_PAUSE.longerThan(unexplained);
     if (!monotonicStopped && MIN_PAUSE.longerThan(monotonicElapsed)) {
--- a/src/main/java/io/saltflow/processpause/ProcessPause.java
+++ b/src/main/java/io/saltflow/processpause/ProcessPause.java
@@ -4,17 +4,17 @@
 import java.util.Locale;
 
 /**
- * An interval in which this process did nothing although it had work: it was frozen, its machine
- * was suspended, or it was kept from the processor.
+ * An interval in which this process did not run, because it was frozen, its machine was suspended,
+ * or it was not scheduled on a processor.
  *
- * @param monotonicElapsed its length by the monotonic clock, by which leases are timed
- * @param wallElapsed its length by the wall clock
- * @param monotonicDeficit by how much the monotonic clock fell behind the wall clock: what was
- *     timed by it looks younger than it is by so much; 0: no more than the clocks may differ by
+ * @param monotonicElapsed length by the monotonic clock, which times leases
+ * @param wallElapsed length by the wall clock
+ * @param monotonicDeficit time by which the monotonic clock fell behind the wall clock, and thus
+ *     underestimates elapsed times; 0 if it is within the permitted skew
  */
 public record ProcessPause(
     TimeSpan monotonicElapsed, TimeSpan wallElapsed, TimeSpan monotonicDeficit) {
-  /** Its length by the clock that shows more. */
+  /** Returns the length by the clock that advanced further. */
   public TimeSpan length() {
     return monotonicElapsed.longerThan(wallElapsed) ? monotonicElapsed : wallElapsed;
   }
@@ -23,8 +23,8 @@
   public String toString() {
     String clocks =
         monotonicDeficit.ms() > 0
-            ? "monotonic clock stopped for %.1f s of it"
-            : "monotonic clock ran on, wall clock advanced %.1f s";
+            ? "monotonic clock stopped for %.1f s"
+            : "monotonic clock kept running, wall clock advanced %.1f s";
     return String.format(
         Locale.ROOT,
         "process paused for %.1f s (" + clocks + ")",
--- a/src/main/java/io/saltflow/reachability/AnswerEvidence.java
+++ b/src/main/java/io/saltflow/reachability/AnswerEvidence.java
@@ -1,22 +1,22 @@
 package io.saltflow.reachability;
 
 /**
- * What a worker's next heartbeat shows about the last answer to it.
+ * Evidence in a worker's next heartbeat of whether the last answer arrived.
  *
- * @param agentEpoch the worker's agent epoch by this heartbeat
- * @param heartbeatSequence its sequence number; heartbeats to other nodes count too
+ * @param agentEpoch the worker's agent epoch in this heartbeat
+ * @param heartbeatSequence its sequence number, which also counts heartbeats to other nodes
  * @param tokenSeen whether the worker has seen the answering leader's fencing token
- * @param launches what became of the launches that the last answer held
+ * @param launches the outcome of the launches in the last answer
  */
 public record AnswerEvidence(
     long agentEpoch, long heartbeatSequence, boolean tokenSeen, LaunchOutcome launches) {
-  /** What became of the launches in the last answer. */
+  /** Outcome of the launches in the last answer. */
   public enum LaunchOutcome {
-    /** There were none. */
+    /** The answer held no launches. */
     NONE,
-    /** At least one was carried out. */
+    /** At least one launch was executed. */
     CARRIED_OUT,
-    /** The heartbeat was made after the answer, by its number, and lists none of them. */
+    /** By its sequence number the heartbeat follows the answer, but it lists no launched task. */
     NOT_LISTED
   }
 }
--- a/src/main/java/io/saltflow/reachability/AnswerLossDetector.java
+++ b/src/main/java/io/saltflow/reachability/AnswerLossDetector.java
@@ -4,26 +4,26 @@
 import io.saltflow.model.TimeSpan;
 
 /**
- * Detects whether the answers to one worker's heartbeats reach it. A single answer may always be
- * lost; what counts is several in a row without evidence that one arrived. Evidence is a fencing
- * token that was taken, a command that was carried out, or the next heartbeat, by its number, at
- * the same node in time: a worker without an answer turns to the next node, and its heartbeats
- * there are numbered too.
+ * Detects whether the answers to one worker's heartbeats reach it. A single lost answer is normal;
+ * the detector counts consecutive answers without evidence of arrival. Evidence is an adopted
+ * fencing token, an executed command, or the next heartbeat in sequence at the same node in time: a
+ * worker that receives no answer sends its next heartbeat, with the next number, to another node.
  *
- * <p>It proves nothing: it says where not to place work and what to scale in, never that a task is
- * gone.
+ * <p>The result is a hint for placement and scale-in. It does not prove that a task has ended.
  */
 public final class AnswerLossDetector {
   /** How long a worker waits for an answer (PROTOCOL, "Workers -> controller nodes"). */
   private static final TimeSpan ANSWER_TIMEOUT = TimeSpan.seconds(4);
 
-  /** After so many lost answers in a row the worker gets no more tasks. */
+  /** Number of consecutive lost answers after which the worker receives no more tasks. */
   private static final int LOSS_THRESHOLD = 2;
 
-  /** After so many it is not answered while an answer could renew the lease of unknown tasks. */
+  /** Number after which the worker is not answered if that could renew a lease of unknown tasks. */
   private static final int CERTAIN_LOSS_THRESHOLD = 3;
 
-  /** A lease that expired although heartbeats were answered within it counts for so many. */
+  /**
+   * Number of lost answers for which a lease expiry counts if heartbeats were answered within it.
+   */
   private static final int LEASE_EXPIRY_WEIGHT = 2;
 
   private final TimeSpan lease;
@@ -38,8 +38,8 @@
   /**
    * Creates a detector that has seen no heartbeat.
    *
-   * @param heartbeatInterval how often workers send heartbeats
-   * @param lease how long an answer lets a worker keep its tasks
+   * @param heartbeatInterval interval at which workers send heartbeats
+   * @param lease time for which an answer lets a worker keep its tasks
    */
   public AnswerLossDetector(TimeSpan heartbeatInterval, TimeSpan lease) {
     this.lease = lease;
@@ -47,7 +47,7 @@
     this.maxHeartbeatGap = tolerated.longerThan(ANSWER_TIMEOUT) ? tolerated : ANSWER_TIMEOUT;
   }
 
-  /** The heartbeat of that epoch and number is being answered. */
+  /** Records that the heartbeat with this epoch and sequence number is being answered. */
   public void onAnswered(
       long agentEpoch, long heartbeatSequence, boolean tokenSeen, MonotonicTime now) {
     answeredEpoch = agentEpoch;
@@ -57,10 +57,10 @@
   }
 
   /**
-   * A newer heartbeat arrived.
+   * Evaluates a newer heartbeat.
    *
-   * @param answersMayBeLate whether this controller may have answered too late: then no loss is
-   *     counted
+   * @param answersMayBeLate whether this controller may have answered too late, in which case no
+   *     loss is counted
    */
   public void onHeartbeat(AnswerEvidence evidence, boolean answersMayBeLate, MonotonicTime now) {
     if (answeredAt.equals(MonotonicTime.LONG_AGO)) {
@@ -76,8 +76,8 @@
         || !evidence.tokenSeen()
         || !sameEpoch
         || !consecutive) {
-      // Copies of old heartbeats come in a burst, or one after the other in less than a worker
-      // waits: no answer to them was lost.
+      // Delayed copies of old heartbeats arrive within less than the worker's answer timeout, and
+      // are no evidence of a lost answer.
       if (!answersMayBeLate && gap.compareTo(ANSWER_TIMEOUT) >= 0) {
         countLost(!sameEpoch && gap.compareTo(lease) < 0 ? LEASE_EXPIRY_WEIGHT : 1, now);
       }
@@ -98,17 +98,19 @@
     lossSince = MonotonicTime.NEVER;
   }
 
-  /** Whether answers are lost, by all evidence. */
+  /** Returns whether enough consecutive answers were lost to stop placing tasks on the worker. */
   public boolean answersLost() {
     return lostAnswers >= LOSS_THRESHOLD;
   }
 
-  /** Whether one more answer was lost: the lease may expire where that is a proof. */
+  /**
+   * Returns whether enough answers were lost to stop answering and let the worker's lease expire.
+   */
   public boolean answersCertainlyLost() {
     return lostAnswers >= CERTAIN_LOSS_THRESHOLD;
   }
 
-  /** Since when answers are lost; {@link MonotonicTime#NEVER}: they are not. */
+  /** Returns when loss was detected, or {@link MonotonicTime#NEVER} if answers are not lost. */
   public MonotonicTime lossSince() {
     return lossSince;
   }
--- a/src/test/java/io/saltflow/admission/CascadeBarrierTest.java
+++ b/src/test/java/io/saltflow/admission/CascadeBarrierTest.java
@@ -13,26 +13,24 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/**
- * When users are told that a job is live, as cancellations are confirmed elsewhere, outages begin
- * and end, and leaders come and go.
- */
+/** Tests when a job may be reported as live across cancellations, outages and leader changes. */
 class CascadeBarrierTest {
-  private static final TimeSpan CANCEL = TimeSpan.seconds(41);
+  private static final TimeSpan CANCEL_TIMEOUT = TimeSpan.seconds(41);
   private static final JobId ORPHAN = new JobId("req-000002");
-  private static final JobId OTHER = new JobId("req-000003");
+  private static final JobId UNRELATED = new JobId("req-000003");
 
-  private final CascadeBarrier barrier = new CascadeBarrier(CANCEL);
+  private final CascadeBarrier barrier = new CascadeBarrier(CANCEL_TIMEOUT);
 
   private static MonotonicTime at(long seconds) {
     return new MonotonicTime(1000 * seconds);
   }
 
-  /** Time goes on from one second to another, and each look finds nothing. */
-  private void pass(long from, long until, boolean served, boolean attended) {
+  /** Ticks once per second; each due check finds no orphans. */
+  private void tickWithChecks(
+      long from, long until, boolean storeAvailable, boolean leaderCancels) {
     for (long second = from; second < until; second++) {
-      barrier.tick(served, attended, at(second));
-      if (served && barrier.checkDue(at(second))) {
+      barrier.tick(storeAvailable, leaderCancels, at(second));
+      if (storeAvailable && barrier.checkDue(at(second))) {
         barrier.onCheckStarted(at(second));
         barrier.onCheckFinished(Set.of());
       }
@@ -42,142 +40,145 @@
   @Test
   void noJobIsReportedLiveBeforeTheFirstCheck() {
     barrier.tick(true, true, at(0));
-    assertFalse(barrier.mayReportLive(OTHER, at(0)));
+    assertFalse(barrier.mayReportLive(UNRELATED, at(0)));
     assertTrue(barrier.checkDue(at(0)));
     barrier.onCheckStarted(at(0));
-    assertFalse(barrier.checkDue(at(5)), "one at a time");
+    assertFalse(barrier.checkDue(at(5)), "only one check at a time");
     barrier.onCheckFinished(Set.of());
-    assertTrue(barrier.mayReportLive(OTHER, at(1)));
+    assertTrue(barrier.mayReportLive(UNRELATED, at(1)));
   }
 
   @Test
-  void underALeaderNoCheckIsDue() {
-    pass(0, 1, true, true);
+  void noCheckIsDueUnderActiveLeader() {
+    tickWithChecks(0, 1, true, true);
     for (int second = 1; second < 300; second++) {
       barrier.tick(true, true, at(second));
       assertFalse(barrier.checkDue(at(second)), second + " s");
-      assertTrue(barrier.mayReportLive(OTHER, at(second)));
+      assertTrue(barrier.mayReportLive(UNRELATED, at(second)));
     }
   }
 
-  /**
-   * Confirmed right before an outage that is longer than the time which it is to be told within.
-   */
+  /** Guards against reporting dependents of a job that was cancelled right before an outage. */
   @Test
-  void afterALongOutageACheckComesFirst() {
-    pass(0, 100, true, true);
-    pass(100, 160, false, false);
+  void jobsAreReportedLiveAfterLongOutageOnlyOnceChecked() {
+    tickWithChecks(0, 100, true, true);
+    tickWithChecks(100, 160, false, false);
     barrier.tick(true, true, at(160));
     assertFalse(barrier.mayReportLive(ORPHAN, at(160)));
     assertTrue(barrier.checkDue(at(160)));
     barrier.onCheckStarted(at(160));
     barrier.onCheckFinished(Set.of(ORPHAN));
     assertFalse(barrier.mayReportLive(ORPHAN, at(161)), "not recorded as cancelled yet");
-    assertTrue(barrier.mayReportLive(OTHER, at(161)));
-    assertTrue(barrier.checkDue(at(163)), "until there is none left");
+    assertTrue(barrier.mayReportLive(UNRELATED, at(161)));
+    assertTrue(barrier.checkDue(at(163)), "checks repeat while orphans remain");
     barrier.onCheckStarted(at(163));
     barrier.onCheckFinished(Set.of());
-    assertTrue(barrier.mayReportLive(ORPHAN, at(163)), "it has ended: its record is told");
+    assertTrue(barrier.mayReportLive(ORPHAN, at(163)), "its recorded state may be reported");
   }
 
-  /** A look that fails proves nothing, and a leader that is just back has not done it yet. */
+  /** Guards against trusting a failed check or a leader that has not yet cascaded cancellations. */
   @Test
-  void aLeaderThatIsBackProvesNothingByItself() {
-    pass(0, 100, true, true);
-    pass(100, 160, false, false);
+  void returningLeaderAloneDoesNotAllowLiveReports() {
+    tickWithChecks(0, 100, true, true);
+    tickWithChecks(100, 160, false, false);
     for (int second = 160; second < 200; second++) {
       barrier.tick(true, true, at(second));
       if (barrier.checkDue(at(second))) {
         barrier.onCheckStarted(at(second));
         barrier.onCheckFinished(null);
       }
-      assertFalse(barrier.mayReportLive(OTHER, at(second)), second + " s");
+      assertFalse(barrier.mayReportLive(UNRELATED, at(second)), second + " s");
     }
   }
 
-  /** A job about which nobody is answered for 90 s counts as forgotten. */
+  /** Guards against withholding answers for the 90 s after which a job counts as lost. */
   @Test
-  void withheldNoLongerThanAMinute() {
+  void liveReportsAreWithheldForAtMostOneMinute() {
     for (int second = 0; second <= 61; second++) {
       barrier.tick(true, false, at(second));
-      assertEquals(second > 60, barrier.mayReportLive(OTHER, at(second)), second + " s");
+      assertEquals(second > 60, barrier.mayReportLive(UNRELATED, at(second)), second + " s");
     }
   }
 
-  /** Neither a process pause nor the time before a successful check counts as withheld. */
+  /** Guards against counting process pauses or the time before a successful check as withheld. */
   @Test
-  void onlyTimeInWhichUsersWereRefusedCounts() {
+  void onlyTimeOfRefusedQueriesCountsAsWithheld() {
     barrier.tick(true, true, at(0));
-    assertFalse(barrier.mayReportLive(OTHER, at(0)));
+    assertFalse(barrier.mayReportLive(UNRELATED, at(0)));
     barrier.tick(true, true, at(100));
-    assertFalse(barrier.mayReportLive(OTHER, at(100)), "the process was paused");
+    assertFalse(barrier.mayReportLive(UNRELATED, at(100)), "the process was paused");
     barrier.onCheckStarted(at(100));
     barrier.onCheckFinished(Set.of());
-    assertTrue(barrier.mayReportLive(OTHER, at(101)));
-    assertFalse(barrier.mayReportLive(OTHER, at(161)), "no tick since");
+    assertTrue(barrier.mayReportLive(UNRELATED, at(101)));
+    assertFalse(barrier.mayReportLive(UNRELATED, at(161)), "no tick after the check");
   }
 
   /**
-   * What holds, over every course of seven stretches of 9 s: served or not, with a leader that
-   * cancels what follows within 4 s or without. A job before is cancelled at each moment in turn;
-   * without a leader this node's looks, which take 2 s, find what follows.
+   * Explores all sequences of seven phases of 9 s with the store unavailable, without a leader, or
+   * with a leader that cascades cancellations within 4 s, and all times of the cancellation. Checks
+   * by this node take 2 s.
    */
   @Test
-  void noOrphanIsCalledLiveTooLateWhateverHappens() {
-    assertNull(firstFault(CANCEL));
+  void orphansAreNotReportedLiveAfterDeadline() {
+    assertNull(firstViolation(CANCEL_TIMEOUT));
   }
 
-  /** The check can fail: with a watch that allows more time than there is, orphans are told. */
+  /** Verifies that the exploration detects a barrier that allows too much time. */
   @Test
-  void aWatchThatAllowsMoreTimeIsFound() {
-    assertTrue(firstFault(TimeSpan.seconds(60)).contains("called live"));
+  void explorationDetectsTooLongCancelTimeout() {
+    assertTrue(firstViolation(TimeSpan.seconds(60)).contains("reported as live"));
   }
 
-  private static String firstFault(TimeSpan allowed) {
-    int stretches = 7;
-    for (int course = 0; course < Math.pow(3, stretches); course++) {
+  private static String firstViolation(TimeSpan cancelTimeout) {
+    int phases = 7;
+    for (int sequence = 0; sequence < Math.pow(3, phases); sequence++) {
       List<Integer> kinds = new ArrayList<>();
-      for (int i = 0, c = course; i < stretches; i++, c /= 3) {
-        kinds.add(c % 3);
+      for (int i = 0, code = sequence; i < phases; i++, code /= 3) {
+        kinds.add(code % 3);
       }
-      for (int confirmed = 12; confirmed < 9 * stretches; confirmed++) {
-        String fault = play(kinds, confirmed, allowed);
-        if (fault != null) {
-          return fault + " by " + kinds + ", confirmed at " + confirmed + " s";
+      for (int confirmedAt = 12; confirmedAt < 9 * phases; confirmedAt++) {
+        String violation = simulate(kinds, confirmedAt, cancelTimeout);
+        if (violation != null) {
+          return violation
+              + " in phases "
+              + kinds
+              + ", cancellation confirmed at "
+              + confirmedAt
+              + " s";
         }
       }
     }
     return null;
   }
 
-  /** Kinds of stretches: 0 out of service, 1 served and without a leader, 2 with one. */
-  private static String play(List<Integer> kinds, int confirmed, TimeSpan allowed) {
-    CascadeBarrier watch = new CascadeBarrier(allowed);
+  /** Runs phases of kind 0 (store unavailable), 1 (without a leader) and 2 (with a leader). */
+  private static String simulate(List<Integer> kinds, int confirmedAt, TimeSpan cancelTimeout) {
+    CascadeBarrier simulated = new CascadeBarrier(cancelTimeout);
     boolean recorded = false;
-    int ledFor = 0;
-    int lookBegan = -1;
-    Set<JobId> found = Set.of();
+    int leaderSeconds = 0;
+    int checkStartedAt = -1;
+    Set<JobId> foundOrphans = Set.of();
     int end = 9 * kinds.size() + 10;
     for (int second = 0; second < end; second++) {
       int kind = second < 9 * kinds.size() ? kinds.get(second / 9) : 1;
-      boolean served = kind != 0;
-      ledFor = kind == 2 ? ledFor + 1 : 0;
-      // The leader needs 4 s for what it finds, whenever it comes.
-      recorded |= second >= confirmed + 4 && ledFor >= 4;
-      watch.tick(served, kind == 2, at(second));
-      boolean orphaned = second >= confirmed && !recorded;
-      if (lookBegan >= 0 && (!served || second == lookBegan + 2)) {
-        watch.onCheckFinished(served ? found : null);
-        lookBegan = -1;
+      boolean storeAvailable = kind != 0;
+      leaderSeconds = kind == 2 ? leaderSeconds + 1 : 0;
+      // A leader takes 4 s to record the cancellation of dependents.
+      recorded |= second >= confirmedAt + 4 && leaderSeconds >= 4;
+      simulated.tick(storeAvailable, kind == 2, at(second));
+      boolean orphaned = second >= confirmedAt && !recorded;
+      if (checkStartedAt >= 0 && (!storeAvailable || second == checkStartedAt + 2)) {
+        simulated.onCheckFinished(storeAvailable ? foundOrphans : null);
+        checkStartedAt = -1;
       }
-      if (served && watch.checkDue(at(second))) {
-        watch.onCheckStarted(at(second));
-        lookBegan = second;
-        found = orphaned ? Set.of(ORPHAN) : Set.of();
+      if (storeAvailable && simulated.checkDue(at(second))) {
+        simulated.onCheckStarted(at(second));
+        checkStartedAt = second;
+        foundOrphans = orphaned ? Set.of(ORPHAN) : Set.of();
       }
-      boolean late = second - confirmed > CANCEL.toSeconds();
-      if (served && orphaned && late && watch.mayReportLive(ORPHAN, at(second))) {
-        return "called live at " + second + " s";
+      boolean late = second - confirmedAt > CANCEL_TIMEOUT.toSeconds();
+      if (storeAvailable && orphaned && late && simulated.mayReportLive(ORPHAN, at(second))) {
+        return "orphan reported as live at " + second + " s";
       }
     }
     return null;
--- a/src/test/java/io/saltflow/admission/FairPollingTest.java
+++ b/src/test/java/io/saltflow/admission/FairPollingTest.java
@@ -12,33 +12,31 @@
 import org.apache.commons.rng.core.source64.SplitMix64;
 import org.junit.jupiter.api.Test;
 
-/**
- * A wall of polls on nodes that answer a part of them: how long each job goes without an answer.
- */
+/** Tests how long jobs remain without an answer when nodes can answer only some of their polls. */
 class FairPollingTest {
   private static final int JOBS = 1200;
 
   /**
-   * Each second a node may answer so many. Half of the jobs are asked about each second, the others
-   * each 30 s, at any of the nodes.
+   * Simulates polls at random nodes: half of the jobs are polled every second, the others every 30
+   * s.
    *
-   * @return the longest that any job went without an answer, in seconds
+   * @return the longest time for which any job received no answer, in seconds
    */
-  private static long longest(int nodes, int answersASecond, boolean fair) {
+  private static long longestUnansweredSeconds(int nodes, int answersPerSecond, boolean fair) {
     UniformRandomProvider random = new SplitMix64(5);
-    FairPolling[] all = new FairPolling[nodes];
+    FairPolling[] policies = new FairPolling[nodes];
     for (int node = 0; node < nodes; node++) {
-      all[node] =
-          new FairPolling(new FairPolling.PollLimits(answersASecond / 2, answersASecond, 240));
+      policies[node] =
+          new FairPolling(new FairPolling.PollLimits(answersPerSecond / 2, answersPerSecond, 240));
     }
-    Map<Integer, Long> answered = new HashMap<>();
-    long worst = 0;
+    Map<Integer, Long> lastAnsweredAt = new HashMap<>();
+    long longest = 0;
     for (long second = 1; second <= 300; second++) {
       MonotonicTime now = new MonotonicTime(second * 1000);
-      int[] underWay = new int[nodes];
-      for (FairPolling from : all) {
+      int[] inFlight = new int[nodes];
+      for (FairPolling from : policies) {
         Map<JobId, TimeSpan> unanswered = from.unanswered(now);
-        for (FairPolling to : all) {
+        for (FairPolling to : policies) {
           if (from != to) {
             unanswered.forEach((id, since) -> to.onPeerRefused(id, since, now));
           }
@@ -54,45 +52,45 @@
         JobId id = new JobId(String.format("req-%06d", job));
         FairPolling.Verdict verdict =
             fair
-                ? all[node].onPoll(id, underWay[node], now)
-                : underWay[node] < answersASecond
+                ? policies[node].onPoll(id, inFlight[node], now)
+                : inFlight[node] < answersPerSecond
                     ? FairPolling.Verdict.BEST_EFFORT
                     : FairPolling.Verdict.REFUSED;
         if (verdict == FairPolling.Verdict.REFUSED) {
           continue;
         }
-        underWay[node]++;
-        // Of what gives way some waits in vain; what goes with the work of others does not.
-        boolean ok = verdict == FairPolling.Verdict.OVERDUE || random.nextDouble() < 0.3;
+        inFlight[node]++;
+        // Some best-effort polls time out, prioritized ones do not.
+        boolean isAnswered = verdict == FairPolling.Verdict.OVERDUE || random.nextDouble() < 0.3;
         if (fair) {
-          all[node].onFinished(id, verdict, ok, now);
+          policies[node].onFinished(id, verdict, isAnswered, now);
         }
-        if (ok) {
-          worst = Math.max(worst, second - answered.getOrDefault(job, 0L));
-          answered.put(job, second);
+        if (isAnswered) {
+          longest = Math.max(longest, second - lastAnsweredAt.getOrDefault(job, 0L));
+          lastAnsweredAt.put(job, second);
         }
       }
     }
     for (int job = 0; job < JOBS; job++) {
-      worst = Math.max(worst, 300 - answered.getOrDefault(job, 0L));
+      longest = Math.max(longest, 300 - lastAnsweredAt.getOrDefault(job, 0L));
     }
-    return worst;
+    return longest;
   }
 
-  /** As it was, first come first served: some job goes unanswered for longer than is allowed. */
+  /** Verifies that the load exceeds the limit without the policy. */
   @Test
-  void withoutItSomeJobIsForgotten() {
-    assertTrue(longest(3, 40, false) > 75);
+  void unfairPollingLeavesJobUnansweredTooLong() {
+    assertTrue(longestUnansweredSeconds(3, 40, false) > 75);
   }
 
   @Test
-  void withItNoneIs() {
-    long worst = longest(3, 40, true);
-    assertTrue(worst <= 75, worst + " s");
+  void fairPollingAnswersEachJobInTime() {
+    long longest = longestUnansweredSeconds(3, 40, true);
+    assertTrue(longest <= 75, longest + " s");
   }
 
   @Test
-  void whoWasRefusedGoesBeforeWhoWasJustAnswered() {
+  void refusedJobTakesPrecedenceOverAnsweredJob() {
     FairPolling fairPolling = new FairPolling(new FairPolling.PollLimits(2, 4, 8));
     JobId first = new JobId("req-000001");
     JobId second = new JobId("req-000002");
@@ -101,7 +99,7 @@
     assertEquals(
         FairPolling.Verdict.REFUSED,
         fairPolling.onPoll(first, 2, new MonotonicTime(1000)),
-        "just answered");
+        "answered recently");
     assertEquals(
         FairPolling.Verdict.BEST_EFFORT, fairPolling.onPoll(second, 5, new MonotonicTime(1000)));
     fairPolling.onFinished(second, FairPolling.Verdict.BEST_EFFORT, false, new MonotonicTime(1600));
@@ -110,6 +108,6 @@
     assertEquals(
         FairPolling.Verdict.REFUSED,
         fairPolling.onPoll(second, 8, new MonotonicTime(17_000)),
-        "bounded");
+        "too many requests in flight");
   }
 }
--- a/src/test/java/io/saltflow/clusterversion/UpgradeExplorationTest.java
+++ b/src/test/java/io/saltflow/clusterversion/UpgradeExplorationTest.java
@@ -8,12 +8,12 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Controllers upgraded to a new build, explored in every order of events (see {@link
- * UpgradeSimulation}).
+ * Explores upgrades of controllers to a new build in every order of events with {@link
+ * UpgradeSimulation}.
  */
 class UpgradeExplorationTest {
   @Test
-  void upgradeFromBuildsThatAnnounceNothing() {
+  void upgradeFromUnannouncedBuildsViolatesNoInvariant() {
     UpgradeSimulation simulation =
         new UpgradeSimulation(
                 new UpgradeSimulation.SimulationBounds(
@@ -22,12 +22,12 @@
     assertEquals("", String.join("\n", simulation.violations));
     assertTrue(
         simulation.activeStates > 100,
-        "states in which the new level is used: " + simulation.activeStates);
+        "states in which the new version is active: " + simulation.activeStates);
     assertEquals(119_954, simulation.visited.size(), "states");
   }
 
   @Test
-  void upgradeFromBuildsThatAnnounceThemselves() {
+  void upgradeFromAnnouncedBuildsViolatesNoInvariant() {
     UpgradeSimulation simulation =
         new UpgradeSimulation(
                 new UpgradeSimulation.SimulationBounds(
@@ -36,29 +36,31 @@
     assertEquals("", String.join("\n", simulation.violations));
     assertTrue(
         simulation.activeStates > 100,
-        "states in which the new level is used: " + simulation.activeStates);
+        "states in which the new version is active: " + simulation.activeStates);
     assertTrue(
         simulation.incompatibleStates > 100,
-        "a former build that comes back stays out: " + simulation.incompatibleStates);
+        "states in which a downgraded build is incompatible: " + simulation.incompatibleStates);
     assertEquals(66_919, simulation.visited.size(), "states");
   }
 
-  /** Each guard is needed: without it some order of events breaks a rule. */
+  /**
+   * Verifies that each guard is required: without it some order of events violates an invariant.
+   */
   @ParameterizedTest
   @EnumSource(
       value = UpgradeSimulation.OmittedGuard.class,
       mode = EnumSource.Mode.EXCLUDE,
       names = "NONE")
   void omittedGuardsAreDetected(UpgradeSimulation.OmittedGuard omitted) {
-    boolean found = false;
+    boolean detected = false;
     for (boolean announcing : new boolean[] {false, true}) {
-      found |=
+      detected |=
           !new UpgradeSimulation(
                   new UpgradeSimulation.SimulationBounds(2, announcing, true, omitted))
               .run()
               .violations
               .isEmpty();
     }
-    assertTrue(found, omitted + " should have been seen");
+    assertTrue(detected, omitted + " was not detected");
   }
 }
--- a/src/test/java/io/saltflow/clusterversion/UpgradeSimulation.java
+++ b/src/test/java/io/saltflow/clusterversion/UpgradeSimulation.java
@@ -16,54 +16,57 @@
 import java.util.function.Consumer;
 
 /**
- * Everything that can happen while controllers are upgraded to a new build, with one downgrade, one
- * crash, one transaction that is carried out late, and a raise: each state is explored once, by the
- * same {@link VersionGate} and {@link VersionUpgrade} that controllers use.
+ * Explores all states of an upgrade of controllers to a new build, with at most one downgrade, one
+ * crash and one delayed transaction. Uses the same {@link VersionGate} and {@link VersionUpgrade}
+ * as the controllers, and visits each state once.
  */
 final class UpgradeSimulation {
   private static final int ENDED = -1;
   private static final VersionUpgrade.UpgradePolicy POLICY =
       new VersionUpgrade.UpgradePolicy(TimeSpan.millis(1700), TimeSpan.millis(1000));
 
-  /** A guard that is left out, to see that the exploration would notice. */
+  /** A guard that is omitted to verify that the exploration detects its absence. */
   enum OmittedGuard {
     NONE,
-    RAISE_NOT_GUARDED,
-    ANNOUNCED_AFTER_ACTING,
-    SILENT_TAKEN_FOR_NEW,
-    RAISED_IN_ONE_STEP,
-    ENTRANCE_NOT_GUARDED
+    UPGRADE_NOT_GUARDED_BY_ANNOUNCEMENTS,
+    ANNOUNCED_AFTER_SERVING,
+    UNANNOUNCED_HOSTS_IGNORED,
+    ACTIVATED_WITH_RAISE,
+    ANNOUNCEMENT_NOT_GUARDED_BY_STATE
   }
 
   /**
-   * @param hosts how many controllers
-   * @param announcing whether the former build announces itself too
-   * @param delayedWrites whether a transaction may be carried out late
+   * Bounds of the exploration.
+   *
+   * @param hosts number of controllers
+   * @param announcing whether the old build announces itself as well
+   * @param delayedWrites whether a transaction may be executed late
    */
   record SimulationBounds(
       int hosts, boolean announcing, boolean delayedWrites, OmittedGuard omitted) {
-    VersionRange range(boolean fresh) {
-      int to = announcing ? (fresh ? 4 : 3) : (fresh ? 3 : 1);
+    VersionRange range(boolean newBuild) {
+      int to = announcing ? (newBuild ? 4 : 3) : (newBuild ? 3 : 1);
       return new VersionRange(ClusterVersion.INITIAL, new ClusterVersion(to));
     }
 
-    boolean announces(boolean fresh) {
-      return announcing || fresh;
+    boolean announces(boolean newBuild) {
+      return announcing || newBuild;
     }
   }
 
   private enum Phase {
-    ENTERING,
+    STARTING,
     READ,
-    ACTING,
-    UNFIT
+    SERVING,
+    INCOMPATIBLE
   }
 
   /**
    * A host's process.
    *
-   * @param readState as it was read, and the announcement's version then
-   * @param startedAfterRaise it was started after the raise, so its build was known
+   * @param readState the state that it has read
+   * @param readAnnouncement revision of the announcement at that read
+   * @param startedAfterRaise whether it was started after the raise
    */
   private record HostState(
       boolean newBuild,
@@ -73,11 +76,11 @@
       int readAnnouncement,
       boolean startedAfterRaise) {}
 
-  /** An announcement: whose, and for how many ticks its lease has been without a process. */
+  /** An announcement, and the number of ticks since its process ended. */
   private record AnnouncementState(
       int revision, boolean newBuild, int process, int ticksOrphaned) {}
 
-  /** A transaction on its way: a host's announcement, or the leader's write. */
+  /** A transaction in flight: a host's announcement, or a version write by the leader. */
   private record PendingWrite(
       int host,
       int process,
@@ -87,12 +90,12 @@
       boolean ofFormerLeader,
       ClusterVersionState next) {}
 
-  /** What a leader has watched, and for how many ticks. */
+  /** The stability window of the leader and its age in ticks. */
   private record WatchedState(VersionUpgrade.StabilityWindow window, int age) {
     static final WatchedState NONE = new WatchedState(VersionUpgrade.StabilityWindow.NONE, 0);
   }
 
-  /** The faults so far, each of which may happen only so often. */
+  /** Faults that have occurred so far, each of which is bounded. */
   private record FaultBudget(int upgrades, boolean downgraded, boolean crashed, boolean delayed) {}
 
   private record SimulationState(
@@ -120,15 +123,15 @@
     }
   }
 
-  private final SimulationBounds rules;
+  private final SimulationBounds bounds;
   final Set<SimulationState> visited = new HashSet<>();
   private final ArrayDeque<SimulationState> queue = new ArrayDeque<>();
   final List<String> violations = new ArrayList<>();
   int activeStates;
   int incompatibleStates;
 
-  UpgradeSimulation(SimulationBounds rules) {
-    this.rules = rules;
+  UpgradeSimulation(SimulationBounds bounds) {
+    this.bounds = bounds;
   }
 
   private static <T> List<T> with(List<T> list, int at, T value) {
@@ -138,19 +141,19 @@
   }
 
   private SimulationState initialState() {
-    ClusterVersion first = rules.announcing ? new ClusterVersion(3) : ClusterVersion.INITIAL;
+    ClusterVersion first = bounds.announcing ? new ClusterVersion(3) : ClusterVersion.INITIAL;
     ClusterVersionState active =
-        rules.announcing
+        bounds.announcing
             ? new ClusterVersionState(first, first, ClusterVersion.INITIAL, new Revision(1))
             : ClusterVersionState.UNRECORDED;
     List<HostState> hosts = new ArrayList<>();
-    List<AnnouncementState> said = new ArrayList<>();
-    for (int index = 0; index < rules.hosts; index++) {
-      hosts.add(new HostState(false, index, Phase.ACTING, active, 0, false));
-      said.add(rules.announcing ? new AnnouncementState(1, false, index, 0) : null);
+    List<AnnouncementState> announcements = new ArrayList<>();
+    for (int index = 0; index < bounds.hosts; index++) {
+      hosts.add(new HostState(false, index, Phase.SERVING, active, 0, false));
+      announcements.add(bounds.announcing ? new AnnouncementState(1, false, index, 0) : null);
     }
     FaultBudget none = new FaultBudget(0, false, false, false);
-    return new SimulationState(active, said, hosts, List.of(), 1, WatchedState.NONE, none);
+    return new SimulationState(active, announcements, hosts, List.of(), 1, WatchedState.NONE, none);
   }
 
   UpgradeSimulation run() {
@@ -170,14 +173,14 @@
     }
   }
 
-  /** The same state with versions numbered from 1 on: only which are equal or older matters. */
+  /** Returns the state with revisions renumbered, since only their order matters. */
   private static SimulationState canonical(SimulationState state) {
-    SortedSet<Integer> versions = usedVersions(state);
+    SortedSet<Integer> revisions = usedVersions(state);
     Map<Integer, Integer> rank = new HashMap<>();
-    versions.forEach(revision -> rank.put(revision, rank.size() - 1));
-    List<AnnouncementState> said = new ArrayList<>();
+    revisions.forEach(revision -> rank.put(revision, rank.size() - 1));
+    List<AnnouncementState> announcements = new ArrayList<>();
     for (AnnouncementState announcement : state.announcements) {
-      said.add(
+      announcements.add(
           announcement == null
               ? null
               : new AnnouncementState(
@@ -188,51 +191,52 @@
     }
     List<HostState> hosts = canonicalHosts(state, rank);
     List<PendingWrite> inFlight = canonicalWrites(state, rank);
-    Map<String, Revision> steady = new TreeMap<>();
+    Map<String, Revision> announcementRevisions = new TreeMap<>();
     state
         .watched
         .window
         .announcementRevisions()
         .forEach(
-            (host, revision) -> steady.put(host, new Revision(rank.get((int) revision.number()))));
-    VersionUpgrade.StabilityWindow watch =
+            (host, revision) ->
+                announcementRevisions.put(host, new Revision(rank.get((int) revision.number()))));
+    VersionUpgrade.StabilityWindow window =
         new VersionUpgrade.StabilityWindow(
-            steady,
+            announcementRevisions,
             new Revision(rank.get((int) state.watched.window.stateRevision().number())),
             MonotonicTime.LONG_AGO);
     return new SimulationState(
         withRevision(state.versions, rank.get(revisionOf(state.versions))),
-        said,
+        announcements,
         hosts,
         inFlight,
         rank.size() - 2,
-        new WatchedState(watch, state.watched.age),
+        new WatchedState(window, state.watched.age),
         state.faults);
   }
 
   private static SortedSet<Integer> usedVersions(SimulationState state) {
-    SortedSet<Integer> versions = new TreeSet<>(List.of(-1, 0, revisionOf(state.versions)));
+    SortedSet<Integer> revisions = new TreeSet<>(List.of(-1, 0, revisionOf(state.versions)));
     for (AnnouncementState announcement : state.announcements) {
-      versions.add(announcement == null ? 0 : announcement.revision);
+      revisions.add(announcement == null ? 0 : announcement.revision);
     }
     for (HostState host : state.hosts) {
       if (host.phase == Phase.READ) {
-        versions.add(revisionOf(host.readState));
-        versions.add(host.readAnnouncement);
+        revisions.add(revisionOf(host.readState));
+        revisions.add(host.readAnnouncement);
       }
     }
     for (PendingWrite write : state.inFlight) {
-      versions.add(write.stateGuard);
-      versions.addAll(write.announcementGuards);
+      revisions.add(write.stateGuard);
+      revisions.addAll(write.announcementGuards);
     }
-    versions.add((int) state.watched.window.stateRevision().number());
+    revisions.add((int) state.watched.window.stateRevision().number());
     state
         .watched
         .window
         .announcementRevisions()
         .values()
-        .forEach(revision -> versions.add((int) revision.number()));
-    return versions;
+        .forEach(revision -> revisions.add((int) revision.number()));
+    return revisions;
   }
 
   private static List<HostState> canonicalHosts(SimulationState state, Map<Integer, Integer> rank) {
@@ -240,7 +244,7 @@
     for (HostState host : state.hosts) {
       boolean read = host.phase == Phase.READ;
       ClusterVersionState active =
-          read || host.phase == Phase.ACTING
+          read || host.phase == Phase.SERVING
               ? withRevision(host.readState, read ? rank.get(revisionOf(host.readState)) : 0)
               : ClusterVersionState.UNRECORDED;
       int announced = read ? rank.get(host.readAnnouncement) : 0;
@@ -269,42 +273,43 @@
     return inFlight;
   }
 
-  private static ClusterVersionState withRevision(ClusterVersionState versions, int version) {
+  private static ClusterVersionState withRevision(ClusterVersionState versions, int revision) {
     return new ClusterVersionState(
-        versions.required(), versions.active(), versions.oldestStored(), new Revision(version));
+        versions.required(), versions.active(), versions.oldestStored(), new Revision(revision));
   }
 
   private void check(SimulationState state) {
-    boolean inUse = ClusterVersion.INITIAL.isBelow(state.versions.active());
-    activeStates += inUse && !(rules.announcing && state.versions.active().number() == 3) ? 1 : 0;
+    boolean upgraded = ClusterVersion.INITIAL.isBelow(state.versions.active());
+    activeStates +=
+        upgraded && !(bounds.announcing && state.versions.active().number() == 3) ? 1 : 0;
     for (HostState host : state.hosts) {
-      VersionRange range = rules.range(host.newBuild);
+      VersionRange range = bounds.range(host.newBuild);
       boolean reads = range.contains(state.versions.active());
-      boolean acts =
-          host.phase == Phase.ACTING
-              || (rules.omitted == OmittedGuard.ANNOUNCED_AFTER_ACTING
-                  && host.phase != Phase.UNFIT);
-      if (acts && !reads && !(host.startedAfterRaise && !rules.announcing)) {
-        violations.add("acts on what it can't read: " + state);
+      boolean serves =
+          host.phase == Phase.SERVING
+              || (bounds.omitted == OmittedGuard.ANNOUNCED_AFTER_SERVING
+                  && host.phase != Phase.INCOMPATIBLE);
+      if (serves && !reads && !(host.startedAfterRaise && !bounds.announcing)) {
+        violations.add("acts with a build that cannot read the active version: " + state);
       }
-      if (host.phase == Phase.ACTING && state.versions.active().isBelow(host.readState.active())) {
-        violations.add("writes above the active level: " + state);
+      if (host.phase == Phase.SERVING && state.versions.active().isBelow(host.readState.active())) {
+        violations.add("writes a version newer than the active one: " + state);
       }
-      incompatibleStates += host.phase == Phase.UNFIT ? 1 : 0;
-      // Whoever begins now, and is not disturbed, serves.
+      incompatibleStates += host.phase == Phase.INCOMPATIBLE ? 1 : 0;
+      // A new build that starts now and is not interrupted can announce itself.
       if (host.newBuild
           && !(new VersionGate(range).onRead(state.versions, Revision.ABSENT)
               instanceof VersionGate.GateAction.Announce)) {
-        violations.add("the right build can't serve: " + state);
+        violations.add("compatible build cannot serve: " + state);
       }
     }
   }
 
   private void explore(SimulationState state, Consumer<SimulationState> out) {
     FaultBudget faults = state.faults;
-    for (int index = 0; index < rules.hosts; index++) {
+    for (int index = 0; index < bounds.hosts; index++) {
       HostState host = state.hosts.get(index);
-      if (!host.newBuild && faults.upgrades < rules.hosts + 1) {
+      if (!host.newBuild && faults.upgrades < bounds.hosts + 1) {
         restart(
             state,
             index,
@@ -329,7 +334,7 @@
             out);
       }
       advanceGate(state, index, host, out);
-      if (host.phase == Phase.ACTING && host.newBuild) {
+      if (host.phase == Phase.SERVING && host.newBuild) {
         decideUpgrade(state, out);
       }
     }
@@ -343,31 +348,37 @@
     }
   }
 
-  /** A process ends and the next begins; it led, so that another is elected, or it did not. */
+  /** Replaces a host's process, both as the leader, which causes a failover, and as a follower. */
   private void restart(
       SimulationState state,
       int index,
-      boolean fresh,
-      FaultBudget luck,
+      boolean newBuild,
+      FaultBudget faults,
       Consumer<SimulationState> out) {
-    out.accept(restartHost(state, index, fresh, luck, true));
-    out.accept(restartHost(state, index, fresh, luck, false));
+    out.accept(restartHost(state, index, newBuild, faults, true));
+    out.accept(restartHost(state, index, newBuild, faults, false));
   }
 
   private SimulationState restartHost(
-      SimulationState state, int index, boolean fresh, FaultBudget luck, boolean led) {
+      SimulationState state, int index, boolean newBuild, FaultBudget faults, boolean wasLeader) {
     boolean raised = !state.versions.required().equals(initialState().versions.required());
-    boolean acts = !rules.announces(fresh);
+    boolean serves = !bounds.announces(newBuild);
     HostState host =
         new HostState(
-            fresh, index, acts ? Phase.ACTING : Phase.ENTERING, initialState().versions, 0, raised);
-    List<AnnouncementState> said = state.announcements;
-    if (said.get(index) != null && said.get(index).process == index) {
-      said =
+            newBuild,
+            index,
+            serves ? Phase.SERVING : Phase.STARTING,
+            initialState().versions,
+            0,
+            raised);
+    List<AnnouncementState> announcements = state.announcements;
+    if (announcements.get(index) != null && announcements.get(index).process == index) {
+      announcements =
           with(
-              said,
+              announcements,
               index,
-              new AnnouncementState(said.get(index).revision, said.get(index).newBuild, ENDED, 0));
+              new AnnouncementState(
+                  announcements.get(index).revision, announcements.get(index).newBuild, ENDED, 0));
     }
     List<PendingWrite> inFlight = new ArrayList<>();
     for (PendingWrite write : state.inFlight) {
@@ -379,37 +390,40 @@
               write.newBuild,
               write.stateGuard,
               write.announcementGuards,
-              write.ofFormerLeader || led,
+              write.ofFormerLeader || wasLeader,
               write.next));
     }
     return new SimulationState(
         state.versions,
-        said,
+        announcements,
         with(state.hosts, index, host),
         inFlight,
         state.revision,
-        led ? WatchedState.NONE : state.watched,
-        luck);
+        wasLeader ? WatchedState.NONE : state.watched,
+        faults);
   }
 
   private void advanceGate(
       SimulationState state, int index, HostState host, Consumer<SimulationState> out) {
-    if (!rules.announces(host.newBuild)) {
+    if (!bounds.announces(host.newBuild)) {
       return;
     }
-    VersionGate entrance = new VersionGate(rules.range(host.newBuild));
-    AnnouncementState said = state.announcements.get(index);
-    int version = said == null ? 0 : said.revision;
-    if (host.phase == Phase.ENTERING) {
-      VersionGate.GateAction step = entrance.onRead(state.versions, new Revision(version));
-      Phase next = step instanceof VersionGate.GateAction.Announce ? Phase.READ : Phase.UNFIT;
+    VersionGate gate = new VersionGate(bounds.range(host.newBuild));
+    AnnouncementState announcement = state.announcements.get(index);
+    int revision = announcement == null ? 0 : announcement.revision;
+    if (host.phase == Phase.STARTING) {
+      VersionGate.GateAction action = gate.onRead(state.versions, new Revision(revision));
+      Phase next =
+          action instanceof VersionGate.GateAction.Announce ? Phase.READ : Phase.INCOMPATIBLE;
       HostState read =
           new HostState(
-              host.newBuild, host.process, next, state.versions, version, host.startedAfterRaise);
+              host.newBuild, host.process, next, state.versions, revision, host.startedAfterRaise);
       out.accept(state.hosts(with(state.hosts, index, read)));
     } else if (host.phase == Phase.READ) {
       int guard =
-          rules.omitted == OmittedGuard.ENTRANCE_NOT_GUARDED ? -1 : revisionOf(host.readState);
+          bounds.omitted == OmittedGuard.ANNOUNCEMENT_NOT_GUARDED_BY_STATE
+              ? -1
+              : revisionOf(host.readState);
       send(
           state,
           new PendingWrite(
@@ -428,18 +442,20 @@
     return (int) versions.revision().number();
   }
 
-  /** The leader looks, and writes what is decided. */
+  /** Lets the leader decide on the next step and write the result. */
   private void decideUpgrade(SimulationState state, Consumer<SimulationState> out) {
     List<BuildAnnouncement> announced = new ArrayList<>();
     Set<String> configured = new TreeSet<>();
-    for (int index = 0; index < rules.hosts; index++) {
-      AnnouncementState said = state.announcements.get(index);
-      if (said != null) {
+    for (int index = 0; index < bounds.hosts; index++) {
+      AnnouncementState announcement = state.announcements.get(index);
+      if (announcement != null) {
         announced.add(
             new BuildAnnouncement(
-                "h" + index, rules.range(said.newBuild), new Revision(said.revision)));
+                "h" + index,
+                bounds.range(announcement.newBuild),
+                new Revision(announcement.revision)));
       }
-      if (said != null || rules.omitted != OmittedGuard.SILENT_TAKEN_FOR_NEW) {
+      if (announcement != null || bounds.omitted != OmittedGuard.UNANNOUNCED_HOSTS_IGNORED) {
         configured.add("h" + index);
       }
     }
@@ -453,37 +469,38 @@
             new MonotonicTime(now.ms() - 900L * state.watched.age));
     VersionUpgrade.UpgradeOutcome outcome = VersionUpgrade.decide(POLICY, view, before, now);
     int age = outcome.window().equals(before) ? state.watched.age : 0;
-    VersionUpgrade.StabilityWindow watch =
+    VersionUpgrade.StabilityWindow window =
         new VersionUpgrade.StabilityWindow(
             outcome.window().announcementRevisions(),
             outcome.window().stateRevision(),
             MonotonicTime.LONG_AGO);
-    SimulationState looked = state.watched(new WatchedState(watch, age));
-    out.accept(looked);
+    SimulationState observed = state.watched(new WatchedState(window, age));
+    out.accept(observed);
     if (outcome.decision() instanceof VersionUpgrade.UpgradeDecision.Write upgrade) {
       List<Integer> guards = new ArrayList<>();
-      for (int index = 0; index < rules.hosts; index++) {
+      for (int index = 0; index < bounds.hosts; index++) {
         Revision revision = upgrade.announcementRevisions().get("h" + index);
-        boolean none = revision == null || rules.omitted == OmittedGuard.RAISE_NOT_GUARDED;
+        boolean none =
+            revision == null || bounds.omitted == OmittedGuard.UPGRADE_NOT_GUARDED_BY_ANNOUNCEMENTS;
         guards.add(none ? -1 : (int) revision.number());
       }
       ClusterVersionState next = upgrade.next();
-      if (rules.omitted == OmittedGuard.RAISED_IN_ONE_STEP) {
+      if (bounds.omitted == OmittedGuard.ACTIVATED_WITH_RAISE) {
         next =
             new ClusterVersionState(
                 next.required(), next.required(), next.oldestStored(), next.revision());
       }
       send(
-          looked,
+          observed,
           new PendingWrite(-1, -1, true, revisionOf(state.versions), guards, false, next),
           out);
     }
   }
 
-  /** It is carried out now, or (once) at any later time. */
+  /** Executes a transaction now or, for one transaction per run, at any later time. */
   private void send(SimulationState state, PendingWrite write, Consumer<SimulationState> out) {
     out.accept(execute(state, write, true));
-    if (rules.delayedWrites && !state.faults.delayed) {
+    if (bounds.delayedWrites && !state.faults.delayed) {
       List<PendingWrite> inFlight = new ArrayList<>(state.inFlight);
       inFlight.add(write);
       FaultBudget faults = state.faults;
@@ -504,38 +521,42 @@
     if (write.host >= 0) {
       return executeAnnouncement(state, write, ok, answered);
     }
-    for (int index = 0; index < rules.hosts; index++) {
-      AnnouncementState said = state.announcements.get(index);
+    for (int index = 0; index < bounds.hosts; index++) {
+      AnnouncementState announcement = state.announcements.get(index);
       ok &=
           write.announcementGuards.get(index) < 0
-              || (said != null && said.revision == write.announcementGuards.get(index));
+              || (announcement != null
+                  && announcement.revision == write.announcementGuards.get(index));
     }
     if (!ok || write.ofFormerLeader) {
       return state;
     }
-    int version = state.revision + 1;
+    int revision = state.revision + 1;
     ClusterVersionState next =
         new ClusterVersionState(
             write.next.required(),
             write.next.active(),
             write.next.oldestStored(),
-            new Revision(version));
+            new Revision(revision));
     if (next.required().isBelow(state.versions.required())
         || next.active().isBelow(state.versions.active())) {
-      violations.add("the level falls: " + state);
+      violations.add("cluster version decreases: " + state);
     }
-    return state.written(next, state.announcements, version);
+    return state.written(next, state.announcements, revision);
   }
 
   private SimulationState executeAnnouncement(
       SimulationState state, PendingWrite write, boolean guard, boolean answered) {
-    AnnouncementState said = state.announcements.get(write.host);
+    AnnouncementState announcement = state.announcements.get(write.host);
     HostState host = state.hosts.get(write.host);
     boolean current = host.process == write.process;
-    boolean ok = guard && write.announcementGuards.get(0) == (said == null ? 0 : said.revision);
-    List<AnnouncementState> all = state.announcements;
+    boolean ok =
+        guard
+            && write.announcementGuards.get(0)
+                == (announcement == null ? 0 : announcement.revision);
+    List<AnnouncementState> announcements = state.announcements;
     if (ok) {
-      all =
+      announcements =
           with(
               state.announcements,
               write.host,
@@ -543,10 +564,10 @@
     }
     List<HostState> hosts = state.hosts;
     if (answered && current) {
-      VersionGate entrance = new VersionGate(rules.range(host.newBuild));
-      entrance.onRead(host.readState, new Revision(host.readAnnouncement));
-      VersionGate.GateAction step = entrance.onAnnounced(ok);
-      Phase next = step instanceof VersionGate.GateAction.Read ? Phase.ENTERING : Phase.ACTING;
+      VersionGate gate = new VersionGate(bounds.range(host.newBuild));
+      gate.onRead(host.readState, new Revision(host.readAnnouncement));
+      VersionGate.GateAction action = gate.onAnnounced(ok);
+      Phase next = action instanceof VersionGate.GateAction.Read ? Phase.STARTING : Phase.SERVING;
       hosts =
           with(
               state.hosts,
@@ -554,20 +575,22 @@
               new HostState(
                   host.newBuild, host.process, next, host.readState, 0, host.startedAfterRaise));
     }
-    return state.written(state.versions, all, state.revision + (ok ? 1 : 0)).hosts(hosts);
+    return state.written(state.versions, announcements, state.revision + (ok ? 1 : 0)).hosts(hosts);
   }
 
-  /** Nearly a lease passes: one whose process has ended before the last tick is over. */
+  /**
+   * Advances time by almost one lease, which removes announcements orphaned before the last tick.
+   */
   private SimulationState tick(SimulationState state) {
-    List<AnnouncementState> said = new ArrayList<>();
-    for (int index = 0; index < rules.hosts; index++) {
+    List<AnnouncementState> announcements = new ArrayList<>();
+    for (int index = 0; index < bounds.hosts; index++) {
       AnnouncementState announcement = state.announcements.get(index);
       boolean dead = announcement != null && announcement.process != state.hosts.get(index).process;
       boolean leased = state.versions.active().isBelow(ClusterVersion.ANNOUNCED_BUILDS);
       if (announcement == null || !dead || !leased) {
-        said.add(announcement);
+        announcements.add(announcement);
       } else {
-        said.add(
+        announcements.add(
             announcement.ticksOrphaned > 0
                 ? null
                 : new AnnouncementState(
@@ -576,17 +599,17 @@
     }
     WatchedState longer =
         new WatchedState(state.watched.window, Math.min(2, state.watched.age + 1));
-    return state.written(state.versions, said, state.revision).watched(longer);
+    return state.written(state.versions, announcements, state.revision).watched(longer);
   }
 
-  /** The larger bounds, which take longer than a build should: three controllers. */
+  /** Explores three controllers, which takes too long for a regular test run. */
   public static void main(String[] args) {
-    for (boolean levels : new boolean[] {false, true}) {
+    for (boolean announcing : new boolean[] {false, true}) {
       UpgradeSimulation simulation =
-          new UpgradeSimulation(new SimulationBounds(3, levels, true, OmittedGuard.NONE)).run();
+          new UpgradeSimulation(new SimulationBounds(3, announcing, true, OmittedGuard.NONE)).run();
       System.out.println(
-          (levels ? "later" : "first")
-              + " roll: "
+          (announcing ? "upgrade from announced builds" : "upgrade from unannounced builds")
+              + ": "
               + simulation.visited.size()
               + " states, "
               + simulation.violations);
--- a/src/test/java/io/saltflow/failuredetector/LeaderFailureDetectorTest.java
+++ b/src/test/java/io/saltflow/failuredetector/LeaderFailureDetectorTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Which signs together say that the leader's process has ended. */
+/** Tests which combinations of evidence indicate that the leader's process has ended. */
 class LeaderFailureDetectorTest {
   private static final Term TERM = new Term(7);
   private static final MonotonicTime NOW = new MonotonicTime(100_000);
@@ -20,80 +20,80 @@
   private final LeaderFailureDetector detector = new LeaderFailureDetector();
 
   @BeforeEach
-  void somebodyLeads() {
+  void setLeader() {
     detector.onLeader("a", TERM);
   }
 
-  private void worker(int number, Term seen) {
-    detector.onWorkerHeartbeat(new MachineId("vm-" + number), seen);
+  private void receiveHeartbeat(int number, Term highestTerm) {
+    detector.onWorkerHeartbeat(new MachineId("vm-" + number), highestTerm);
   }
 
   private void recordAllEvidence() {
     detector.onConnectionClosed("a", NOW);
     detector.onConnectionRefused("a", NOW);
     detector.onConnectionRefused("a", NOW);
-    worker(1, TERM);
-    worker(2, TERM);
+    receiveHeartbeat(1, TERM);
+    receiveHeartbeat(2, TERM);
   }
 
   @Test
-  void allEvidenceTogetherIsEnoughAndEachPartIsNeeded() {
+  void failureRequiresAllKindsOfEvidence() {
     List<Runnable> all =
         List.of(
             () -> detector.onConnectionClosed("a", NOW),
             () -> detector.onConnectionRefused("a", NOW),
             () -> detector.onConnectionRefused("a", NOW),
-            () -> worker(1, TERM),
-            () -> worker(2, TERM));
-    for (int without = -1; without < all.size(); without++) {
+            () -> receiveHeartbeat(1, TERM),
+            () -> receiveHeartbeat(2, TERM));
+    for (int omitted = -1; omitted < all.size(); omitted++) {
       detector.onLeader(null, Term.NONE);
       detector.onLeader("a", TERM);
-      List<Runnable> some = new ArrayList<>(all);
-      if (without >= 0) {
-        some.remove(without);
+      List<Runnable> remaining = new ArrayList<>(all);
+      if (omitted >= 0) {
+        remaining.remove(omitted);
       }
-      some.forEach(Runnable::run);
-      // Refusals alone say that it is lost as well.
+      remaining.forEach(Runnable::run);
+      // A refusal also implies that the connection is lost, so the close event is not required.
       assertEquals(
-          without <= 0 ? "a" : null, detector.failedLeader(NOW), "without sign " + without);
+          omitted <= 0 ? "a" : null, detector.failedLeader(NOW), "without evidence " + omitted);
     }
   }
 
   @Test
-  void aPacketFilterBetweenControllersIsNoLeaderFailure() {
+  void refusedConnectionsAloneAreNoFailure() {
     detector.onConnectionClosed("a", NOW);
     for (int i = 0; i < 50; i++) {
       detector.onConnectionRefused("a", NOW);
-      // Machines come up meanwhile and start at any controller.
-      worker(i, Term.NONE);
+      // New workers start meanwhile and contact any controller.
+      receiveHeartbeat(i, Term.NONE);
     }
-    worker(99, TERM);
-    worker(99, TERM);
-    assertNull(detector.failedLeader(NOW), "one worker, however often it asks");
+    receiveHeartbeat(99, TERM);
+    receiveHeartbeat(99, TERM);
+    assertNull(detector.failedLeader(NOW), "heartbeats of one worker");
   }
 
   @Test
-  void aSignOfLifeClearsTheEvidence() {
+  void messageOrNewLeaderClearsEvidence() {
     recordAllEvidence();
     detector.onAlive("a");
     assertNull(detector.failedLeader(NOW));
     assertFalse(detector.leaderSuspected());
     recordAllEvidence();
     detector.onLeader("b", new Term(8));
-    assertNull(detector.failedLeader(NOW), "another leads by now");
+    assertNull(detector.failedLeader(NOW), "evidence about an earlier leader");
     detector.onConnectionClosed("a", NOW);
-    assertFalse(detector.leaderSuspected(), "of no interest any more");
+    assertFalse(detector.leaderSuspected(), "connection of an earlier leader");
   }
 
-  /** The last heartbeat comes by another connection than the one whose end was seen. */
+  /** Guards against a heartbeat from another connection that hides the closed one. */
   @Test
-  void aHeartbeatReadLateHidesNoFailure() {
+  void heartbeatReadAfterConnectionCloseDoesNotHideFailure() {
     detector.onConnectionClosed("a", NOW);
     detector.onAlive("a");
     detector.onConnectionRefused("a", NOW);
     detector.onConnectionRefused("a", NOW);
-    worker(1, TERM);
-    worker(2, TERM);
+    receiveHeartbeat(1, TERM);
+    receiveHeartbeat(2, TERM);
     assertEquals("a", detector.failedLeader(NOW));
   }
 
--- a/src/test/java/io/saltflow/faultattribution/FaultAttributionTest.java
+++ b/src/test/java/io/saltflow/faultattribution/FaultAttributionTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Whose fault a failure is. */
+/** Tests the attribution of task failures to defective jobs and faulty machines. */
 class FaultAttributionTest {
   private final FaultAttribution faultAttribution = new FaultAttribution(2);
 
@@ -30,41 +30,46 @@
   }
 
   @Test
-  void wideDefectiveJobBlamesNoMachine() {
-    List<Finding> all = new ArrayList<>();
-    // Four tasks on each of ten machines, reported machine by machine.
+  void defectiveJobOnManyMachinesMakesNoMachineFaulty() {
+    List<Finding> findings = new ArrayList<>();
+    // Four failures on each of ten machines, in machine order.
     for (int i = 0; i < 40; i++) {
-      all.addAll(faultAttribution.recordFailure(job(1), machine(i / 4)));
+      findings.addAll(faultAttribution.recordFailure(job(1), machine(i / 4)));
     }
-    assertEquals(List.of(new Finding.DefectiveJob(job(1), 3)), all);
+    assertEquals(List.of(new Finding.DefectiveJob(job(1), 3)), findings);
     for (int i = 0; i < 10; i++) {
-      assertEquals(0, faultAttribution.failureWeight(machine(i)), "nothing is held against it");
+      assertEquals(
+          0,
+          faultAttribution.failureWeight(machine(i)),
+          "failures of a defective job do not count");
     }
     assertEquals(
         List.of(new Finding.ClearedJob(job(1))),
         faultAttribution.recordSuccess(job(1), machine(11)),
-        "mended");
+        "cleared by a success");
     assertFalse(faultAttribution.isDefective(job(1)));
   }
 
   @Test
-  void machineIsFaultyByTwoJobsOrByOneThatWorksElsewhere() {
+  void machineIsFaultyAfterFailuresOfTwoJobsOrOfJobSucceedingElsewhere() {
     assertEquals(List.of(), faultAttribution.recordFailure(job(1), machine(1)));
     assertEquals(
-        List.of(), faultAttribution.recordFailure(job(1), machine(1)), "the same job says it once");
+        List.of(),
+        faultAttribution.recordFailure(job(1), machine(1)),
+        "failures of one job count once");
     assertEquals(
         List.of(new Finding.FaultyMachine(machine(1))),
         faultAttribution.recordFailure(job(2), machine(1)),
-        "another");
+        "failure of a second job");
     faultAttribution.recordFailure(job(3), machine(2));
     faultAttribution.recordFailure(job(3), machine(2));
     assertEquals(
         List.of(new Finding.FaultyMachine(machine(2))),
         faultAttribution.recordSuccess(job(3), machine(3)),
-        "its tasks work, so those two were the machine's");
+        "the job succeeds elsewhere, so both failures count");
   }
 
-  /** A machine that fails everything is found though it is given tasks of a broken job as well. */
+  /** Guards against a faulty machine that is hidden by failures of a defective job. */
   @Test
   void faultyMachineIsFoundAmongDefectiveJobs() {
     for (int machineNumber = 5; machineNumber < 8; machineNumber++) {
@@ -72,21 +77,23 @@
     }
     assertTrue(faultAttribution.isDefective(job(1)));
     assertEquals(
-        List.of(), faultAttribution.recordFailure(job(1), machine(9)), "says nothing of it");
+        List.of(),
+        faultAttribution.recordFailure(job(1), machine(9)),
+        "failure of a defective job does not count");
     assertEquals(List.of(), faultAttribution.recordFailure(job(2), machine(9)));
     assertEquals(
         List.of(new Finding.FaultyMachine(machine(9))),
         faultAttribution.recordFailure(job(3), machine(9)));
   }
 
-  /** Three machines that fail everything make a job look mistaken until they are found. */
+  /** Guards against blaming a job for failures on machines that are later found faulty. */
   @Test
   void jobThatRanOnlyOnFaultyMachinesIsCleared() {
     for (int machineNumber = 1; machineNumber <= 3; machineNumber++) {
       faultAttribution.recordFailure(job(1), machine(machineNumber));
     }
     assertTrue(faultAttribution.isDefective(job(1)));
-    // A faulty machine is found by others' jobs, and its word against the first counts no more.
+    // Another job shows that the machine is faulty, so failures on it do not count against the job.
     faultAttribution.recordSuccess(job(2), machine(4));
     faultAttribution.recordFailure(job(2), machine(1));
     assertEquals(
@@ -95,29 +102,28 @@
   }
 
   /**
-   * Fleets of sound and faulty machines, jobs of which some are broken: none that is sound is
-   * blamed, each that is not is found, whatever the order. A success on a faulty machine and one of
-   * a broken job never happen.
+   * Tests random orders of failures and successes of healthy and defective jobs on healthy and
+   * faulty machines. Defective jobs and tasks on faulty machines never succeed.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void healthyAreNotBlamedAndFaultyAreFound(long seed) {
+  void onlyDefectiveJobsAndFaultyMachinesAreFound(long seed) {
     UniformRandomProvider random = new SplitMix64(seed);
     Set<MachineId> faulty = new HashSet<>();
     Set<JobId> defective = new HashSet<>();
     for (int step = 0; step < 20_000; step++) {
-      // One job in 25 is broken, as is one machine in 25; a job's tasks come together.
+      // One in 25 jobs and one in 25 machines is defective. A job's tasks are close in order.
       JobId job = job(step / 40 + random.nextInt(8));
       int machineNumber = random.nextInt(100);
-      boolean brokenJob = Integer.parseInt(job.text().substring(4)) % 25 == 3;
+      boolean defectiveJobTask = Integer.parseInt(job.text().substring(4)) % 25 == 3;
       if (faulty.contains(machine(machineNumber)) || defective.contains(job)) {
         continue;
       }
-      List<Finding> found =
-          brokenJob || machineNumber % 25 == 7
+      List<Finding> findings =
+          defectiveJobTask || machineNumber % 25 == 7
               ? faultAttribution.recordFailure(job, machine(machineNumber))
               : faultAttribution.recordSuccess(job, machine(machineNumber));
-      for (Finding finding : found) {
+      for (Finding finding : findings) {
         if (finding instanceof Finding.FaultyMachine faultyMachine) {
           faulty.add(faultyMachine.machine());
         } else if (finding instanceof Finding.DefectiveJob defectiveJob) {
@@ -128,7 +134,7 @@
       }
     }
     assertEquals(Set.of(machine(7), machine(32), machine(57), machine(82)), faulty);
-    assertEquals(21, defective.size(), "one in 25 of those from 0 to 506");
+    assertEquals(21, defective.size(), "one in 25 of jobs 0 to 506");
     assertTrue(
         defective.stream().allMatch(jobId -> jobId.text().matches("req-0*\\d*(03|28|53|78)")));
   }
