--- a/src/main/java/io/saltflow/admission/CascadeBarrier.java
+++ b/src/main/java/io/saltflow/admission/CascadeBarrier.java
@@ -32,7 +32,7 @@
   private static final TimeSpan CHECK_INTERVAL = TimeSpan.seconds(2);
 
   /** Keeps status polls unanswered for less than the 90 s after which a job counts as lost. */
-  private static final TimeSpan MAX_WITHHELD = TimeSpan.seconds(60);
+  private static final TimeSpan MAX_WITHHOLDING_TIME = TimeSpan.seconds(60);
 
   private final TimeSpan maxLag;
   private MonotonicTime cascadedUntil = MonotonicTime.LONG_AGO;
@@ -123,7 +123,8 @@
       return false;
     }
     boolean tooLong =
-        withheldSince != MonotonicTime.NEVER && now.since(withheldSince).longerThan(MAX_WITHHELD);
+        withheldSince != MonotonicTime.NEVER
+            && now.since(withheldSince).longerThan(MAX_WITHHOLDING_TIME);
     return tooLong || !isBehind(maxLag, now);
   }
 }
--- a/src/main/java/io/saltflow/admission/FairPolling.java
+++ b/src/main/java/io/saltflow/admission/FairPolling.java
@@ -49,10 +49,10 @@
   private static final int MAX_OVERDUE_IN_FLIGHT = 32;
 
   /** Maximum number of refused jobs that are announced to the peers. */
-  private static final int MAX_REPORTED = 200;
+  private static final int MAX_ANNOUNCED = 200;
 
   /** Time after the last refusal for which a job is announced to the peers. */
-  private static final TimeSpan REPORT_WINDOW = TimeSpan.seconds(40);
+  private static final TimeSpan ANNOUNCEMENT_WINDOW = TimeSpan.seconds(40);
 
   /** Times of the last answer to and refusals of queries for one job. */
   private static final class PollState {
@@ -127,10 +127,10 @@
     Map<JobId, TimeSpan> unanswered = new LinkedHashMap<>();
     tracked.entrySet().stream()
         .filter(e -> !e.getValue().firstRefusedAt.equals(MonotonicTime.NEVER))
-        .filter(e -> REPORT_WINDOW.longerThan(now.since(e.getValue().lastRefusedAt)))
+        .filter(e -> ANNOUNCEMENT_WINDOW.longerThan(now.since(e.getValue().lastRefusedAt)))
         .sorted(
             Comparator.comparing((Map.Entry<JobId, PollState> e) -> e.getValue().firstRefusedAt))
-        .limit(MAX_REPORTED)
+        .limit(MAX_ANNOUNCED)
         .forEach(e -> unanswered.put(e.getKey(), now.since(e.getValue().firstRefusedAt)));
     return unanswered;
   }
--- a/src/main/java/io/saltflow/store/CompressedValues.java
+++ b/src/main/java/io/saltflow/store/CompressedValues.java
@@ -28,12 +28,12 @@
   private static final double MIN_COMPRESSION_RATIO = 0.2;
 
   /** Weight of the latest ratio if it is better than the previous ones. */
-  private static final double RATIO_SMOOTHING = 0.2;
+  private static final double LATEST_RATIO_WEIGHT = 0.2;
 
-  private static final double KEPT_RATIO = 0.8;
+  private static final double PREVIOUS_RATIO_WEIGHT = 0.8;
 
   /** Fraction of the estimated capacity that is used, because compression ratios vary. */
-  private static final double EXPECTED_USE = 0.9;
+  private static final double USED_ESTIMATE_FRACTION = 0.9;
 
   private final StoreLimits limits;
   private double compressionRatio = 1;
@@ -70,7 +70,7 @@
     return (int)
         (compressedBytesPerValue()
             * Math.min(values, maxValuesPerTransaction())
-            * EXPECTED_USE
+            * USED_ESTIMATE_FRACTION
             / Math.max(MIN_COMPRESSION_RATIO, compressionRatio));
   }
 
@@ -84,7 +84,7 @@
             1,
             latestRatio > compressionRatio
                 ? latestRatio
-                : compressionRatio * KEPT_RATIO + latestRatio * RATIO_SMOOTHING);
+                : compressionRatio * PREVIOUS_RATIO_WEIGHT + latestRatio * LATEST_RATIO_WEIGHT);
     String text = Base64.getEncoder().encodeToString(compressed);
     List<String> texts = new ArrayList<>();
     int maxTextBytes = maxTextBytes();
--- a/src/main/java/io/saltflow/store/StoreLimits.java
+++ b/src/main/java/io/saltflow/store/StoreLimits.java
@@ -147,8 +147,8 @@
     } else {
       logOnce(
           transaction.mainKey(),
-          "key-value store rejected write of {} ({} writes, {} guards, largest value {} bytes)"
-              + " although it is of minimum size: it will be retried",
+          "key-value store rejected transaction on {} ({} writes, {} guards, largest value {} bytes)"
+              + " although it is of minimum size, retrying",
           transaction.mainKey(),
           transaction.writeCount(),
           transaction.guardCount(),
@@ -178,7 +178,7 @@
 
   private void logLowered(Transaction transaction, int valueBytes) {
     LOG.warn(
-        "key-value store rejected write of {} ({} writes, {} guards, largest value {} bytes):"
+        "key-value store rejected transaction on {} ({} writes, {} guards, largest value {} bytes):"
             + " limits lowered to {} bytes per value and {} operations per transaction",
         transaction.mainKey(),
         transaction.writeCount(),
--- a/src/test/java/io/saltflow/store/PackedRecordsSplitTest.java
+++ b/src/test/java/io/saltflow/store/PackedRecordsSplitTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Tests that oversized pages are split without data loss, whenever the limits are loweredLimits and
+ * Tests that oversized pages are split without data loss, whenever the limits are lowered and
  * whether or not a write succeeds. Confirmed data must be readable by all builds, including earlier
  * ones, which read only the last page that holds a record.
  */
@@ -54,7 +54,7 @@
   private static final class Counter {
     final String name;
     int padding = PADDING;
-    int recorded;
+    int storedLength;
     long count;
 
     Counter(String name, long count) {
@@ -188,14 +188,14 @@
 
     @Override
     public boolean retainsAll(Counter counter, Object value) {
-      return ((String) value).length() >= counter.recorded;
+      return ((String) value).length() >= counter.storedLength;
     }
 
     @Override
     public void onWritten(List<Counter> counters, List<Object> values, boolean confirmedWrite) {
       for (int i = 0; confirmedWrite && i < counters.size(); i++) {
         confirmed.merge(counters.get(i).name, count(values.get(i)), Math::max);
-        counters.get(i).recorded = ((String) values.get(i)).length();
+        counters.get(i).storedLength = ((String) values.get(i)).length();
       }
     }
   }
@@ -303,7 +303,7 @@
     root.cancel();
   }
 
-  /** Guards against data loss when limits are loweredLimits and the leader fails at any message. */
+  /** Guards against data loss when limits are lowered and the leader fails at any message. */
   @ParameterizedTest
   @CsvSource({"2,4", "1,2"})
   void loweredLimitsAndFailoverAtAnyMessageLoseNoRecords(double valueKb, int operations)
--- a/src/test/java/io/saltflow/store/PackedRecordsTest.java
+++ b/src/test/java/io/saltflow/store/PackedRecordsTest.java
@@ -204,7 +204,7 @@
   }
 
   @Test
-  void removedRecordsMakeRoomOnTheirPage() throws IOException {
+  void recordsFillPagesAndReuseFreedSpace() throws IOException {
     PackedRecords<String> packedRecords = newPackedRecords();
     for (String record : List.of("a", "b", "c", "d", "e")) {
       packedRecords.markChanged(record, true);
