--- a/src/main/java/io/saltflow/store/GuardedKeyWriter.java
+++ b/src/main/java/io/saltflow/store/GuardedKeyWriter.java
@@ -49,7 +49,9 @@
     if (guardedKey.isInFlight()) {
       callback.accept(false);
     } else if (value != null && !client.limits().fits(value)) {
-      client.limits().warnTooLarge(key, JsonSize.of(value), "the value is not written");
+      client
+          .limits()
+          .warnTooLarge(key, JsonSize.of(value), "value not written, continuing without a record");
       callback.accept(false);
     } else if (guardedKey.isRevisionUnknown()) {
       readRevision(guardedKey, callback);
