--- a/src/main/java/io/saltflow/kv/CommitPipeline.java
+++ b/src/main/java/io/saltflow/kv/CommitPipeline.java
@@ -15,12 +15,13 @@
 import java.util.function.Consumer;
 
 /**
- * Evaluates requests in the order of their arrival with group commit: one group of write batches is
- * being persisted while the next accumulates, and a reply is sent once everything that it depends
- * on is durable. Requests are evaluated against the store as it will be after both groups; reads
- * see only durable contents.
+ * Evaluates requests in arrival order with group commit. One group of write batches is persisted
+ * while the next accumulates, and a reply is sent once all changes that it depends on are durable.
+ * Requests are evaluated against the store including both pending groups, while reads see only
+ * durable contents.
  *
- * <p>When a group can't be persisted, it and everything that was evaluated after it fails with 503.
+ * <p>If a group cannot be persisted, its requests and all requests evaluated after it fail with
+ * 503.
  */
 public final class CommitPipeline {
   private static final int MAX_TRANSACTION_BYTES = 64 * 1024;
@@ -28,26 +29,26 @@
   private static final long MIN_TTL_MS = 100;
   private static final long MAX_TTL_MS = 600_000;
 
-  /** A group of write batches that becomes durable at once, and the changes that it makes. */
+  /** A group of write batches that becomes durable as a unit, with the resulting changes. */
   private static final class CommitGroup {
     final List<WriteBatch> batches = new ArrayList<>();
     final List<Runnable> replies = new ArrayList<>();
 
-    /** Whom to reply to when the group fails. */
-    final List<Consumer<Reply>> waiting = new ArrayList<>();
+    /** Receivers of the failure reply if the group cannot be persisted. */
+    final List<Consumer<Reply>> pendingReceivers = new ArrayList<>();
 
-    /** New values by key; null: deleted. */
+    /** New values by key, where {@code null} marks a deleted key. */
     final Map<String, KeyValueStore.Value> values = new HashMap<>();
 
-    /** New leases' time to live by id; null: revoked. */
+    /** Times to live of new leases by id, where {@code null} marks a revoked lease. */
     final Map<Long, TimeSpan> leaseTtls = new LinkedHashMap<>();
   }
 
   private final KeyValueStore store;
   private KeyValueLimits limits;
 
-  /** The group that is being persisted, or null. */
-  private CommitGroup writing;
+  /** The group that is being persisted, or {@code null}. */
+  private CommitGroup persisting;
 
   private CommitGroup accumulating = new CommitGroup();
   private long revision;
@@ -60,12 +61,12 @@
     reset();
   }
 
-  /** Sets the limits of all later requests. */
+  /** Sets the limits for all later requests. */
   void setLimits(KeyValueLimits newLimits) {
     limits = newLimits;
   }
 
-  /** Continues from the store's contents, which were just recovered. */
+  /** Continues from the store's contents after they were recovered. */
   void onRestored() {
     reset();
   }
@@ -75,41 +76,44 @@
     lastLeaseId = store.lastLeaseId();
   }
 
-  // ---- The store as it will be
+  // ---- The store including pending changes
 
   private KeyValueStore.Value pendingValue(String key) {
     if (accumulating.values.containsKey(key)) {
       return accumulating.values.get(key);
     }
-    if (writing != null && writing.values.containsKey(key)) {
-      return writing.values.get(key);
+    if (persisting != null && persisting.values.containsKey(key)) {
+      return persisting.values.get(key);
     }
     return store.value(key);
   }
 
-  /** Returns a lease's time to live; null: there is none, or its revocation is not durable yet. */
+  /** Returns a lease's time to live, or {@code null} if it does not exist or is being revoked. */
   private TimeSpan pendingTtl(long leaseId) {
     if (accumulating.leaseTtls.containsKey(leaseId)) {
       return accumulating.leaseTtls.get(leaseId);
     }
-    if (writing != null && writing.leaseTtls.containsKey(leaseId)) {
-      return writing.leaseTtls.get(leaseId);
+    if (persisting != null && persisting.leaseTtls.containsKey(leaseId)) {
+      return persisting.leaseTtls.get(leaseId);
     }
     return store.leaseTtl(leaseId);
   }
 
   // ---- Requests
 
-  /** Returns how many writes a transaction has; they count against the rate even if it fails. */
+  /**
+   * Returns the number of writes in a transaction. They count against the write rate even if it
+   * fails.
+   */
   public static int writeCount(MessageBody transaction) {
     return transaction.get(Wire.WRITES) instanceof List<?> writes ? writes.size() : 0;
   }
 
   /**
-   * Executes a transaction: all of its writes if every guard holds, else none.
+   * Executes a transaction, applying all of its writes if every guard holds and none otherwise.
    *
-   * @param replyTo receives the reply once what it depends on is durable
-   * @throws InvalidMessageException when the transaction is malformed
+   * @param replyTo receives the reply once all changes that it depends on are durable
+   * @throws InvalidMessageException if the transaction is malformed
    */
   public void commit(MessageBody transaction, Consumer<Reply> replyTo)
       throws InvalidMessageException {
@@ -150,7 +154,7 @@
     return transaction.get(field) == null ? List.of() : transaction.maps(field);
   }
 
-  /** Returns a write's mutation; null when it was rejected with a reply. */
+  /** Returns the mutation of a write, or {@code null} if the write was rejected with a reply. */
   private Mutation evaluate(MessageBody write, Consumer<Reply> replyTo)
       throws InvalidMessageException {
     String putKey = write.textOr(Wire.PUT, null);
@@ -175,7 +179,7 @@
     return new Mutation.Put(key, data, leaseId);
   }
 
-  /** Returns the keys whose current version is not the guard's. */
+  /** Returns the keys whose current version differs from that of their guard. */
   private List<String> failedGuards(List<MessageBody> guards) throws InvalidMessageException {
     List<String> failed = new ArrayList<>();
     for (MessageBody guard : guards) {
@@ -191,8 +195,8 @@
   /**
    * Grants a lease.
    *
-   * @param request has the time to live in milliseconds
-   * @throws InvalidMessageException when the request is malformed
+   * @param request the request body, with the time to live in milliseconds
+   * @throws InvalidMessageException if the request is malformed
    */
   public void grantLease(MessageBody request, Consumer<Reply> replyTo)
       throws InvalidMessageException {
@@ -201,20 +205,20 @@
       replyTo.accept(Reply.malformed(Wire.TTL_MS + ": out of range"));
       return;
     }
-    // Durable, or a restarted server would grant the same id again.
+    // The grant must be durable, or a restarted server would grant the same id again.
     stage(List.of(new Mutation.GrantLease(++lastLeaseId, new TimeSpan(ttlMs))), false);
     replyOnceDurable(new Reply(200, MessageBody.of().with(Wire.LEASE, lastLeaseId)), replyTo);
   }
 
-  /** Renews a lease. This is not persisted: a restarted server renews all leases. */
+  /** Renews a lease. Renewals are not persisted, as a restarted server renews all leases. */
   public void renewLease(long leaseId, MonotonicTime now, Consumer<Reply> replyTo) {
     if (pendingTtl(leaseId) == null) {
-      // Gone, or its revocation is being persisted, which may yet fail.
+      // The lease does not exist, or its revocation is pending and may still fail.
       replyOnceDurable(Reply.of(404), replyTo);
     } else if (store.renew(leaseId, now)) {
       replyTo.accept(new Reply(200, MessageBody.of().with(Wire.LEASE, leaseId)));
     } else {
-      // Its grant is not durable yet, so no client knows its id.
+      // The grant is not durable yet, so no client knows the id.
       replyTo.accept(Reply.of(404));
     }
   }
@@ -229,7 +233,7 @@
     }
   }
 
-  /** Revokes the leases that have expired, and deletes the keys attached to them. */
+  /** Revokes the expired leases and deletes the keys attached to them. */
   public void expireLeases(MonotonicTime now) {
     for (long leaseId : store.expiredLeases(now)) {
       if (pendingTtl(leaseId) != null) {
@@ -240,8 +244,8 @@
 
   private void revoke(long leaseId) {
     TreeSet<String> keys = new TreeSet<>(store.attachedKeys(leaseId));
-    if (writing != null) {
-      keys.addAll(writing.values.keySet());
+    if (persisting != null) {
+      keys.addAll(persisting.values.keySet());
     }
     keys.addAll(accumulating.values.keySet());
     List<Mutation> mutations = new ArrayList<>();
@@ -273,66 +277,71 @@
     }
   }
 
-  /** Replies once all staged changes, which the reply may depend on, are durable. */
+  /** Sends a reply once all changes staged so far are durable, as it may depend on them. */
   private void replyOnceDurable(Reply reply, Consumer<Reply> replyTo) {
-    CommitGroup dependsOn = accumulating.batches.isEmpty() ? writing : accumulating;
+    CommitGroup dependsOn = accumulating.batches.isEmpty() ? persisting : accumulating;
     if (dependsOn == null) {
       replyTo.accept(reply);
     } else {
       dependsOn.replies.add(() -> replyTo.accept(reply));
-      dependsOn.waiting.add(replyTo);
+      dependsOn.pendingReceivers.add(replyTo);
     }
   }
 
   // ---- Group commit
 
-  /** Returns the next group to persist, in order; empty: none, or one is being persisted. */
+  /**
+   * Returns the batches of the next group to persist, in order. The list is empty if there are none
+   * or a group is already being persisted.
+   */
   public List<WriteBatch> nextGroup() {
-    if (writing != null || accumulating.batches.isEmpty()) {
+    if (persisting != null || accumulating.batches.isEmpty()) {
       return List.of();
     }
-    writing = accumulating;
+    persisting = accumulating;
     accumulating = new CommitGroup();
-    return writing.batches;
+    return persisting.batches;
   }
 
-  /** Returns how many replies wait for a group to become durable. */
-  int waitingReplies() {
-    return accumulating.waiting.size() + (writing == null ? 0 : writing.waiting.size());
+  /** Returns the number of replies that wait for a group to become durable. */
+  int pendingReplyCount() {
+    return accumulating.pendingReceivers.size()
+        + (persisting == null ? 0 : persisting.pendingReceivers.size());
   }
 
-  /** Returns whether no group is being persisted or accumulated. */
+  /** Returns whether no changes are pending. */
   public boolean isIdle() {
-    return writing == null && accumulating.batches.isEmpty();
+    return persisting == null && accumulating.batches.isEmpty();
   }
 
-  /** Applies the group that was being persisted, which is durable now, and sends its replies. */
+  /** Applies the persisted group to the store and sends its replies. */
   public void onDurable(MonotonicTime now) {
-    CommitGroup done = writing;
-    writing = null;
+    CommitGroup done = persisting;
+    persisting = null;
     done.batches.forEach(batch -> store.apply(batch, now));
     done.replies.forEach(Runnable::run);
   }
 
   /**
-   * Gives up without knowing whether the group that is being persisted becomes durable: its
-   * requests get {@link Reply#NONE}, those of the accumulating group fail.
+   * Abandons the group that is being persisted when its outcome is unknown. Its requests get {@link
+   * Reply#NONE}, and those of the accumulating group fail.
    */
   void abandon() {
-    List<Consumer<Reply>> unanswered = writing == null ? List.of() : List.copyOf(writing.waiting);
-    writing = null;
+    List<Consumer<Reply>> outcomeUnknown =
+        persisting == null ? List.of() : List.copyOf(persisting.pendingReceivers);
+    persisting = null;
     onWriteFailed();
-    unanswered.forEach(replyTo -> replyTo.accept(Reply.NONE));
+    outcomeUnknown.forEach(replyTo -> replyTo.accept(Reply.NONE));
   }
 
-  /** Fails the group that could not be persisted, and everything evaluated after it. */
+  /** Fails the group that could not be persisted and all requests evaluated after it. */
   public void onWriteFailed() {
     List<Consumer<Reply>> rejected = new ArrayList<>();
-    if (writing != null) {
-      rejected.addAll(writing.waiting);
+    if (persisting != null) {
+      rejected.addAll(persisting.pendingReceivers);
     }
-    rejected.addAll(accumulating.waiting);
-    writing = null;
+    rejected.addAll(accumulating.pendingReceivers);
+    persisting = null;
     accumulating = new CommitGroup();
     reset();
     rejected.forEach(replyTo -> replyTo.accept(Reply.of(503)));
--- a/src/main/java/io/saltflow/kv/KeyValueCore.java
+++ b/src/main/java/io/saltflow/kv/KeyValueCore.java
@@ -8,14 +8,14 @@
 import java.util.function.Consumer;
 
 /**
- * The key-value store of PROTOCOL's state section as a deterministic core: contents, evaluation of
- * requests, rate limits and outages. The caller passes in requests and the time, persists what
- * {@link #nextGroup} returns, and reports the outcome with {@link #onDurable} or {@link
- * #onWriteFailed}. Not safe for use by several threads.
+ * The key-value store of PROTOCOL's state section as a deterministic state machine that evaluates
+ * requests and enforces rate limits and outages. The caller passes in requests and the time,
+ * persists the batches of {@link #nextGroup}, and reports the outcome with {@link #onDurable} or
+ * {@link #onWriteFailed}. Not thread-safe.
  */
 public final class KeyValueCore {
-  /** The most replies that wait for durability; further requests are rejected. */
-  private static final int MAX_WAITING_REPLIES = 4096;
+  /** Maximum number of replies waiting for durability, above which requests are rejected. */
+  private static final int MAX_PENDING_REPLIES = 4096;
 
   private final KeyValueStore store = new KeyValueStore();
   private final CommitPipeline pipeline;
@@ -31,7 +31,7 @@
     writes = new RateLimiter(limits.writesPerSecond(), limits.writesPerSecond(), now);
   }
 
-  /** Sets the limits of all later requests. */
+  /** Sets the limits for all later requests. */
   public void setLimits(KeyValueLimits limits, MonotonicTime now) {
     pipeline.setLimits(limits);
     requests = new RateLimiter(limits.requestsPerSecond(), limits.requestsPerSecond(), now);
@@ -43,13 +43,13 @@
     return store;
   }
 
-  /** Continues from the store's contents, which were just recovered, and renews all leases. */
+  /** Continues from the store's contents after they were recovered, and renews all leases. */
   public void onRestored(MonotonicTime now) {
     store.renewAllLeases(now);
     pipeline.onRestored();
   }
 
-  /** Begins or ends an outage, in which no request is served; its end renews all leases. */
+  /** Begins or ends an outage, during which no request is served. Its end renews all leases. */
   public void setDown(boolean isDown, MonotonicTime now) {
     if (down && !isDown) {
       store.renewAllLeases(now);
@@ -58,8 +58,8 @@
   }
 
   /**
-   * Begins or ends a write stall: the disk fails or is too slow. Changes are rejected at once,
-   * reads continue and no lease expires; the end renews all leases.
+   * Begins or ends a write stall, caused by a failed or slow disk. During a stall writes are
+   * rejected immediately, reads are served and no lease expires. Its end renews all leases.
    */
   public void setWritesStalled(boolean isStalled, MonotonicTime now) {
     if (writesStalled && !isStalled) {
@@ -79,10 +79,10 @@
   }
 
   /**
-   * Checks a request against an outage and the rate limits.
+   * Checks whether a request is rejected because of an outage or the rate limits.
    *
-   * @param writeCount how many writes it has
-   * @return null when it may proceed, else its reply
+   * @param writeCount the number of writes in the request
+   * @return the rejecting reply, or {@code null} if the request may proceed
    */
   public Reply rejection(int writeCount, MonotonicTime now) {
     if (down) {
@@ -95,7 +95,7 @@
   }
 
   private boolean rejects(boolean isWrite) {
-    return (isWrite && writesStalled) || pipeline.waitingReplies() >= MAX_WAITING_REPLIES;
+    return (isWrite && writesStalled) || pipeline.pendingReplyCount() >= MAX_PENDING_REPLIES;
   }
 
   /** Executes a transaction; see {@link CommitPipeline#commit}. */
@@ -139,27 +139,30 @@
     }
   }
 
-  /** Returns the next group to persist; empty: none, or one is being persisted. */
+  /**
+   * Returns the batches of the next group to persist. The list is empty if there are none or a
+   * group is already being persisted.
+   */
   public List<WriteBatch> nextGroup() {
     return pipeline.nextGroup();
   }
 
-  /** Returns whether nothing waits to be persisted. */
+  /** Returns whether no changes are pending. */
   public boolean isIdle() {
     return pipeline.isIdle();
   }
 
-  /** Reports that the group being persisted is durable. */
+  /** Must be called when the group being persisted is durable. */
   public void onDurable(MonotonicTime now) {
     pipeline.onDurable(now);
   }
 
-  /** Gives up the group being persisted; whether it becomes durable is unknown. */
+  /** Abandons the group being persisted when its outcome is unknown. */
   public void abandon() {
     pipeline.abandon();
   }
 
-  /** Reports that the group being persisted could not be written. */
+  /** Must be called when the group being persisted could not be written. */
   public void onWriteFailed() {
     pipeline.onWriteFailed();
   }
--- a/src/main/java/io/saltflow/kv/KeyValueLimits.java
+++ b/src/main/java/io/saltflow/kv/KeyValueLimits.java
@@ -1,10 +1,10 @@
 package io.saltflow.kv;
 
 /**
- * The limits of PROTOCOL's settings.
+ * The limits of the key-value store, as set by PROTOCOL's settings.
  *
- * @param maxValueKib the largest value in KiB of JSON
- * @param maxTransactionWrites the most writes of a transaction
+ * @param maxValueKib the maximum size of a value as JSON, in KiB
+ * @param maxTransactionWrites the maximum number of writes in a transaction
  */
 public record KeyValueLimits(
     double requestsPerSecond,
--- a/src/main/java/io/saltflow/kv/KeyValueStore.java
+++ b/src/main/java/io/saltflow/kv/KeyValueStore.java
@@ -17,8 +17,9 @@
 import java.util.TreeSet;
 
 /**
- * The durable contents of the key-value store: keys with their versions, leases, and a bounded
- * history of changes for watches. {@link CommitPipeline} decides what is applied.
+ * The durable contents of the key-value store, consisting of versioned keys, leases, and a bounded
+ * change history for watches. {@link CommitPipeline} evaluates requests and applies the resulting
+ * batches.
  */
 public final class KeyValueStore {
   private static final int MAX_CHANGE_HISTORY = 10_000;
@@ -27,14 +28,14 @@
   private static final int MAX_KEY_BYTES = 200;
 
   /**
-   * A key's value.
+   * The value of a key.
    *
-   * @param modRevision the revision of its last change: the key's version
-   * @param leaseId the lease that it is attached to; 0: none
+   * @param modRevision the revision of the key's last change, which is its version
+   * @param leaseId the lease that the key is attached to, or 0 if there is none
    */
   public record Value(MessageBody data, long modRevision, long leaseId) {}
 
-  /** A change for watches; data null: the key was deleted. */
+  /** A change reported to watches. Its data is {@code null} if the key was deleted. */
   private record Change(String key, MessageBody data, long revision) {}
 
   private static final class Lease {
@@ -54,14 +55,14 @@
   private long revision = 1;
   private long lastLeaseId;
   private long compactedRevision;
-  private SnapshotIterator copy;
+  private SnapshotIterator activeSnapshot;
 
-  /** Returns the revision of the last change. */
+  /** Returns the store's revision, which is that of the last change. */
   public long revision() {
     return revision;
   }
 
-  /** Returns the value of a key, or null. */
+  /** Returns the value of a key, or {@code null} if it does not exist. */
   public Value value(String key) {
     return values.get(key);
   }
@@ -75,7 +76,7 @@
     return lastLeaseId;
   }
 
-  /** Returns a lease's time to live, or null when it does not exist. */
+  /** Returns a lease's time to live, or {@code null} if the lease does not exist. */
   TimeSpan leaseTtl(long leaseId) {
     Lease lease = leases.get(leaseId);
     return lease == null ? null : lease.ttl;
@@ -87,7 +88,7 @@
     return lease == null ? Set.of() : lease.keys;
   }
 
-  /** Renews a lease; returns false when it does not exist. */
+  /** Renews a lease and returns whether it exists. */
   boolean renew(long leaseId, MonotonicTime now) {
     Lease lease = leases.get(leaseId);
     if (lease != null) {
@@ -96,12 +97,12 @@
     return lease != null;
   }
 
-  /** Renews all leases, as after an outage or a restart. */
+  /** Renews all leases, for example after an outage or a restart. */
   public void renewAllLeases(MonotonicTime now) {
     leases.values().forEach(lease -> lease.expiresAt = now.plus(lease.ttl));
   }
 
-  /** Returns the ids of the leases that have expired. */
+  /** Returns the ids of the expired leases. */
   List<Long> expiredLeases(MonotonicTime now) {
     List<Long> expired = new ArrayList<>();
     leases.forEach(
@@ -113,7 +114,7 @@
     return expired;
   }
 
-  /** Applies a write batch that is durable. */
+  /** Applies a durable write batch. */
   public void apply(WriteBatch batch, MonotonicTime now) {
     revision = batch.revision();
     for (Mutation mutation : batch.mutations()) {
@@ -135,8 +136,8 @@
 
   private void set(String key, Value value) {
     Value before = value == null ? values.remove(key) : values.put(key, value);
-    if (copy != null) {
-      copy.preserve(key, before);
+    if (activeSnapshot != null) {
+      activeSnapshot.preserve(key, before);
     }
     if (before != null && leases.containsKey(before.leaseId)) {
       leases.get(before.leaseId).keys.remove(key);
@@ -151,7 +152,7 @@
 
   // ---- Reads
 
-  /** Returns the reply with one key: 404 when it does not exist. */
+  /** Returns the reply to a read of one key, which has status 404 if the key does not exist. */
   public Reply get(String key) {
     if (!isValidKey(key)) {
       return Reply.malformed(Wire.KEY);
@@ -176,7 +177,7 @@
     return value.leaseId == 0 ? item : item.with(Wire.LEASE, value.leaseId);
   }
 
-  /** Returns the reply with a page of the keys with a prefix that come after the given one. */
+  /** Returns the reply with a page of the keys that have a prefix and sort after a given key. */
   public Reply list(String prefix, String after, int pageSize) {
     List<Object> items = new ArrayList<>();
     int bytes = 0;
@@ -204,10 +205,10 @@
   }
 
   /**
-   * Returns the reply with the changes of a prefix after a revision: 410 when the history no longer
-   * holds all of them.
+   * Returns the reply with the changes to keys with a prefix after a revision. It has status 410 if
+   * the history no longer holds all of them.
    *
-   * @param evenIfNone whether to reply without changes; else null is returned for none
+   * @param evenIfNone whether to return a reply if there are no changes, instead of {@code null}
    */
   public Reply changesSince(String prefix, long after, boolean evenIfNone) {
     if (after < compactedRevision) {
@@ -241,15 +242,15 @@
   // ---- Snapshots
 
   /**
-   * Begins a snapshot: an iterator over the contents as they are now. Values that change before the
-   * iterator reaches them are preserved for it. One snapshot at a time.
+   * Begins a snapshot by returning an iterator over the current contents. Values that change before
+   * the iterator reaches them are preserved for it. Only one snapshot can be active at a time.
    */
   public SnapshotIterator copy() {
-    copy = new SnapshotIterator();
-    return copy;
+    activeSnapshot = new SnapshotIterator();
+    return activeSnapshot;
   }
 
-  /** Iterates over a snapshot of the store, in parts, while the store changes. */
+  /** Iterates over a snapshot of the store in parts while the store may change. */
   public final class SnapshotIterator {
     private final TreeMap<String, Value> preserved = new TreeMap<>();
     private final List<WriteBatch> leaseBatches = new ArrayList<>();
@@ -264,8 +265,8 @@
         leaseMutations.add(new Mutation.GrantLease(lastLeaseId, new TimeSpan(1)));
         leaseMutations.add(new Mutation.RevokeLease(lastLeaseId));
       }
-      // Also without leases: the last change may be a delete, so that no remaining key has the
-      // store's revision.
+      // Added even without leases, since no remaining key has the store's revision if the last
+      // change was a delete.
       leaseBatches.add(new WriteBatch(snapshotRevision, leaseMutations));
     }
 
@@ -276,8 +277,8 @@
     }
 
     /**
-     * Returns the next part, of up to {@code maxKeys} keys; the first part holds the revision and
-     * the leases. An empty part ends the snapshot.
+     * Returns the next part. The first part holds the revision and the leases, and later parts hold
+     * up to {@code maxKeys} keys each. An empty part ends the snapshot.
      */
     public List<WriteBatch> next(int maxKeys) {
       if (!leaseBatches.isEmpty()) {
@@ -285,19 +286,19 @@
         leaseBatches.clear();
         return batches;
       }
-      List<WriteBatch> out = new ArrayList<>();
+      List<WriteBatch> part = new ArrayList<>();
       Iterator<String> currentKeys = values.tailMap(lastKey, false).keySet().iterator();
       Iterator<String> preservedKeys = preserved.tailMap(lastKey, false).keySet().iterator();
       String currentKey = nextOrNull(currentKeys);
       String preservedKey = nextOrNull(preservedKeys);
-      while (out.size() < maxKeys && (currentKey != null || preservedKey != null)) {
+      while (part.size() < maxKeys && (currentKey != null || preservedKey != null)) {
         String key =
             preservedKey == null || (currentKey != null && currentKey.compareTo(preservedKey) <= 0)
                 ? currentKey
                 : preservedKey;
         Value value = preserved.containsKey(key) ? preserved.get(key) : values.get(key);
         if (value != null) {
-          out.add(
+          part.add(
               new WriteBatch(
                   value.modRevision, List.of(new Mutation.Put(key, value.data, value.leaseId))));
         }
@@ -306,16 +307,16 @@
         lastKey = key;
       }
       preserved.headMap(lastKey, true).clear();
-      if (out.isEmpty()) {
+      if (part.isEmpty()) {
         close();
       }
-      return out;
+      return part;
     }
 
-    /** Ends the snapshot early: values are no longer preserved for it. */
+    /** Ends the snapshot early, so that values are no longer preserved for it. */
     public void close() {
-      if (copy == this) {
-        copy = null;
+      if (activeSnapshot == this) {
+        activeSnapshot = null;
       }
     }
 
@@ -323,13 +324,13 @@
       return iterator.hasNext() ? iterator.next() : null;
     }
 
-    /** Returns the snapshot's revision. */
+    /** Returns the store's revision at the start of the snapshot. */
     public long revision() {
       return snapshotRevision;
     }
   }
 
-  /** Sets the revision after a snapshot was restored; there is no history before it. */
+  /** Sets the revision after a snapshot was restored, and discards the change history before it. */
   public void onRestored(long atRevision) {
     revision = atRevision;
     changeHistory.clear();
--- a/src/main/java/io/saltflow/kv/Mutation.java
+++ b/src/main/java/io/saltflow/kv/Mutation.java
@@ -3,9 +3,9 @@
 import io.saltflow.model.TimeSpan;
 import io.saltflow.protocol.MessageBody;
 
-/** A single change of the store; all guards of its transaction have been checked. */
+/** A single change to the store, whose transaction's guards have already been checked. */
 public sealed interface Mutation {
-  /** Sets a key's value; lease id 0: it is attached to none. */
+  /** Sets a key's value. A lease id of 0 attaches it to no lease. */
   record Put(String key, MessageBody data, long leaseId) implements Mutation {}
 
   /** Deletes a key. */
@@ -14,6 +14,6 @@
   /** Grants a lease. */
   record GrantLease(long leaseId, TimeSpan ttl) implements Mutation {}
 
-  /** Ends a lease; the keys attached to it have mutations of their own. */
+  /** Revokes a lease. Separate mutations delete the keys attached to it. */
   record RevokeLease(long leaseId) implements Mutation {}
 }
--- a/src/main/java/io/saltflow/kv/Reply.java
+++ b/src/main/java/io/saltflow/kv/Reply.java
@@ -6,11 +6,11 @@
 /**
  * The reply to a request.
  *
- * @param status an HTTP status; 0: no reply
- * @param body the body, or null
+ * @param status the HTTP status, or 0 for {@link #NONE}
+ * @param body the body, or {@code null}
  */
 public record Reply(int status, MessageBody body) {
-  /** No reply: the request may have been executed, or may yet be. */
+  /** The absence of a reply, as the request may have been executed or may still be. */
   public static final Reply NONE = new Reply(0, null);
 
   /** Returns a reply without a body. */
@@ -18,7 +18,7 @@
     return new Reply(status, null);
   }
 
-  /** Returns status 400 with the reason. */
+  /** Returns a reply with status 400 and the reason. */
   public static Reply malformed(String reason) {
     return new Reply(400, MessageBody.of().with(Wire.ERROR, reason));
   }
--- a/src/main/java/io/saltflow/kv/WriteBatch.java
+++ b/src/main/java/io/saltflow/kv/WriteBatch.java
@@ -9,9 +9,9 @@
 import java.util.List;
 
 /**
- * The mutations of one request, which are applied atomically.
+ * The mutations of one request, applied atomically.
  *
- * @param revision the store's revision after it
+ * @param revision the store's revision after the batch
  */
 public record WriteBatch(long revision, List<Mutation> mutations) {
   private static final String MUTATIONS_KEY = "do";
@@ -43,7 +43,7 @@
   /**
    * Decodes a batch that {@link #encode} wrote.
    *
-   * @throws InvalidMessageException when it is malformed
+   * @throws InvalidMessageException if it is malformed
    */
   public static WriteBatch decode(byte[] bytes) throws InvalidMessageException {
     MessageBody body = MessagePackCodec.decode(bytes);
--- a/src/main/java/io/saltflow/raft/DurableLog.java
+++ b/src/main/java/io/saltflow/raft/DurableLog.java
@@ -6,9 +6,8 @@
 import java.util.List;
 
 /**
- * A node's persistent state, built up from one {@link Ready.Save} after another, and the encoding
- * of its records on disk ({@code kept.avsc}). It mirrors what is durable; {@code
- * kvserver.RaftStorage} writes it.
+ * The durable state of a node, accumulated from successive {@link Ready.Save}s, and the encoding of
+ * its records on disk ({@code kept.avsc}). {@code kvserver.RaftStorage} writes the records.
  */
 public final class DurableLog {
   private long term;
@@ -20,7 +19,7 @@
     log = new RaftLog(Snapshot.empty(members), List.of());
   }
 
-  /** Creates a copy of a state. */
+  /** Creates a log that starts from a copy of this state. */
   public DurableLog(DurableState state) {
     term = state.term();
     votedFor = state.votedFor();
@@ -32,7 +31,7 @@
     return new DurableState(term, votedFor, log.snapshot(), log.entries());
   }
 
-  /** Returns the last included index of the snapshot. */
+  /** Returns the index of the last entry that the snapshot includes. */
   public long snapshotIndex() {
     return log.snapshot().index();
   }
@@ -40,7 +39,7 @@
   /**
    * Applies a record that was read from disk.
    *
-   * @throws InvalidMessageException when it is malformed or does not continue the log
+   * @throws InvalidMessageException if it is malformed or does not continue the log
    */
   public void apply(byte[] record) throws InvalidMessageException {
     AvroInput in = new AvroInput(record);
@@ -52,12 +51,12 @@
         || newTerm < term
         || firstIndex < log.firstIndex()
         || firstIndex > log.lastIndex() + 1) {
-      throw new InvalidMessageException("a record that does not follow upon what is kept");
+      throw new InvalidMessageException("record does not continue the durable log");
     }
     replaceFrom(newTerm, newVote.isEmpty() ? null : newVote, firstIndex, newEntries);
   }
 
-  /** Applies a save that is durable now, except for its snapshot. */
+  /** Applies a save that has become durable, except for its snapshot. */
   public void apply(Ready.Save save) {
     replaceFrom(save.term(), save.votedFor(), save.firstIndex(), save.entries());
   }
@@ -70,17 +69,20 @@
     newEntries.forEach(log::append);
   }
 
-  /** Replaces a prefix by a newer snapshot; later entries stay if they match the snapshot. */
+  /**
+   * Replaces a prefix of the log by a newer snapshot. Later entries are kept if the log agrees with
+   * the snapshot at its last index.
+   */
   public void apply(Snapshot next) {
     log.compact(next);
   }
 
-  /** Encodes the hard state and the log after the snapshot, which follow the snapshot on disk. */
+  /** Returns the encoded term, vote and entries after the snapshot, stored behind the snapshot. */
   public byte[] encodeTail() {
     return encode(new Ready.Save(term, votedFor, log.snapshot(), log.firstIndex(), log.entries()));
   }
 
-  /** Encodes a save, except for its snapshot. */
+  /** Returns the encoded record of a save, without its snapshot. */
   public static byte[] encode(Ready.Save save) {
     return AvroOutput.encode(
         out -> {
@@ -91,7 +93,7 @@
         });
   }
 
-  /** Encodes everything of a snapshot but its data, which follows on disk. */
+  /** Returns the encoded snapshot without its data, which follows the header on disk. */
   public static byte[] encodeSnapshotHeader(Snapshot snapshot) {
     return AvroOutput.encode(
         out -> {
@@ -103,9 +105,10 @@
   }
 
   /**
-   * Decodes a snapshot's header; the snapshot's data has its length and is still to be filled in.
+   * Decodes a snapshot's header. The returned snapshot's data has the final length, but the caller
+   * must still fill it.
    *
-   * @throws InvalidMessageException when it is malformed
+   * @throws InvalidMessageException if it is malformed
    */
   public static Snapshot decodeSnapshotHeader(byte[] header) throws InvalidMessageException {
     AvroInput in = new AvroInput(header);
@@ -114,7 +117,7 @@
     List<String> members = LogEntryCodec.readStrings(in);
     int length = in.readInt();
     if (length < 0 || !in.atEnd()) {
-      throw new InvalidMessageException("a snapshot that does not begin as it should");
+      throw new InvalidMessageException("snapshot header is malformed");
     }
     return new Snapshot(index, snapshotTerm, members, new byte[length]);
   }
--- a/src/main/java/io/saltflow/raft/Election.java
+++ b/src/main/java/io/saltflow/raft/Election.java
@@ -7,17 +7,17 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * Leader election (section 5.2 of the paper) with pre-vote (section 9.6 of the dissertation): the
- * election timeout, vote requests and the count of votes.
+ * Leader election (section 5.2 of the paper) with pre-vote (section 9.6 of the dissertation).
+ * Manages the election timeout, requests and grants votes, and counts the votes received.
  */
 final class Election {
-  /** Why votes are requested. */
+  /** The reason for requesting votes. */
   enum Campaign {
     /** Asks whether an election would be won, without raising the term. */
     PRE_VOTE,
-    /** An election after a pre-vote was won. */
+    /** Starts an election after winning the pre-vote. */
     ELECTION,
-    /** An election that the leader asked for: voters need not wait for its lease to expire. */
+    /** Starts an election at the leader's request; voters ignore the leader's lease. */
     LEADERSHIP_TRANSFER
   }
 
@@ -33,9 +33,8 @@
   Election(NodeState state, LongUnaryOperator random, MonotonicTime now) {
     this.state = state;
     this.random = random;
-    // Before a crash it may have acknowledged a heartbeat that a lease rests on, so it grants no
-    // vote
-    // for a whole election timeout.
+    // A heartbeat acknowledged before a crash may support the leader's lease, so a restarted node
+    // grants no vote for a whole election timeout.
     boolean leaseForgotten = state.seededBugs.contains(SeededBug.VOTE_NOT_PERSISTED);
     lastLeaderContact = leaseForgotten ? MonotonicTime.LONG_AGO : now;
     resetElectionTimeout(now);
@@ -55,9 +54,9 @@
   }
 
   /**
-   * Becomes a follower, perhaps of a newer term.
+   * Becomes a follower, entering the term if it is newer.
    *
-   * @param newLeader the leader, or null when it is not known
+   * @param newLeader the leader, or {@code null} if unknown
    */
   void becomeFollower(long newTerm, String newLeader, MonotonicTime now) {
     if (newTerm > state.term) {
@@ -68,7 +67,7 @@
     resetElectionTimeout(now);
   }
 
-  /** Records contact with the leader of a term that is not older than this node's. */
+  /** Records contact with a leader whose term is at least this node's. */
   void onLeaderContact(String leader, long leaderTerm, MonotonicTime now) {
     boolean isFollower = state.role == RaftNode.Role.FOLLOWER;
     if (leaderTerm > state.term || !isFollower || !leader.equals(state.leader)) {
@@ -81,7 +80,7 @@
   /**
    * Requests votes from all other members.
    *
-   * @return whether this node, as the only member, is elected already
+   * @return whether this node is elected immediately, being the only member
    */
   boolean start(Campaign campaign) {
     boolean preVote = campaign == Campaign.PRE_VOTE;
@@ -105,7 +104,7 @@
     return hasWonElection();
   }
 
-  /** Returns whether a quorum granted its vote; a pre-vote that is won starts the election. */
+  /** Returns whether this node has won the election. Starts the election after a won pre-vote. */
   private boolean hasWonElection() {
     long counted = votes.stream().filter(state.members()::contains).count();
     if (counted < state.quorumSize()) {
@@ -117,9 +116,9 @@
     return state.role == RaftNode.Role.CANDIDATE;
   }
 
-  /** Grants or denies a vote; a pre-vote is answered without any change of state. */
+  /** Grants or denies a vote. A pre-vote request does not change this node's state. */
   void onRequestVote(RaftMessage.RequestVote request, MonotonicTime now) {
-    // A leader's lease relies on voters that hear from it not electing another.
+    // The leader's lease relies on members in contact with it not voting for another candidate.
     boolean hasLeader =
         !request.leadershipTransfer() && (state.isLeader() || hasRecentLeaderContact(now));
     if (request.preVote()) {
@@ -151,7 +150,8 @@
   }
 
   /**
-   * Returns whether the candidate's log is at least as up-to-date as this one's (section 5.4.1).
+   * Returns whether the candidate's log is at least as up-to-date as this node's (section 5.4.1 of
+   * the paper).
    */
   private boolean isUpToDate(RaftMessage.RequestVote request) {
     long lastTerm = state.log.lastTerm();
@@ -163,7 +163,7 @@
   /**
    * Counts a vote.
    *
-   * @return whether this node becomes the leader with it
+   * @return whether this vote makes the node the leader
    */
   boolean onRequestVoteResponse(RaftMessage.RequestVoteResponse response, MonotonicTime now) {
     boolean awaitsPreVote =
--- a/src/main/java/io/saltflow/raft/Follower.java
+++ b/src/main/java/io/saltflow/raft/Follower.java
@@ -5,14 +5,16 @@
 import java.util.List;
 
 /**
- * The follower's side of replication: appends the leader's entries (section 5.3 of the paper) and
- * installs its snapshots (section 7).
+ * The follower's side of replication, which appends the leader's entries (section 5.3 of the paper)
+ * and installs its snapshots (section 7).
  */
 final class Follower {
   private final NodeState state;
   private final Election election;
 
-  /** The chunks received so far of the snapshot up to {@link #receivedSnapshotIndex}. */
+  /**
+   * The data received so far of the snapshot whose last index is {@link #receivedSnapshotIndex}.
+   */
   private byte[] receivedSnapshot = new byte[0];
 
   private long receivedSnapshotIndex;
@@ -22,7 +24,7 @@
     this.election = election;
   }
 
-  /** Appends entries, or rejects them when the logs differ before them. */
+  /** Appends entries, or rejects them if the logs differ at the preceding entry. */
   void onAppendEntries(RaftMessage.AppendEntries request, MonotonicTime now) {
     if (request.term() < state.term) {
       reject(request, state.log.lastIndex());
@@ -32,7 +34,7 @@
     long snapshotIndex = state.log.snapshot().index();
     long lastNewIndex = request.prevLogIndex() + request.entries().size();
     if (request.prevLogIndex() < snapshotIndex) {
-      // Entries within the snapshot are committed, so the leader has the same ones.
+      // Entries covered by the snapshot are committed, so they match the leader's.
       appendMissing(request.entries().stream().filter(e -> e.index() > snapshotIndex).toList());
       accept(request, Math.max(lastNewIndex, snapshotIndex));
     } else if (state.log.termAt(request.prevLogIndex()) != request.prevLogTerm()) {
@@ -44,8 +46,8 @@
   }
 
   /**
-   * Returns the index at which the leader should try next: before all entries of the conflicting
-   * term, which saves a round trip per entry (end of section 5.3).
+   * Returns the index that the leader should try next. It precedes all entries of the conflicting
+   * term, which saves a round trip per entry (end of section 5.3 of the paper).
    */
   private long conflictHint(RaftMessage.AppendEntries request) {
     RaftLog log = state.log;
@@ -77,7 +79,7 @@
   private void appendMissing(List<LogEntry> entries) {
     for (LogEntry entry : entries) {
       if (entry.index() <= state.log.lastIndex()) {
-        if (isSame(entry)) {
+        if (matchesLog(entry)) {
           continue;
         }
         truncateConflict(entry.index());
@@ -86,20 +88,20 @@
     }
   }
 
-  private boolean isSame(LogEntry entry) {
+  private boolean matchesLog(LogEntry entry) {
     return state.log.termAt(entry.index()) == entry.term()
         || state.seededBugs.contains(SeededBug.CONFLICT_NOT_TRUNCATED);
   }
 
   private void truncateConflict(long index) {
     if (index <= state.commitIndex) {
-      throw new SafetyViolationException("a committed entry would be replaced: " + index);
+      throw new SafetyViolationException("committed entry would be replaced at index " + index);
     }
     state.log.truncateFrom(index);
     state.unstable.markTruncatedFrom(index);
   }
 
-  /** Receives a chunk of a snapshot, and installs the snapshot with the last one. */
+  /** Receives a snapshot chunk. The last chunk installs the snapshot. */
   void onInstallSnapshot(RaftMessage.InstallSnapshot request, MonotonicTime now) {
     if (request.term() < state.term) {
       acknowledgeChunk(request, 0);
@@ -130,7 +132,7 @@
         return;
       }
     }
-    // The leader continues here, also after an interrupted transfer.
+    // Tells the leader where to continue, including after an interrupted transfer.
     acknowledgeChunk(request, receivedSnapshot.length);
   }
 
--- a/src/main/java/io/saltflow/raft/GroupKey.java
+++ b/src/main/java/io/saltflow/raft/GroupKey.java
@@ -6,11 +6,11 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * The secret shared by the members of a group, which authenticates frames (HMAC-SHA256). It does
- * not encrypt them. Not safe for use by several threads.
+ * The secret shared by the members of a group. It authenticates frames with HMAC-SHA256 and does
+ * not encrypt them. Not thread-safe.
  */
 public final class GroupKey {
-  /** The shortest secret that is accepted, in bytes. */
+  /** Minimum length of the secret, in bytes. */
   public static final int MIN_BYTES = 16;
 
   static final int MAC_BYTES = 32;
@@ -20,9 +20,9 @@
   private final Mac mac;
 
   /**
-   * Creates a key from a secret, which is used as it is.
+   * Creates a key from the raw bytes of a secret.
    *
-   * @throws InvalidGroupKeyException when it has fewer than {@link #MIN_BYTES} bytes
+   * @throws InvalidGroupKeyException if it has fewer than {@link #MIN_BYTES} bytes
    */
   public GroupKey(byte[] secret) {
     if (secret.length < MIN_BYTES) {
@@ -32,17 +32,17 @@
       mac = Mac.getInstance(ALGORITHM);
       mac.init(new SecretKeySpec(secret, ALGORITHM));
     } catch (GeneralSecurityException exception) {
-      throw new IllegalStateException("the Java platform lacks " + ALGORITHM, exception);
+      throw new IllegalStateException("the Java platform does not provide " + ALGORITHM, exception);
     }
   }
 
-  /** Returns the HMAC (RFC 2104) of the bytes from an offset on. */
+  /** Returns the HMAC (RFC 2104) of the bytes starting at the offset. */
   byte[] sign(byte[] bytes, int offset) {
     mac.update(bytes, offset, bytes.length - offset);
     return mac.doFinal();
   }
 
-  /** Verifies a signature in constant time. */
+  /** Returns whether the signature is valid, comparing in constant time. */
   boolean verify(byte[] bytes, int offset, byte[] signature) {
     return MessageDigest.isEqual(sign(bytes, offset), signature);
   }
--- a/src/main/java/io/saltflow/raft/InvalidGroupKeyException.java
+++ b/src/main/java/io/saltflow/raft/InvalidGroupKeyException.java
@@ -1,6 +1,6 @@
 package io.saltflow.raft;
 
-/** Signals a secret that can't be a {@link GroupKey}. */
+/** Signals that a secret is too short for a {@link GroupKey}. */
 public final class InvalidGroupKeyException extends IllegalArgumentException {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/io/saltflow/raft/LeadershipTransfer.java
+++ b/src/main/java/io/saltflow/raft/LeadershipTransfer.java
@@ -8,7 +8,7 @@
   private final Replication replication;
   private final Election election;
 
-  /** The member that becomes the leader; null: no transfer is under way. */
+  /** The member to become leader, or {@code null} if no transfer is in progress. */
   private String target;
 
   private MonotonicTime deadline = MonotonicTime.LONG_AGO;
@@ -19,12 +19,16 @@
     this.election = election;
   }
 
-  /** Returns whether a transfer is under way; no entry is proposed meanwhile. */
+  /** Returns whether a transfer is in progress, during which no entry may be proposed. */
   boolean isUnderWay() {
     return target != null;
   }
 
-  /** Begins a transfer; returns false when this node does not lead or it is not another member. */
+  /**
+   * Begins a transfer.
+   *
+   * @return false if this node is not the leader or the target is not another member
+   */
   boolean begin(String member, MonotonicTime now) {
     if (!state.isLeader() || member.equals(state.self) || !state.members().contains(member)) {
       return false;
@@ -35,25 +39,24 @@
     return true;
   }
 
-  /** Asks the target to start an election, once it has the whole log. */
+  /** Asks the target to start an election if its log matches the leader's. */
   void completeIfCaughtUp(MonotonicTime now) {
     if (target == null || replication.progressOf(target).matchIndex != state.log.lastIndex()) {
       return;
     }
     state.send(new RaftMessage.TimeoutNow(state.self, target, state.term));
-    // The target may be elected at once, so the lease must not outlive this message.
+    // The target may be elected immediately, so this node's lease must end now.
     replication.relinquishLease();
     election.becomeFollower(state.term, null, now);
   }
 
-  /** Gives up a transfer that has taken an election timeout. */
+  /** Abandons a transfer that has taken longer than an election timeout. */
   void expire(MonotonicTime now) {
     if (target != null && now.after(deadline)) {
       target = null;
     }
   }
 
-  /** Ends a transfer. */
   void cancel() {
     target = null;
   }
--- a/src/main/java/io/saltflow/raft/LogEntryCodec.java
+++ b/src/main/java/io/saltflow/raft/LogEntryCodec.java
@@ -7,13 +7,13 @@
 import java.util.List;
 import org.apache.avro.io.BinaryEncoder;
 
-/** Encodes log entries and member names in Avro's binary encoding, for frames and for the disk. */
+/** Encodes log entries and member names in Avro's binary encoding, for frames and storage. */
 final class LogEntryCodec {
   private static final int MAX_ENTRIES = 1 << 20;
   private static final int MAX_MEMBERS = 64;
-  private static final int EMPTY_KIND = 0;
-  private static final int DATA_KIND = 1;
-  private static final int MEMBERS_KIND = 2;
+  private static final int NO_OP_KIND = 0;
+  private static final int COMMAND_KIND = 1;
+  private static final int MEMBERSHIP_KIND = 2;
 
   private LogEntryCodec() {}
 
@@ -24,13 +24,13 @@
       out.startItem();
       out.writeLong(entry.term());
       if (entry.members() != null) {
-        out.writeIndex(MEMBERS_KIND);
+        out.writeIndex(MEMBERSHIP_KIND);
         writeStrings(out, entry.members());
       } else if (entry.data() != null) {
-        out.writeIndex(DATA_KIND);
+        out.writeIndex(COMMAND_KIND);
         out.writeBytes(entry.data());
       } else {
-        out.writeIndex(EMPTY_KIND);
+        out.writeIndex(NO_OP_KIND);
       }
     }
     out.writeArrayEnd();
@@ -46,7 +46,7 @@
     out.writeArrayEnd();
   }
 
-  /** Reads entries; the first has the given index. */
+  /** Reads consecutive entries, the first of which has the given index. */
   static List<LogEntry> read(AvroInput in, long firstIndex) throws InvalidMessageException {
     List<LogEntry> entries = new ArrayList<>();
     for (long blockSize = in.readArrayStart(MAX_ENTRIES);
@@ -57,10 +57,10 @@
         long term = checkRange(in.readLong());
         entries.add(
             switch (in.readUnionIndex()) {
-              case EMPTY_KIND -> LogEntry.noOp(index, term);
-              case DATA_KIND -> LogEntry.command(index, term, in.readBytes());
-              case MEMBERS_KIND -> LogEntry.members(index, term, readStrings(in));
-              default -> throw new InvalidMessageException("an entry of an unknown kind");
+              case NO_OP_KIND -> LogEntry.noOp(index, term);
+              case COMMAND_KIND -> LogEntry.command(index, term, in.readBytes());
+              case MEMBERSHIP_KIND -> LogEntry.members(index, term, readStrings(in));
+              default -> throw new InvalidMessageException("log entry has an unknown kind");
             });
       }
     }
@@ -80,13 +80,14 @@
   }
 
   /**
-   * Checks a term, index, offset or round, which is never negative and far from overflow.
+   * Returns a term, index, offset or round after checking that it is not negative and that
+   * arithmetic on it cannot overflow.
    *
-   * @throws InvalidMessageException when it is out of range
+   * @throws InvalidMessageException if it is out of range
    */
   static long checkRange(long number) throws InvalidMessageException {
     if (number < 0 || number > Long.MAX_VALUE / 4) {
-      throw new InvalidMessageException("a number out of range");
+      throw new InvalidMessageException("number is out of range");
     }
     return number;
   }
--- a/src/main/java/io/saltflow/raft/Membership.java
+++ b/src/main/java/io/saltflow/raft/Membership.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.Set;
 
-/** Membership changes of one member at a time (section 4.1 of the dissertation). */
+/** Rules for single-server membership changes (section 4.1 of the dissertation). */
 final class Membership {
   private Membership() {}
 
   /**
-   * Returns whether a leader may propose these members now. An earlier change must be committed,
-   * and so must an entry of this term (Ongaro, "bug in single-server membership changes", raft-dev,
-   * 2015).
+   * Returns whether this node may propose these members now. It must be the leader, and any earlier
+   * membership change and an entry of the current term must be committed (Ongaro, "bug in
+   * single-server membership changes", raft-dev, 2015).
    */
   static boolean mayChangeTo(NodeState state, List<String> members) {
     return state.isLeader()
--- a/src/main/java/io/saltflow/raft/NodeState.java
+++ b/src/main/java/io/saltflow/raft/NodeState.java
@@ -4,30 +4,30 @@
 import java.util.List;
 import java.util.Set;
 
-/** The state of one node (figure 2 of the paper), shared by the parts of {@link RaftNode}. */
+/** The state of one node (figure 2 of the paper), shared by the components of {@link RaftNode}. */
 final class NodeState {
   final String self;
   final RaftConfig config;
 
-  /** Defects that a test enables; none in production. */
+  /** Defects enabled by a test. Empty in production. */
   final Set<SeededBug> seededBugs;
 
   final RaftLog log;
   final UnstableLog unstable;
   long term;
 
-  /** The candidate that received this node's vote in the current term, or null. */
+  /** The candidate that this node voted for in the current term, or {@code null}. */
   String votedFor;
 
   RaftNode.Role role = RaftNode.Role.FOLLOWER;
 
-  /** The leader that this node knows of, or null. */
+  /** The known leader of the current term, or {@code null}. */
   String leader;
 
   long commitIndex;
   long lastApplied;
 
-  /** A snapshot from the leader that the state machine has not loaded yet, or null. */
+  /** A snapshot from the leader that the state machine has not loaded yet, or {@code null}. */
   Snapshot installedSnapshot;
 
   private final List<RaftMessage> outbox = new ArrayList<>();
@@ -48,12 +48,12 @@
     return role == RaftNode.Role.LEADER;
   }
 
-  /** Returns the members by the latest membership entry, committed or not. */
+  /** Returns the members set by the latest membership entry, whether or not it is committed. */
   List<String> members() {
     return log.membersAt(Long.MAX_VALUE);
   }
 
-  /** Returns all members but this node. */
+  /** Returns all members except this node. */
   List<String> peers() {
     return members().stream().filter(member -> !member.equals(self)).toList();
   }
@@ -62,12 +62,12 @@
     return members().contains(self);
   }
 
-  /** Returns how many members are a majority. */
+  /** Returns the number of members that form a majority. */
   int quorumSize() {
     return members().size() / 2 + 1;
   }
 
-  /** Enters a newer term, without a vote. */
+  /** Enters a newer term, in which this node has not voted yet. */
   void enterTerm(long newTerm) {
     term = newTerm;
     votedFor = null;
@@ -88,7 +88,7 @@
     outbox.add(message);
   }
 
-  /** Returns the messages to send since the last call. */
+  /** Returns and removes the messages queued since the last call. */
   List<RaftMessage> takeOutbox() {
     List<RaftMessage> messages = List.copyOf(outbox);
     outbox.clear();
--- a/src/main/java/io/saltflow/raft/PendingReads.java
+++ b/src/main/java/io/saltflow/raft/PendingReads.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Linearizable reads (section 6.4 of the dissertation): each waits until a quorum has acknowledged
- * a round of heartbeats that was sent after the read was requested.
+ * Linearizable reads (section 6.4 of the dissertation). Each read waits until a quorum has
+ * acknowledged a heartbeat round that was sent after the read was requested.
  */
 final class PendingReads {
   private static final int MAX_PENDING = 1024;
@@ -31,17 +31,17 @@
     pending.clear();
   }
 
-  /** Confirms a read: it may be served once everything committed now is applied. */
+  /** Confirms a read, which may be served once all currently committed entries are applied. */
   void confirm(long id) {
     confirmed.add(new Ready.ConfirmedRead(id, state.commitIndex));
   }
 
-  /** Makes a read wait for the next round of heartbeats, which the caller sends at once. */
+  /** Makes a read wait for the next heartbeat round, which the caller must send immediately. */
   void awaitNextRound(long id) {
     pending.add(new PendingRead(id, replication.round() + 1));
   }
 
-  /** Confirms the reads whose round a quorum has acknowledged. */
+  /** Confirms the reads whose heartbeat round a quorum has acknowledged. */
   void confirmAcknowledged(MonotonicTime now) {
     if (!state.isLeader()) {
       return;
@@ -58,7 +58,7 @@
     pending.removeAll(done);
   }
 
-  /** Returns the reads that were confirmed since the last call. */
+  /** Returns and removes the reads confirmed since the last call. */
   List<Ready.ConfirmedRead> takeConfirmed() {
     List<Ready.ConfirmedRead> reads = List.copyOf(confirmed);
     confirmed.clear();
--- a/src/main/java/io/saltflow/raft/Progress.java
+++ b/src/main/java/io/saltflow/raft/Progress.java
@@ -2,26 +2,26 @@
 
 import io.saltflow.model.MonotonicTime;
 
-/** The leader's view of one follower's log and of what is being sent to it (etcd's term). */
+/** The leader's record of a follower's replication progress (the term is etcd's). */
 final class Progress {
   final String member;
 
   /** The index of the next entry to send. */
   long nextIndex;
 
-  /** The highest index up to which its log is known to match, durably. */
+  /** The highest index up to which the follower's durable log is known to match. */
   long matchIndex;
 
-  /** When the latest heartbeat round that it acknowledged was sent: the start of its lease. */
+  /** Send time of the latest heartbeat round that it acknowledged, from which its lease runs. */
   MonotonicTime acknowledgedRoundSentAt = MonotonicTime.LONG_AGO;
 
-  /** How many messages with entries it has not answered yet. */
+  /** The number of unacknowledged messages with entries. */
   int inFlight;
 
-  /** How many bytes of the snapshot being sent the follower has; -1: none is being sent. */
+  /** Bytes of the current snapshot that the follower has, or -1 if no snapshot is being sent. */
   long snapshotOffset = -1;
 
-  /** The last included index of the snapshot being sent. */
+  /** The last included index of the current snapshot. */
   long snapshotIndex;
 
   Progress(String member, long nextIndex) {
--- a/src/main/java/io/saltflow/raft/RaftLog.java
+++ b/src/main/java/io/saltflow/raft/RaftLog.java
@@ -3,7 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The log in memory: a snapshot and the entries that follow it (section 7 of the paper). */
+/**
+ * The in-memory log, consisting of a snapshot and the entries after it (section 7 of the paper).
+ */
 final class RaftLog {
   private Snapshot snapshot;
   private final List<LogEntry> entries;
@@ -29,7 +31,7 @@
     return termAt(lastIndex());
   }
 
-  /** Returns an entry's term, or -1 when the log does not hold it. */
+  /** Returns the term of the entry at an index, or -1 if the log does not hold it. */
   long termAt(long index) {
     if (index == snapshot.index()) {
       return snapshot.term();
@@ -43,12 +45,13 @@
 
   void append(LogEntry entry) {
     if (entry.index() != lastIndex() + 1) {
-      throw new SafetyViolationException("entry " + entry.index() + " after " + lastIndex());
+      throw new SafetyViolationException(
+          "cannot append entry " + entry.index() + " after " + lastIndex());
     }
     entries.add(entry);
   }
 
-  /** Removes the entries from an index on. */
+  /** Removes the entries at and after an index. */
   void truncateFrom(long from) {
     entries.subList((int) (from - firstIndex()), entries.size()).clear();
   }
@@ -58,19 +61,22 @@
     return List.copyOf(entries);
   }
 
-  /** Returns up to {@code maxEntries} entries from an index on. */
+  /** Returns up to {@code maxEntries} entries, starting at an index. */
   List<LogEntry> entriesFrom(long index, int maxEntries) {
     int offset = (int) (index - firstIndex());
     return List.copyOf(entries.subList(offset, Math.min(entries.size(), offset + maxEntries)));
   }
 
-  /** Replaces a prefix by a newer snapshot; later entries stay if they match the snapshot. */
+  /**
+   * Replaces a prefix of the log by a newer snapshot. Later entries are kept if the log agrees with
+   * the snapshot at its last index.
+   */
   void compact(Snapshot next) {
     if (next.index() <= snapshot.index()) {
       return;
     }
-    boolean follows = termAt(next.index()) == next.term();
-    if (follows) {
+    boolean matchesSnapshot = termAt(next.index()) == next.term();
+    if (matchesSnapshot) {
       entries.subList(0, (int) (next.index() - snapshot.index())).clear();
     } else {
       entries.clear();
@@ -78,7 +84,7 @@
     snapshot = next;
   }
 
-  /** Returns the members by the last membership entry, committed or not, up to an index. */
+  /** Returns the members set by the last membership entry up to an index, committed or not. */
   List<String> membersAt(long index) {
     for (int position = (int) Math.min(entries.size(), index - snapshot.index()) - 1;
         position >= 0;
@@ -90,7 +96,7 @@
     return snapshot.members();
   }
 
-  /** Returns the index of the last membership entry after the snapshot, or 0. */
+  /** Returns the index of the last membership entry after the snapshot, or 0 if there is none. */
   long lastMembershipChange() {
     for (int position = entries.size() - 1; position >= 0; position--) {
       if (entries.get(position).members() != null) {
--- a/src/main/java/io/saltflow/raft/RaftMessage.java
+++ b/src/main/java/io/saltflow/raft/RaftMessage.java
@@ -3,27 +3,27 @@
 import java.util.List;
 
 /**
- * A message between two members of a Raft group: the remote procedure calls of figure 2 of the Raft
- * paper and of the dissertation, as one-way requests and responses. {@link RaftMessageCodec} maps
- * each to its record of the schema, which has other names.
+ * A message between two members of a Raft group. The messages are the remote procedure calls of
+ * figure 2 of the Raft paper and of the dissertation, split into one-way requests and responses.
+ * {@link RaftMessageCodec} maps each to a record of the wire schema, which uses different names.
  */
 public sealed interface RaftMessage {
-  /** The member that sends it. */
+  /** Returns the sending member. */
   String from();
 
-  /** The member that it is addressed to. */
+  /** Returns the receiving member. */
   String to();
 
-  /** The sender's current term; of a pre-vote the term that the candidate would enter. */
+  /** Returns the sender's term, or for a pre-vote the term that the candidate would enter. */
   long term();
 
   /**
-   * A candidate asks for a vote (section 5.2 of the paper).
+   * A candidate's request for a vote (section 5.2 of the paper).
    *
-   * @param preVote asks only whether the vote would be granted, and raises no term (section 9.6 of
-   *     the dissertation)
-   * @param leadershipTransfer the leader asked for this election, so voters need not wait for its
-   *     lease to expire
+   * @param preVote whether the candidate only asks if the vote would be granted, without entering
+   *     the term (section 9.6 of the dissertation)
+   * @param leadershipTransfer whether the leader requested this election, so that voters ignore its
+   *     lease
    */
   record RequestVote(
       String from,
@@ -40,10 +40,10 @@
       implements RaftMessage {}
 
   /**
-   * The leader replicates entries that follow the entry at {@code prevLogIndex}, or sends a
-   * heartbeat without any (section 5.3 of the paper).
+   * The leader's request to append the entries after {@code prevLogIndex}, or a heartbeat if there
+   * are no entries (section 5.3 of the paper).
    *
-   * @param round the leader's heartbeat round, echoed by the response
+   * @param round the leader's heartbeat round, which the response echoes
    */
   record AppendEntries(
       String from,
@@ -57,20 +57,20 @@
       implements RaftMessage {}
 
   /**
-   * The response to {@link AppendEntries}, and to the last chunk of a snapshot.
+   * The response to {@link AppendEntries} and to the last chunk of a snapshot.
    *
-   * @param matchIndex on success the index up to which the follower's log durably matches the
-   *     leader's; else an index at which the leader should try next
+   * @param matchIndex on success the index up to which the follower's durable log matches the
+   *     leader's, otherwise the index that the leader should try next
    */
   record AppendEntriesResponse(
       String from, String to, long term, boolean success, long matchIndex, long round)
       implements RaftMessage {}
 
   /**
-   * A chunk of a snapshot, for a follower that needs entries which the leader's log no longer holds
+   * A snapshot chunk for a follower that needs entries which the leader's log no longer holds
    * (section 7 of the paper).
    *
-   * @param offset of the chunk within the snapshot, in bytes
+   * @param offset the chunk's position within the snapshot, in bytes
    * @param done whether it is the last chunk
    */
   record InstallSnapshot(
@@ -89,12 +89,12 @@
   /**
    * The response to {@link InstallSnapshot}.
    *
-   * @param offset how many bytes of the snapshot the follower has: the next chunk begins there
+   * @param offset the number of snapshot bytes that the follower has, where the next chunk begins
    */
   record InstallSnapshotResponse(
       String from, String to, long term, long lastIncludedIndex, long offset, long round)
       implements RaftMessage {}
 
-  /** The leader asks a member to start an election at once (section 3.10 of the dissertation). */
+  /** The leader's request to start an election immediately (section 3.10 of the dissertation). */
   record TimeoutNow(String from, String to, long term) implements RaftMessage {}
 }
--- a/src/main/java/io/saltflow/raft/RaftMessageCodec.java
+++ b/src/main/java/io/saltflow/raft/RaftMessageCodec.java
@@ -12,20 +12,20 @@
 
 /**
  * Encodes the messages of one Raft group as signed frames, in Avro's binary encoding of the schema
- * {@code agreement.avsc}. Not safe for use by several threads.
+ * {@code agreement.avsc}. Not thread-safe.
  *
- * <p>The signature covers the sender, the receiver and the group. It does not prevent replay: Raft
- * tolerates delayed and duplicated messages.
+ * <p>The signature covers the sender, the receiver and the group. It does not prevent replay, as
+ * Raft tolerates delayed and duplicated messages.
  */
 public final class RaftMessageCodec {
-  // Positions of the records in the union "message" of the schema.
-  private static final int VOTE_ASKED = 0;
-  private static final int VOTED = 1;
-  private static final int APPEND = 2;
-  private static final int APPENDED = 3;
-  private static final int PART = 4;
-  private static final int PART_TAKEN = 5;
-  private static final int TAKE_OVER = 6;
+  // Indexes of the records in the schema's union "message".
+  private static final int REQUEST_VOTE = 0;
+  private static final int REQUEST_VOTE_RESPONSE = 1;
+  private static final int APPEND_ENTRIES = 2;
+  private static final int APPEND_ENTRIES_RESPONSE = 3;
+  private static final int INSTALL_SNAPSHOT = 4;
+  private static final int INSTALL_SNAPSHOT_RESPONSE = 5;
+  private static final int TIMEOUT_NOW = 6;
 
   private final String group;
   private final GroupKey key;
@@ -33,15 +33,15 @@
   /**
    * Creates the codec of one group.
    *
-   * @param group the group's unique name; frames of other groups are rejected
-   * @param key signs and verifies the frames
+   * @param group the unique name of the group; frames of other groups are rejected
+   * @param key the key that signs and verifies frames
    */
   public RaftMessageCodec(String group, GroupKey key) {
     this.group = group;
     this.key = key;
   }
 
-  /** Returns the message's signed frame. */
+  /** Returns the signed frame of a message. */
   public byte[] encode(RaftMessage message) {
     byte[] frame =
         AvroOutput.encode(
@@ -60,29 +60,29 @@
 
   private static void write(BinaryEncoder out, RaftMessage message) throws IOException {
     if (message instanceof RaftMessage.RequestVote request) {
-      out.writeIndex(VOTE_ASKED);
+      out.writeIndex(REQUEST_VOTE);
       out.writeLong(request.lastLogIndex());
       out.writeLong(request.lastLogTerm());
       out.writeBoolean(request.preVote());
       out.writeBoolean(request.leadershipTransfer());
     } else if (message instanceof RaftMessage.RequestVoteResponse response) {
-      out.writeIndex(VOTED);
+      out.writeIndex(REQUEST_VOTE_RESPONSE);
       out.writeBoolean(response.granted());
       out.writeBoolean(response.preVote());
     } else if (message instanceof RaftMessage.AppendEntries request) {
-      out.writeIndex(APPEND);
+      out.writeIndex(APPEND_ENTRIES);
       out.writeLong(request.prevLogIndex());
       out.writeLong(request.prevLogTerm());
       out.writeLong(request.leaderCommit());
       out.writeLong(request.round());
       LogEntryCodec.write(out, request.entries());
     } else if (message instanceof RaftMessage.AppendEntriesResponse response) {
-      out.writeIndex(APPENDED);
+      out.writeIndex(APPEND_ENTRIES_RESPONSE);
       out.writeBoolean(response.success());
       out.writeLong(response.matchIndex());
       out.writeLong(response.round());
     } else if (message instanceof RaftMessage.InstallSnapshot request) {
-      out.writeIndex(PART);
+      out.writeIndex(INSTALL_SNAPSHOT);
       out.writeLong(request.lastIncludedIndex());
       out.writeLong(request.lastIncludedTerm());
       LogEntryCodec.writeStrings(out, request.members());
@@ -91,54 +91,54 @@
       out.writeBoolean(request.done());
       out.writeLong(request.round());
     } else if (message instanceof RaftMessage.InstallSnapshotResponse response) {
-      out.writeIndex(PART_TAKEN);
+      out.writeIndex(INSTALL_SNAPSHOT_RESPONSE);
       out.writeLong(response.lastIncludedIndex());
       out.writeLong(response.offset());
       out.writeLong(response.round());
     } else {
-      out.writeIndex(TAKE_OVER);
+      out.writeIndex(TIMEOUT_NOW);
     }
   }
 
   /**
-   * Verifies and decodes a frame. The signature is checked before anything else is read, so that
-   * unauthenticated bytes reach no decoder.
+   * Verifies and decodes a frame. The signature is checked first, so that no unauthenticated bytes
+   * are decoded.
    *
-   * @throws InvalidMessageException when the frame is not signed by the group's key, belongs to
+   * @throws InvalidMessageException if the frame is not signed with the group's key, belongs to
    *     another group, or is malformed
    */
   public RaftMessage decode(byte[] frame) throws InvalidMessageException {
     if (frame.length <= GroupKey.MAC_BYTES
         || !key.verify(frame, GroupKey.MAC_BYTES, Arrays.copyOf(frame, GroupKey.MAC_BYTES))) {
-      throw new InvalidMessageException("a frame that is not signed by the group's key");
+      throw new InvalidMessageException("frame is not signed with the group's key");
     }
     return read(Arrays.copyOfRange(frame, GroupKey.MAC_BYTES, frame.length));
   }
 
-  /** Decodes what follows the signature. */
+  /** Decodes the bytes after the signature. */
   RaftMessage read(byte[] body) throws InvalidMessageException {
     AvroInput in = new AvroInput(body);
     if (!in.readString().equals(group)) {
-      throw new InvalidMessageException("a frame of another group");
+      throw new InvalidMessageException("frame belongs to another group");
     }
     String from = in.readString();
     String to = in.readString();
     long term = checkRange(in.readLong());
     RaftMessage message =
         switch (in.readUnionIndex()) {
-          case VOTE_ASKED -> readRequestVote(in, from, to, term);
-          case VOTED ->
+          case REQUEST_VOTE -> readRequestVote(in, from, to, term);
+          case REQUEST_VOTE_RESPONSE ->
               new RaftMessage.RequestVoteResponse(
                   from, to, term, in.readBoolean(), in.readBoolean());
-          case APPEND -> readAppendEntries(in, from, to, term);
-          case APPENDED -> readAppendEntriesResponse(in, from, to, term);
-          case PART -> readInstallSnapshot(in, from, to, term);
-          case PART_TAKEN -> readInstallSnapshotResponse(in, from, to, term);
-          case TAKE_OVER -> new RaftMessage.TimeoutNow(from, to, term);
-          default -> throw new InvalidMessageException("a frame of an unknown kind");
+          case APPEND_ENTRIES -> readAppendEntries(in, from, to, term);
+          case APPEND_ENTRIES_RESPONSE -> readAppendEntriesResponse(in, from, to, term);
+          case INSTALL_SNAPSHOT -> readInstallSnapshot(in, from, to, term);
+          case INSTALL_SNAPSHOT_RESPONSE -> readInstallSnapshotResponse(in, from, to, term);
+          case TIMEOUT_NOW -> new RaftMessage.TimeoutNow(from, to, term);
+          default -> throw new InvalidMessageException("frame has an unknown message kind");
         };
     if (!in.atEnd()) {
-      throw new InvalidMessageException("a frame with bytes behind its message");
+      throw new InvalidMessageException("frame has extra bytes after its message");
     }
     return message;
   }
--- a/src/main/java/io/saltflow/raft/RaftNode.java
+++ b/src/main/java/io/saltflow/raft/RaftNode.java
@@ -9,24 +9,23 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * One member of a Raft group, after Ongaro and Ousterhout, "In Search of an Understandable
+ * One member of a Raft group, based on Ongaro and Ousterhout, "In Search of an Understandable
  * Consensus Algorithm" (2014; "the paper"), and Ongaro's dissertation "Consensus: Bridging Theory
  * and Practice" (2014; "the dissertation") for pre-vote, leadership transfer, linearizable reads
- * and membership changes of one member at a time.
+ * and single-server membership changes.
  *
- * <p>A deterministic core without disk, clock or network: ticks, messages and completed writes go
- * in, and {@link #ready} returns what to persist, send and apply. It combines {@link Election},
- * {@link Replication}, {@link Follower}, {@link SnapshotSender}, {@link Membership} and {@link
- * PendingReads}. Not safe for use by several threads.
+ * <p>The node is a deterministic state machine without disk, clock or network access. The caller
+ * passes in ticks, messages and completed writes, and {@link #ready} returns the state to persist,
+ * the messages to send and the entries to apply. Not thread-safe.
  *
  * <p>The caller must make {@link Ready#save} durable before it sends any of the same {@link
- * Ready}'s messages, and must restart a node with its durable state.
+ * Ready}'s messages, and must restart a node from its durable state.
  */
 public final class RaftNode {
   /** The role of a node in its current term (section 5.1 of the paper). */
   public enum Role {
     FOLLOWER,
-    /** Asks whether it would be elected, before it raises its term. */
+    /** Asks whether it would win an election, before it enters a new term. */
     PRE_CANDIDATE,
     CANDIDATE,
     LEADER
@@ -44,8 +43,8 @@
    * Creates a node from its durable state, as a follower.
    *
    * @param self this member's name
-   * @param random returns a random number from 0 up to, not including, its argument
-   * @param now the current time of the clock that all later calls use
+   * @param random returns a random number from 0 (inclusive) to its argument (exclusive)
+   * @param now the current time, from the clock that all later calls must use
    */
   public RaftNode(
       String self,
@@ -73,7 +72,7 @@
 
   // ---- State
 
-  /** Returns the role in the current term. */
+  /** Returns this node's role in the current term. */
   public Role role() {
     return state.role;
   }
@@ -83,32 +82,32 @@
     return state.term;
   }
 
-  /** Returns the leader that this node knows of, or null. */
+  /** Returns the known leader of the current term, or {@code null}. */
   public String leader() {
     return state.leader;
   }
 
-  /** Returns the index of the last entry that is known to be committed. */
+  /** Returns the highest index known to be committed. */
   public long commitIndex() {
     return state.commitIndex;
   }
 
   /**
-   * Returns whether this node leads and an entry of its own term is committed. Only then does a
-   * leader know everything that is committed (section 6.4 of the dissertation).
+   * Returns whether this node is the leader and has committed an entry of its own term. Only then
+   * does a leader know all committed entries (section 6.4 of the dissertation).
    */
   public boolean hasCommittedInOwnTerm() {
     return state.isLeader() && state.log.termAt(state.commitIndex) == state.term;
   }
 
-  /** Returns the members by the latest membership entry of the log, committed or not. */
+  /** Returns the members set by the latest membership entry, whether or not it is committed. */
   public List<String> members() {
     return state.members();
   }
 
   /**
-   * Returns everything but times that this node's next steps depend on, so that tests can recognize
-   * equivalent states.
+   * Returns all state, except times, that determines this node's behaviour. Tests use it to
+   * recognize equivalent states.
    */
   String fingerprint() {
     StringBuilder text = new StringBuilder();
@@ -132,7 +131,9 @@
 
   // ---- Time
 
-  /** Advances the clock: starts elections, sends heartbeats, and steps down without a quorum. */
+  /**
+   * Advances the clock, which may start an election, send heartbeats, or make the leader step down.
+   */
   public void tick(MonotonicTime now) {
     if (state.isLeader()) {
       tickLeader(now);
@@ -150,7 +151,7 @@
     }
     transfer.expire(now);
     if (replication.hasLostQuorum(now)) {
-      // Others may have elected a leader whose messages do not reach this node.
+      // Other members may have elected a leader that cannot reach this node.
       election.becomeFollower(state.term, null, now);
     }
   }
@@ -169,7 +170,8 @@
     transfer.cancel();
     replication.onElected(now);
     pendingReads.clear();
-    // Entries of earlier terms are committed only by one of this term (section 5.4.2).
+    // Entries of earlier terms are committed only through one of this term (section 5.4.2 of the
+    // paper).
     state.append(LogEntry.noOp(state.log.lastIndex() + 1, state.term));
     replication.sendHeartbeats(now);
     advanceCommitIndex(now);
@@ -177,21 +179,21 @@
 
   /**
    * Transfers leadership to another member once it has the whole log (section 3.10 of the
-   * dissertation). No entry is proposed meanwhile; the transfer is given up after an election
+   * dissertation). Proposals are rejected during the transfer, which is abandoned after an election
    * timeout.
    *
-   * @return false when this node does not lead or the target is not another member
+   * @return false if this node is not the leader or the target is not another member
    */
   public boolean transferLeadership(String target, MonotonicTime now) {
     return transfer.begin(target, now);
   }
 
-  // ---- The leader's log
+  // ---- Proposals
 
   /**
    * Appends a command to the replicated log.
    *
-   * @return the entry's index, or 0 when this node does not lead or is transferring leadership
+   * @return the entry's index, or 0 if this node is not the leader or is transferring leadership
    */
   public long propose(byte[] data, MonotonicTime now) {
     if (!state.isLeader() || transfer.isUnderWay()) {
@@ -201,11 +203,11 @@
   }
 
   /**
-   * Proposes members that differ from the current ones by one (section 4.1 of the dissertation).
+   * Proposes to add or remove one member (section 4.1 of the dissertation).
    *
-   * @return the entry's index, or 0 when the change is not possible now: this node does not lead or
-   *     is transferring leadership, an earlier change is not committed yet, or no entry of this
-   *     term is
+   * @return the entry's index, or 0 if this node is not the leader or is transferring leadership,
+   *     if the members do not differ by exactly one, or if an earlier change or an entry of the
+   *     current term is not committed yet
    */
   public long changeMembers(List<String> members, MonotonicTime now) {
     if (transfer.isUnderWay() || !Membership.mayChangeTo(state, members)) {
@@ -221,7 +223,7 @@
     return state.log.lastIndex();
   }
 
-  /** Commits what a quorum stores durably, if it ends with an entry of this term. */
+  /** Commits the entries stored by a quorum if the last of them is of the current term. */
   private void advanceCommitIndex(MonotonicTime now) {
     long quorumMatch = replication.quorumMatchIndex();
     boolean isOwnTerm =
@@ -233,7 +235,7 @@
     state.commitIndex = quorumMatch;
     replication.sendToAll();
     if (!state.isMember()) {
-      // Its own removal is committed (section 4.2.2 of the dissertation).
+      // This node's removal is committed (section 4.2.2 of the dissertation).
       replication.sendHeartbeats(now);
       election.becomeFollower(state.term, null, now);
     }
@@ -269,12 +271,12 @@
   // ---- Reads and snapshots
 
   /**
-   * Requests a linearizable read (section 6.4 of the dissertation). {@link Ready#reads} reports
-   * when it may be served.
+   * Requests a linearizable read (section 6.4 of the dissertation). It may be served once it
+   * appears in {@link Ready#reads}.
    *
-   * @param id identifies the read in {@link Ready.ConfirmedRead}
-   * @return false when this node does not lead, does not know yet what is committed, or too many
-   *     reads are pending
+   * @param id the identifier of the read in {@link Ready.ConfirmedRead}
+   * @return false if this node is not the leader, has not committed an entry of its own term, or
+   *     has too many pending reads
    */
   public boolean requestRead(long id, MonotonicTime now) {
     if (!hasCommittedInOwnTerm() || pendingReads.isFull()) {
@@ -291,10 +293,11 @@
   }
 
   /**
-   * Returns whether this node holds a leader lease: no other leader can have been elected yet
-   * (section 6.4.1 of the dissertation). A quorum acknowledged a heartbeat and grants no vote for
-   * an election timeout after it received it, which was after it was sent. Twice the clock drift is
-   * subtracted, as the voters' clocks may be fast and this one slow.
+   * Returns whether this node holds a leader lease, so that no other leader can have been elected
+   * yet (section 6.4.1 of the dissertation). The members of a quorum grant no vote within an
+   * election timeout of receiving a heartbeat, so the lease runs from the time at which the
+   * heartbeat was sent. Twice the clock drift is subtracted because the voters' clocks may be fast
+   * and this node's clock slow.
    */
   public boolean holdsLease(MonotonicTime now) {
     if (!state.isLeader() || transfer.isUnderWay()) {
@@ -307,10 +310,11 @@
   }
 
   /**
-   * Discards the log up to an applied index, which the state machine's snapshot replaces.
+   * Replaces the log up to an applied index by a snapshot of the state machine. Does nothing if the
+   * index is not applied yet or already covered by a snapshot.
    *
-   * @param index the last entry that the snapshot includes
-   * @param data the state machine's snapshot
+   * @param index the index of the last entry that the snapshot includes
+   * @param data the snapshot of the state machine
    */
   public void compact(long index, byte[] data) {
     RaftLog log = state.log;
@@ -324,7 +328,7 @@
 
   // ---- Input and output
 
-  /** Handles a message; one that is addressed to another member is ignored. */
+  /** Processes a message. Messages addressed to another member are ignored. */
   public void receive(RaftMessage message, MonotonicTime now) {
     if (!message.to().equals(state.self)) {
       return;
@@ -359,8 +363,8 @@
   }
 
   /**
-   * Returns what to persist, send and apply since the last call, or null for nothing. When it has a
-   * {@link Ready#save}, the next call must come after {@link #onSaved}.
+   * Returns the output accumulated since the last call, or {@code null} if there is none. If it has
+   * a {@link Ready#save}, {@link #onSaved} must be called before the next call.
    */
   public Ready ready() {
     Ready.Save save = state.unstable.nextSave(state);
@@ -380,7 +384,7 @@
     return ready.isEmpty() ? null : ready;
   }
 
-  /** Reports that the save of the last {@link #ready} is durable. */
+  /** Must be called when the save returned by the last {@link #ready} is durable. */
   public void onSaved(MonotonicTime now) {
     state.unstable.onSaved(state.log.lastIndex());
     if (state.isLeader()) {
--- a/src/main/java/io/saltflow/raft/Ready.java
+++ b/src/main/java/io/saltflow/raft/Ready.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * What the caller of {@link RaftNode#ready} must do, in this order: persist, send, apply, serve
- * reads (after etcd's structure of the same name).
+ * The output of {@link RaftNode#ready}, modelled on etcd's structure of the same name. The caller
+ * must persist, send, apply and serve reads in this order.
  *
- * @param save what to persist before anything is sent, or null
- * @param messages what to send
- * @param installedSnapshot a snapshot that replaces the state machine before entries are applied,
- *     or null
+ * @param save the state to persist before sending any message, or {@code null}
+ * @param messages the messages to send
+ * @param installedSnapshot a snapshot that replaces the state machine's contents before entries are
+ *     applied, or {@code null}
  * @param committedEntries the entries to apply, in order
  * @param reads the reads that may be served
  */
@@ -21,9 +21,9 @@
     List<ConfirmedRead> reads) {
 
   /**
-   * State to persist: all log entries from {@code firstIndex} on are replaced by {@code entries}.
+   * State to persist. The {@code entries} replace all log entries from {@code firstIndex} on.
    *
-   * @param snapshot the latest snapshot, changed or not
+   * @param snapshot the latest snapshot, whether or not it changed
    */
   public record Save(
       long term, String votedFor, Snapshot snapshot, long firstIndex, List<LogEntry> entries) {}
--- a/src/main/java/io/saltflow/raft/Replication.java
+++ b/src/main/java/io/saltflow/raft/Replication.java
@@ -8,23 +8,23 @@
 import java.util.TreeMap;
 
 /**
- * The leader's side of log replication (section 5.3 of the paper): what each follower has, what is
- * sent to it, and which entries a quorum stores.
+ * The leader's side of log replication (section 5.3 of the paper). Tracks each follower's progress,
+ * sends entries and heartbeats, and determines which entries a quorum stores.
  */
 final class Replication {
   private static final int MAX_IN_FLIGHT = 8;
 
-  /** Election timeouts without a quorum after which a leader steps down. */
+  /** Number of election timeouts without a quorum after which a leader steps down. */
   private static final int QUORUM_LOSS_TIMEOUTS = 2;
 
-  /** Election timeouts for which rounds are remembered: longer than any lease. */
+  /** Number of election timeouts for which send times are retained, which exceeds any lease. */
   private static final int ROUND_RETENTION_TIMEOUTS = 4;
 
   private final NodeState state;
   private final SnapshotSender snapshots;
   private final Map<String, Progress> peers = new TreeMap<>();
 
-  /** When each recent round of heartbeats was sent. */
+  /** Send times of recent heartbeat rounds, by round. */
   private final Map<Long, MonotonicTime> rounds = new TreeMap<>();
 
   private long round;
@@ -36,7 +36,7 @@
     this.snapshots = new SnapshotSender(state);
   }
 
-  /** Starts over: this node was just elected. */
+  /** Resets the progress of all followers after this node was elected. */
   void onElected(MonotonicTime now) {
     leaderSince = now;
     peers.clear();
@@ -56,7 +56,7 @@
     return round;
   }
 
-  /** Returns when a round was sent; null: not yet, or too long ago. */
+  /** Returns when a round was sent, or {@code null} if it was not sent yet or is too old. */
   MonotonicTime sentAt(long heartbeatRound) {
     return rounds.get(heartbeatRound);
   }
@@ -65,7 +65,7 @@
     return now.since(lastHeartbeat).compareTo(state.config.heartbeatInterval()) >= 0;
   }
 
-  /** Starts a round: sends every follower a message, even without new entries. */
+  /** Starts a heartbeat round by sending a message to every follower, even without new entries. */
   void sendHeartbeats(MonotonicTime now) {
     lastHeartbeat = now;
     round++;
@@ -79,7 +79,7 @@
     for (String member : state.peers()) {
       Progress peer = progressOf(member);
       if (now.since(peer.acknowledgedRoundSentAt).longerThan(state.config.electionTimeout())) {
-        // Messages in flight to it are presumed lost.
+        // Messages in flight to this follower are presumed lost.
         peer.inFlight = 0;
         peer.nextIndex = peer.matchIndex + 1;
       }
@@ -87,7 +87,7 @@
     }
   }
 
-  /** Sends new entries to every follower that has room for more in flight. */
+  /** Sends new entries to every follower that is below its in-flight limit. */
   void sendToAll() {
     for (String member : state.peers()) {
       send(progressOf(member), false);
@@ -95,10 +95,10 @@
   }
 
   /**
-   * Sends a follower entries, or a snapshot when the log no longer holds its next entry, while not
-   * too many messages are in flight.
+   * Sends entries to a follower up to its in-flight limit, or a snapshot if the log no longer holds
+   * the follower's next entry.
    *
-   * @param evenIfEmpty sends a message without entries when there are none
+   * @param evenIfEmpty whether to send a message without entries if there are none to send
    */
   void send(Progress peer, boolean evenIfEmpty) {
     if (peer.nextIndex < state.log.firstIndex() && state.log.snapshot().index() > 0) {
@@ -140,7 +140,7 @@
     }
   }
 
-  /** Handles a follower's success, or its hint where the logs may match. */
+  /** Updates a follower's progress after it accepted or rejected entries. */
   void onAppendEntriesResponse(Progress peer, RaftMessage.AppendEntriesResponse response) {
     recordAcknowledgement(peer, response.round());
     peer.inFlight = Math.max(0, peer.inFlight - 1);
@@ -149,21 +149,21 @@
       peer.nextIndex = Math.max(peer.nextIndex, peer.matchIndex + 1);
       peer.snapshotOffset = -1;
     } else {
-      // A delayed rejection must not move back what is known to match.
+      // A delayed rejection must not move nextIndex below the matching prefix.
       peer.nextIndex =
           Math.max(peer.matchIndex + 1, Math.min(peer.nextIndex, response.matchIndex() + 1));
       peer.inFlight = 0;
     }
   }
 
-  /** Handles a follower's acknowledgement of a snapshot chunk. */
+  /** Updates a follower's progress after it received a snapshot chunk, and sends the next one. */
   void onInstallSnapshotResponse(RaftMessage.InstallSnapshotResponse response) {
     Progress peer = progressOf(response.from());
     recordAcknowledgement(peer, response.round());
     snapshots.onInstallSnapshotResponse(peer, response, round);
   }
 
-  /** Returns the highest index up to which a quorum stores the log durably. */
+  /** Returns the highest index up to which the log is durable on a quorum. */
   long quorumMatchIndex() {
     List<Long> matches = new ArrayList<>();
     for (String member : state.members()) {
@@ -174,7 +174,7 @@
     return matches.get(matches.size() - state.quorumSize());
   }
 
-  /** Returns when the latest round was sent that a quorum, this node included, acknowledged. */
+  /** Returns the send time of the latest round acknowledged by a quorum, counting this node. */
   MonotonicTime quorumAcknowledgedAt(MonotonicTime now) {
     List<MonotonicTime> times = new ArrayList<>();
     for (String member : state.members()) {
@@ -184,17 +184,15 @@
     return times.get(times.size() - state.quorumSize());
   }
 
-  /** Returns whether no quorum has answered for so long that another leader may be elected. */
+  /** Returns whether no quorum has responded for so long that this node must step down. */
   boolean hasLostQuorum(MonotonicTime now) {
-    // A leader that was just elected has no acknowledgements yet. Without counting from its
-    // election
-    // it would step down before the first ones arrive.
+    // A newly elected leader has no acknowledgements yet and must not step down before they arrive.
     MonotonicTime lastQuorumContact = MonotonicTime.later(leaderSince, quorumAcknowledgedAt(now));
     return now.since(lastQuorumContact)
         .longerThan(state.config.electionTimeout().times(QUORUM_LOSS_TIMEOUTS));
   }
 
-  /** Gives up the lease: earlier acknowledgements no longer count. */
+  /** Ends the lease by discarding all earlier acknowledgements. */
   void relinquishLease() {
     peers.values().forEach(peer -> peer.acknowledgedRoundSentAt = MonotonicTime.LONG_AGO);
     rounds.clear();
--- a/src/main/java/io/saltflow/raft/Snapshot.java
+++ b/src/main/java/io/saltflow/raft/Snapshot.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * The state machine's contents after an entry, with the members at that entry (section 7 of the
+ * The contents of the state machine and the members of the group after an entry (section 7 of the
  * paper).
  *
- * @param index the last included entry
- * @param term the last included entry's term
+ * @param index the index of the last included entry
+ * @param term the term of the last included entry
  */
 public record Snapshot(long index, long term, List<String> members, byte[] data) {
   /** Returns the empty snapshot that a new group starts with. */
--- a/src/main/java/io/saltflow/raft/SnapshotSender.java
+++ b/src/main/java/io/saltflow/raft/SnapshotSender.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * Sends a snapshot to a follower whose next entry is no longer in the log (section 7 of the paper),
- * one chunk in flight at a time.
+ * Sends a snapshot to a follower whose next entry is no longer in the log (section 7 of the paper).
+ * At most one chunk is in flight per follower.
  */
 final class SnapshotSender {
   private static final int CHUNK_BYTES = 64 * 1024;
@@ -16,9 +16,9 @@
   }
 
   /**
-   * Starts sending the latest snapshot, unless it is being sent already.
+   * Starts sending the latest snapshot if it is not being sent already.
    *
-   * @param resend sends the chunk in flight again, as it may have been lost
+   * @param resend whether to resend the chunk in flight, which may have been lost
    */
   void send(Progress peer, boolean resend, long round) {
     Snapshot snapshot = state.log.snapshot();
@@ -31,7 +31,7 @@
     sendChunk(peer, snapshot, round);
   }
 
-  /** Sends the next chunk. */
+  /** Sends the next chunk after the follower acknowledged the previous one. */
   void onInstallSnapshotResponse(
       Progress peer, RaftMessage.InstallSnapshotResponse response, long round) {
     Snapshot snapshot = state.log.snapshot();
--- a/src/main/java/io/saltflow/raft/UnstableLog.java
+++ b/src/main/java/io/saltflow/raft/UnstableLog.java
@@ -1,6 +1,8 @@
 package io.saltflow.raft;
 
-/** Tracks which part of the hard state (term, vote, snapshot) and of the log is not durable yet. */
+/**
+ * Tracks which changes to the hard state (term, vote, snapshot) and the log are not durable yet.
+ */
 final class UnstableLog {
   private static final int UNLIMITED = Integer.MAX_VALUE / 2;
 
@@ -10,7 +12,7 @@
   /** The index up to which this node's log is durable. */
   private long durableIndex;
 
-  /** The index up to which it will be durable when the save under way completes. */
+  /** The index up to which the log will be durable once the current save completes. */
   private long savingIndex;
 
   /**
@@ -25,24 +27,24 @@
     return durableIndex;
   }
 
-  /** Notes that the term, the vote or the snapshot changed. */
+  /** Records that the term, the vote or the snapshot changed. */
   void markHardStateChanged() {
     hardStateChanged = true;
   }
 
-  /** Notes that the entries from an index on are to be written. */
+  /** Records that the entries from an index on must be written. */
   void markChangedFrom(long index) {
     changedFrom = Math.min(changedFrom, index);
   }
 
-  /** Notes that the entries from an index on were removed or replaced. */
+  /** Records that the entries from an index on were removed or replaced. */
   void markTruncatedFrom(long index) {
     durableIndex = Math.min(durableIndex, index - 1);
     savingIndex = Math.min(savingIndex, index - 1);
     markChangedFrom(index);
   }
 
-  /** Returns what to persist now, or null for nothing. */
+  /** Returns the changes to persist, or {@code null} if there are none. */
   Ready.Save nextSave(NodeState state) {
     RaftLog log = state.log;
     if (!hardStateChanged && changedFrom > log.lastIndex()) {
@@ -56,7 +58,7 @@
         state.term, state.votedFor, log.snapshot(), from, log.entriesFrom(from, UNLIMITED));
   }
 
-  /** Notes that the last {@link #nextSave} is durable. */
+  /** Records that the last {@link #nextSave} is durable. */
   void onSaved(long lastIndex) {
     durableIndex = Math.max(durableIndex, Math.min(savingIndex, lastIndex));
   }
--- a/src/test/java/io/saltflow/kv/CommitPipelineTest.java
+++ b/src/test/java/io/saltflow/kv/CommitPipelineTest.java
@@ -17,7 +17,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Evaluation of requests while another group is being persisted, and the replies afterwards. */
+/** Guards against replies and reads that reveal changes before they are durable. */
 class CommitPipelineTest {
   private static final KeyValueLimits LIMITS = new KeyValueLimits(1000, 1000, 8, 8);
 
@@ -31,32 +31,33 @@
     return lease == 0 ? write : write.with("tenancy", lease);
   }
 
-  private static MessageBody guard(String key, long stamp) {
-    return MessageBody.of().with("path", key).with("stamp", stamp);
+  private static MessageBody guard(String key, long version) {
+    return MessageBody.of().with("path", key).with("stamp", version);
   }
 
   private void commit(String name, List<Object> guards, Object... writes)
       throws InvalidMessageException {
-    MessageBody txn = MessageBody.of().with("guards", guards).with("writes", Arrays.asList(writes));
+    MessageBody transaction =
+        MessageBody.of().with("guards", guards).with("writes", Arrays.asList(writes));
     core.commit(
-        MessagePackCodec.decode(MessagePackCodec.encode(txn)),
-        r ->
+        MessagePackCodec.decode(MessagePackCodec.encode(transaction)),
+        reply ->
             replies.add(
-                name + " " + r.status() + (r.body() == null ? "" : " " + r.body().fields())));
+                name
+                    + " "
+                    + reply.status()
+                    + (reply.body() == null ? "" : " " + reply.body().fields())));
   }
 
-  /**
-   * Two transactions on a key, neither durable yet: the second fails, and replies after the first.
-   */
   @Test
-  void guardsAreCheckedAgainstUncommittedWrites() throws InvalidMessageException {
+  void guardsAreEvaluatedAgainstPendingWrites() throws InvalidMessageException {
     commit("first", List.of(guard("a", 0)), put("a", 1, 0));
     assertEquals(1, core.nextGroup().size());
     commit("second", List.of(guard("a", 0)), put("a", 2, 0));
     commit("third", List.of(guard("a", 2)), put("b", 3, 0));
-    assertEquals(List.of(), replies, "nothing is answered ahead of the record");
-    assertNull(core.store().value("a"), "and reads see only what is durable");
-    assertEquals(List.of(), core.nextGroup(), "one batch at a time");
+    assertEquals(List.of(), replies, "no reply is sent before the group is durable");
+    assertNull(core.store().value("a"), "reads see only durable contents");
+    assertEquals(List.of(), core.nextGroup(), "only one group is persisted at a time");
     core.onDurable(now);
     assertEquals(List.of("first 200 {epoch=2}"), replies.subList(0, 1));
     assertEquals(1, core.nextGroup().size());
@@ -66,26 +67,24 @@
         replies);
   }
 
-  /** A group that could not be persisted fails, and so does what was evaluated after it. */
   @Test
-  void failedGroupFailsAllThatDependsOnIt() throws InvalidMessageException {
-    commit("kept", List.of(), put("a", 1, 0));
+  void failedGroupFailsLaterRequests() throws InvalidMessageException {
+    commit("durable", List.of(), put("a", 1, 0));
     core.nextGroup();
     core.onDurable(now);
-    commit("lost", List.of(guard("a", 2)), put("a", 2, 0));
+    commit("failed", List.of(guard("a", 2)), put("a", 2, 0));
     core.nextGroup();
-    commit("upon", List.of(guard("a", 3)), put("b", 2, 0));
+    commit("dependent", List.of(guard("a", 3)), put("b", 2, 0));
     core.onWriteFailed();
-    assertEquals(List.of("lost 503", "upon 503"), replies.subList(1, 3));
-    commit("again", List.of(guard("a", 2)), put("a", 4, 0));
-    assertEquals(
-        3, core.nextGroup().get(0).revision(), "the same revision, since nobody saw the other");
+    assertEquals(List.of("failed 503", "dependent 503"), replies.subList(1, 3));
+    commit("retry", List.of(guard("a", 2)), put("a", 4, 0));
+    assertEquals(3, core.nextGroup().get(0).revision(), "revision of the failed group is reused");
     core.onDurable(now);
-    assertEquals("again 200 {epoch=3}", replies.get(3));
+    assertEquals("retry 200 {epoch=3}", replies.get(3));
   }
 
   @Test
-  void leaseThatIsBeingRevokedIsNeitherRenewedNorReportedLost() throws InvalidMessageException {
+  void leaseIsNeitherRenewedNorReportedLostDuringRevocation() throws InvalidMessageException {
     core.grantLease(
         MessageBody.of().with("ttlMs", 1000L), reply -> replies.add("grant " + reply.status()));
     core.nextGroup();
@@ -93,20 +92,19 @@
     commit("put", List.of(), put("a", 1, 1));
     core.nextGroup();
     core.onDurable(now);
-    MonotonicTime late = now.plus(TimeSpan.millis(1001));
-    core.expireLeases(late);
-    core.renewLease(1, late, reply -> replies.add("extend " + reply.status()));
-    commit("use", List.of(), put("b", 1, 1));
-    assertEquals(2, replies.size(), "it is not known yet");
+    MonotonicTime afterExpiry = now.plus(TimeSpan.millis(1001));
+    core.expireLeases(afterExpiry);
+    core.renewLease(1, afterExpiry, reply -> replies.add("renew " + reply.status()));
+    commit("attach", List.of(), put("b", 1, 1));
+    assertEquals(2, replies.size(), "outcome of the revocation is not known yet");
     core.nextGroup();
     core.onWriteFailed();
-    assertEquals(List.of("extend 503", "use 503"), replies.subList(2, 4));
-    core.renewLease(1, late, reply -> replies.add("extend " + reply.status()));
-    assertEquals("extend 200", replies.get(4), "it never ended");
+    assertEquals(List.of("renew 503", "attach 503"), replies.subList(2, 4));
+    core.renewLease(1, afterExpiry, reply -> replies.add("renew " + reply.status()));
+    assertEquals("renew 200", replies.get(4), "lease still exists after the failed revocation");
     assertNotNull(core.store().value("a"));
   }
 
-  /** While writes are stalled changes are rejected; reads and renewals continue. */
   @Test
   void noLeaseExpiresWhileWritesAreStalled() throws InvalidMessageException {
     core.grantLease(MessageBody.of().with("ttlMs", 1000L), reply -> {});
@@ -114,61 +112,60 @@
     core.onDurable(now);
     core.setWritesStalled(true, now);
     commit("put", List.of(), put("a", 1, 0));
-    commit("look", List.of(guard("a", 0)));
-    core.revokeLease(1, reply -> replies.add("release " + reply.status()));
-    assertEquals(List.of("put 503", "look 200 {epoch=1}", "release 503"), replies);
-    MonotonicTime later = now.plus(TimeSpan.seconds(60));
-    core.expireLeases(later);
+    commit("check", List.of(guard("a", 0)));
+    core.revokeLease(1, reply -> replies.add("revoke " + reply.status()));
+    assertEquals(List.of("put 503", "check 200 {epoch=1}", "revoke 503"), replies);
+    MonotonicTime stallEnd = now.plus(TimeSpan.seconds(60));
+    core.expireLeases(stallEnd);
     assertTrue(core.isIdle());
-    core.setWritesStalled(false, later);
-    core.expireLeases(later.plus(TimeSpan.millis(1000)));
-    assertTrue(core.isIdle(), "its full time again");
-    core.expireLeases(later.plus(TimeSpan.millis(1001)));
+    core.setWritesStalled(false, stallEnd);
+    core.expireLeases(stallEnd.plus(TimeSpan.millis(1000)));
+    assertTrue(core.isIdle(), "lease is renewed at the end of the stall");
+    core.expireLeases(stallEnd.plus(TimeSpan.millis(1001)));
     assertEquals(1, core.nextGroup().size());
   }
 
-  /** A snapshot that is read in parts is consistent, whatever changes meanwhile. */
   @Test
-  void snapshotIsConsistentWhileTheStoreChanges() throws InvalidMessageException {
+  void snapshotReadInPartsIsConsistentWhileStoreChanges() throws InvalidMessageException {
     for (int seed = 0; seed < 200; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
       KeyValueStore store = new KeyValueStore();
-      TreeMap<String, String> then = new TreeMap<>();
+      TreeMap<String, String> expected = new TreeMap<>();
       for (int i = 0; i < 30; i++) {
-        change(store, random);
+        applyRandomMutation(store, random);
       }
-      for (int number = 0; number < 20; number++) {
-        if (store.value("k" + number) != null) {
-          then.put("k" + number, "" + store.value("k" + number));
+      for (int i = 0; i < 20; i++) {
+        if (store.value("k" + i) != null) {
+          expected.put("k" + i, "" + store.value("k" + i));
         }
       }
-      KeyValueStore.SnapshotIterator copy = store.copy();
-      KeyValueStore other = new KeyValueStore();
-      for (List<WriteBatch> part = copy.next(3); !part.isEmpty(); part = copy.next(3)) {
-        part.forEach(batch -> other.apply(batch, now));
-        change(store, random);
-        change(store, random);
+      KeyValueStore.SnapshotIterator snapshot = store.copy();
+      KeyValueStore restored = new KeyValueStore();
+      for (List<WriteBatch> part = snapshot.next(3); !part.isEmpty(); part = snapshot.next(3)) {
+        part.forEach(batch -> restored.apply(batch, now));
+        applyRandomMutation(store, random);
+        applyRandomMutation(store, random);
       }
-      other.onRestored(copy.revision());
-      TreeMap<String, String> found = new TreeMap<>();
-      for (int number = 0; number < 20; number++) {
-        if (other.value("k" + number) != null) {
-          found.put("k" + number, "" + other.value("k" + number));
+      restored.onRestored(snapshot.revision());
+      TreeMap<String, String> actual = new TreeMap<>();
+      for (int i = 0; i < 20; i++) {
+        if (restored.value("k" + i) != null) {
+          actual.put("k" + i, "" + restored.value("k" + i));
         }
       }
-      assertEquals(then, found, "seed " + seed);
-      assertEquals(410, other.changesSince("", copy.revision() - 1, true).status());
+      assertEquals(expected, actual, "seed " + seed);
+      assertEquals(410, restored.changesSince("", snapshot.revision() - 1, true).status());
     }
   }
 
-  private void change(KeyValueStore store, SplittableRandom random) {
+  private void applyRandomMutation(KeyValueStore store, SplittableRandom random) {
     String key = "k" + random.nextInt(20);
-    long epoch = store.revision() + 1;
+    long revision = store.revision() + 1;
     Mutation mutation =
         random.nextInt(3) == 0
             ? new Mutation.Delete(key)
-            : new Mutation.Put(key, MessageBody.of().with("x", epoch), 0);
-    store.apply(new WriteBatch(epoch, List.of(mutation)), now);
+            : new Mutation.Put(key, MessageBody.of().with("x", revision), 0);
+    store.apply(new WriteBatch(revision, List.of(mutation)), now);
   }
 
   @Test
--- a/src/test/java/io/saltflow/raft/LinearizabilityChecker.java
+++ b/src/test/java/io/saltflow/raft/LinearizabilityChecker.java
@@ -8,18 +8,18 @@
 import java.util.Set;
 
 /**
- * Checks whether a history of one register could have happened one operation at a time, each
- * between its call and its return: the search of Wing and Gong, "Testing and verifying concurrent
- * objects" (1993), with Lowe's memory of what was tried, "Testing for linearizability" (2017).
+ * Checks whether the history of a register is linearizable. Implements the search of Wing and Gong,
+ * "Testing and verifying concurrent objects" (1993), with the state caching of Lowe, "Testing for
+ * linearizability" (2017).
  */
 final class LinearizabilityChecker {
   /**
-   * An operation.
+   * A read or write of the register.
    *
-   * @param write what was written; null: it is a read
-   * @param read what a read found; null: nothing was there
-   * @param returnedAt {@link Long#MAX_VALUE}: no answer came, so it may have happened at any time,
-   *     or (a write) never
+   * @param write the value written, or {@code null} for a read
+   * @param read the value that a read returned, or {@code null} if there was none
+   * @param returnedAt the time of the return, or {@link Long#MAX_VALUE} if there was none; such a
+   *     write may take effect at any later time or never
    */
   record Operation(String write, String read, long calledAt, long returnedAt) {
     boolean isOpen() {
@@ -27,47 +27,51 @@
     }
   }
 
-  private record VisitedState(BitSet done, String value) {}
+  private record VisitedState(BitSet linearized, String value) {}
 
-  private final List<Operation> ops;
+  private final List<Operation> operations;
   private final Set<VisitedState> visited = new HashSet<>();
 
-  private LinearizabilityChecker(List<Operation> ops) {
-    this.ops = ops;
+  private LinearizabilityChecker(List<Operation> operations) {
+    this.operations = operations;
   }
 
   static boolean isLinearizable(List<Operation> history) {
-    List<Operation> ops = new ArrayList<>(history);
-    // Reads without an answer say nothing.
-    ops.removeIf(operation -> operation.isOpen() && operation.write == null);
-    ops.sort((a, b) -> Long.compare(a.calledAt, b.calledAt));
-    return new LinearizabilityChecker(ops).search(new BitSet(), null);
+    List<Operation> operations = new ArrayList<>(history);
+    // Reads without a response do not constrain the history.
+    operations.removeIf(operation -> operation.isOpen() && operation.write == null);
+    operations.sort((a, b) -> Long.compare(a.calledAt, b.calledAt));
+    return new LinearizabilityChecker(operations).search(new BitSet(), null);
   }
 
-  private boolean search(BitSet done, String value) {
-    if (!visited.add(new VisitedState((BitSet) done.clone(), value))) {
+  private boolean search(BitSet linearized, String value) {
+    if (!visited.add(new VisitedState((BitSet) linearized.clone(), value))) {
       return false;
     }
     long earliestReturn = Long.MAX_VALUE;
-    boolean completedLeft = false;
-    for (int i = done.nextClearBit(0); i < ops.size(); i = done.nextClearBit(i + 1)) {
-      Operation operation = ops.get(i);
+    boolean completedOperationRemains = false;
+    for (int i = linearized.nextClearBit(0);
+        i < operations.size();
+        i = linearized.nextClearBit(i + 1)) {
+      Operation operation = operations.get(i);
       earliestReturn = Math.min(earliestReturn, operation.returnedAt);
-      completedLeft |= !operation.isOpen();
+      completedOperationRemains |= !operation.isOpen();
     }
-    if (!completedLeft) {
+    if (!completedOperationRemains) {
       return true;
     }
-    for (int i = done.nextClearBit(0); i < ops.size(); i = done.nextClearBit(i + 1)) {
-      Operation operation = ops.get(i);
+    for (int i = linearized.nextClearBit(0);
+        i < operations.size();
+        i = linearized.nextClearBit(i + 1)) {
+      Operation operation = operations.get(i);
       if (operation.calledAt > earliestReturn) {
-        // Something returned before this was called, so it must come first.
+        // Another operation returned before this one was called, so it must come first.
         break;
       }
       if (operation.write != null || Objects.equals(operation.read, value)) {
-        done.set(i);
-        boolean found = search(done, operation.write != null ? operation.write : value);
-        done.clear(i);
+        linearized.set(i);
+        boolean found = search(linearized, operation.write != null ? operation.write : value);
+        linearized.clear(i);
         if (found) {
           return true;
         }
--- a/src/test/java/io/saltflow/raft/RaftExplorationTest.java
+++ b/src/test/java/io/saltflow/raft/RaftExplorationTest.java
@@ -22,20 +22,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Explores every interleaving of three nodes through two terms and two writes with a crash and a
- * lost message: no two leaders of a term, no two entries committed at an index. A state is reached
- * by replaying its steps from the start; one that was visited before is not explored further.
+ * Guards against two leaders of one term and two entries committed at one index, by exploring all
+ * interleavings of three nodes within bounds on terms, writes, crashes and lost messages. States
+ * are reached by replaying their steps and are explored only once.
  */
 class RaftExplorationTest {
   private static final List<String> NODES = List.of("a", "b", "c");
-  private static final RaftConfig PACE =
+  private static final RaftConfig CONFIG =
       new RaftConfig(TimeSpan.seconds(1), TimeSpan.millis(100), 0.0005, 4);
 
-  /** How often each event may happen in all, and the seeded bugs. */
+  /** The highest term, the maximum number of each event, and the seeded bugs. */
   private record Bounds(
       int terms, int writes, int crashes, int losses, int timeouts, Set<SeededBug> seededBugs) {}
 
-  /** Three nodes and the messages in flight between them, in order on each link. */
+  /** Three nodes and the messages in flight between them, which each link delivers in order. */
   private static final class ExploredState {
     private final Bounds bounds;
     private final Map<String, RaftNode> nodes = new TreeMap<>();
@@ -58,22 +58,22 @@
     }
 
     private void start(String node) {
-      // Everything it saved is there; its election timeout passes during the restart.
+      // Saved state survives a crash. The restart takes longer than the election timeout.
       now = now.plus(TimeSpan.seconds(10));
       nodes.put(
           node,
-          new RaftNode(node, PACE, disks.get(node).state(), bound -> 0, now, bounds.seededBugs));
+          new RaftNode(node, CONFIG, disks.get(node).state(), bound -> 0, now, bounds.seededBugs));
     }
 
-    /** Returns the events that can happen now, by name. */
-    List<String> choices() {
-      List<String> choices = new ArrayList<>();
+    /** Returns the names of the events that are possible in this state. */
+    List<String> possibleEvents() {
+      List<String> possibleEvents = new ArrayList<>();
       links.forEach(
           (link, queue) -> {
             if (!queue.isEmpty()) {
-              choices.add("deliver " + link);
+              possibleEvents.add("deliver " + link);
               if (losses < bounds.losses) {
-                choices.add("lose " + link);
+                possibleEvents.add("lose " + link);
               }
             }
           });
@@ -81,29 +81,29 @@
         RaftNode raft = nodes.get(node);
         if (raft.role() == RaftNode.Role.LEADER) {
           if (writes < bounds.writes) {
-            choices.add("write " + node);
+            possibleEvents.add("write " + node);
           }
         } else if (timeouts < bounds.timeouts
             && raft.term() < bounds.terms
-            // The nodes are symmetric, so only one may begin.
+            // The nodes are symmetric, so the first timeout is always that of node a.
             && (timeouts > 0 || node.equals("a"))) {
-          choices.add("timeout " + node);
+          possibleEvents.add("timeout " + node);
         }
         if (crashes < bounds.crashes) {
-          choices.add("crash " + node);
+          possibleEvents.add("crash " + node);
         }
       }
-      return choices;
+      return possibleEvents;
     }
 
-    void choose(String choice) {
-      String[] words = choice.split(" ");
-      String target = words[1];
-      switch (words[0]) {
+    void execute(String event) {
+      String[] parts = event.split(" ");
+      String target = parts[1];
+      switch (parts[0]) {
         case "deliver" -> {
-          RaftMessage raftMessage = links.get(target).poll();
-          nodes.get(raftMessage.to()).receive(raftMessage, now);
-          drainReady(raftMessage.to());
+          RaftMessage message = links.get(target).poll();
+          nodes.get(message.to()).receive(message, now);
+          drainReady(message.to());
         }
         case "lose" -> {
           losses++;
@@ -134,23 +134,30 @@
           disks.get(node).apply(ready.save());
           raft.onSaved(now);
         }
-        for (RaftMessage raftMessage : ready.messages()) {
+        for (RaftMessage message : ready.messages()) {
           links
-              .computeIfAbsent(raftMessage.from() + raftMessage.to(), absent -> new ArrayDeque<>())
-              .add(raftMessage);
+              .computeIfAbsent(message.from() + message.to(), link -> new ArrayDeque<>())
+              .add(message);
         }
-        for (LogEntry logEntry : ready.committedEntries()) {
-          String entry = logEntry.term() + ":" + Arrays.toString(logEntry.data());
-          String before = committed.putIfAbsent(logEntry.index(), entry);
-          if (before != null && !before.equals(entry)) {
-            throw new IllegalStateException(logEntry.index() + " is " + before + " and " + entry);
+        for (LogEntry committedEntry : ready.committedEntries()) {
+          String entry = committedEntry.term() + ":" + Arrays.toString(committedEntry.data());
+          String previous = committed.putIfAbsent(committedEntry.index(), entry);
+          if (previous != null && !previous.equals(entry)) {
+            throw new IllegalStateException(
+                "entry "
+                    + committedEntry.index()
+                    + " was committed as "
+                    + previous
+                    + " and as "
+                    + entry);
           }
         }
       }
       if (raft.role() == RaftNode.Role.LEADER) {
-        String before = leaders.putIfAbsent(raft.term(), node);
-        if (before != null && !before.equals(node)) {
-          throw new IllegalStateException(before + " and " + node + " lead term " + raft.term());
+        String previous = leaders.putIfAbsent(raft.term(), node);
+        if (previous != null && !previous.equals(node)) {
+          throw new IllegalStateException(
+              previous + " and " + node + " are both leaders of term " + raft.term());
         }
       }
     }
@@ -161,15 +168,15 @@
       links.forEach(
           (link, queue) -> {
             text.append(link);
-            queue.forEach(m -> text.append(describe(m)));
+            queue.forEach(message -> text.append(describe(message)));
           });
       text.append(writes).append(crashes).append(losses).append(timeouts).append(committed);
       return text.append(leaders).toString();
     }
 
-    /** Describes a message without its round, which only matters to leases and reads. */
-    private static String describe(RaftMessage raftMessage) {
-      if (raftMessage instanceof RaftMessage.AppendEntries append) {
+    /** Describes a message without its round, which affects only leases and reads. */
+    private static String describe(RaftMessage message) {
+      if (message instanceof RaftMessage.AppendEntries append) {
         List<String> entries = new ArrayList<>();
         append.entries().forEach(e -> entries.add(e.term() + Arrays.toString(e.data())));
         return "A"
@@ -181,34 +188,34 @@
             + entries
             + append.leaderCommit();
       }
-      if (raftMessage instanceof RaftMessage.AppendEntriesResponse appended) {
+      if (message instanceof RaftMessage.AppendEntriesResponse appended) {
         return "R" + appended.term() + appended.success() + appended.matchIndex();
       }
-      return raftMessage.toString();
+      return message.toString();
     }
   }
 
-  /** The number of states, and the steps to a failure or null. */
-  private record ExplorationResult(int states, int completed, List<String> fault) {}
+  /** The explored states, those with all writes committed, and the steps to a failure if any. */
+  private record ExplorationResult(int states, int completed, List<String> failure) {}
 
-  /** The steps to a state: the last one and those before it. */
-  private record StepSequence(StepSequence previous, String choice) {
+  /** The steps to a state, as the last step and the sequence before it. */
+  private record StepSequence(StepSequence previous, String event) {
     static ExploredState replay(StepSequence path, Bounds bounds) {
       ExploredState state = new ExploredState(bounds);
-      steps(path).forEach(state::choose);
+      steps(path).forEach(state::execute);
       return state;
     }
 
     static List<String> steps(StepSequence path) {
       ArrayDeque<String> steps = new ArrayDeque<>();
       for (StepSequence step = path; step != null; step = step.previous) {
-        steps.addFirst(step.choice);
+        steps.addFirst(step.event);
       }
       return new ArrayList<>(steps);
     }
   }
 
-  /** Returns a digest of 128 bits, which identifies a state among millions. */
+  /** Returns a 128-bit digest that identifies a state. */
   private static String digest(ExploredState state) {
     try {
       byte[] text = state.fingerprint().getBytes(StandardCharsets.UTF_8);
@@ -220,60 +227,60 @@
   }
 
   private static ExplorationResult explore(Bounds bounds, int maxStates) {
-    Set<String> seen = new HashSet<>();
-    ArrayDeque<StepSequence> open = new ArrayDeque<>();
-    for (String first : new ExploredState(bounds).choices()) {
-      open.add(new StepSequence(null, first));
+    Set<String> visited = new HashSet<>();
+    ArrayDeque<StepSequence> frontier = new ArrayDeque<>();
+    for (String first : new ExploredState(bounds).possibleEvents()) {
+      frontier.add(new StepSequence(null, first));
     }
     int completed = 0;
-    while (!open.isEmpty() && seen.size() < maxStates) {
-      StepSequence path = open.pollLast();
+    while (!frontier.isEmpty() && visited.size() < maxStates) {
+      StepSequence path = frontier.pollLast();
       ExploredState state;
       try {
         state = StepSequence.replay(path, bounds);
       } catch (IllegalStateException exception) {
         List<String> steps = StepSequence.steps(path);
         steps.add(exception.getMessage());
-        return new ExplorationResult(seen.size(), completed, steps);
+        return new ExplorationResult(visited.size(), completed, steps);
       }
-      if (seen.add(digest(state))) {
+      if (visited.add(digest(state))) {
         completed += state.committed.size() >= 1 + bounds.writes ? 1 : 0;
-        state.choices().forEach(choice -> open.add(new StepSequence(path, choice)));
+        state.possibleEvents().forEach(event -> frontier.add(new StepSequence(path, event)));
       }
     }
-    assertTrue(open.isEmpty(), "not all of it was explored: " + seen.size() + " states");
-    return new ExplorationResult(seen.size(), completed, null);
+    assertTrue(frontier.isEmpty(), "exploration is incomplete after " + visited.size() + " states");
+    return new ExplorationResult(visited.size(), completed, null);
   }
 
-  private static ExplorationResult exploreAndPrint(String what, Bounds bounds, int maxStates) {
+  private static ExplorationResult exploreAndPrint(String title, Bounds bounds, int maxStates) {
     ExplorationResult result = explore(bounds, maxStates);
     System.out.printf(
-        "%s: %d states, all writes committed in %d%n", what, result.states, result.completed);
+        "%s: %d states, all writes committed in %d%n", title, result.states, result.completed);
     return result;
   }
 
   @Test
-  void noTwoLeadersInATermAndNoTwoEntriesAtAnIndex() {
+  void electionSafetyAndStateMachineSafetyHold() {
     Set<SeededBug> none = EnumSet.noneOf(SeededBug.class);
-    ExplorationResult terms =
+    ExplorationResult twoTerms =
         exploreAndPrint("two terms, a write", new Bounds(2, 1, 0, 0, 2, none), 400_000);
-    assertEquals(null, terms.fault);
-    ExplorationResult faults =
+    assertEquals(null, twoTerms.failure);
+    ExplorationResult withFaults =
         exploreAndPrint(
             "two writes, a crash, a lost message", new Bounds(1, 2, 1, 1, 1, none), 400_000);
-    assertEquals(null, faults.fault);
-    assertTrue(terms.completed > 0 && faults.completed > 0);
+    assertEquals(null, withFaults.failure);
+    assertTrue(twoTerms.completed > 0 && withFaults.completed > 0);
   }
 
   @Test
-  void seededBugsAreFound() {
+  void seededBugsAreDetected() {
     for (SeededBug bug : List.of(SeededBug.VOTE_NOT_PERSISTED, SeededBug.VOTE_WITHOUT_LOG_CHECK)) {
       ExplorationResult result = explore(new Bounds(2, 1, 1, 0, 2, EnumSet.of(bug)), 400_000);
-      assertNotNull(result.fault, bug + " was not found in " + result.states + " states");
+      assertNotNull(result.failure, bug + " was not detected in " + result.states + " states");
     }
   }
 
-  /** Explores all states within bounds: terms, writes, crashes, losses and timeouts. */
+  /** Explores all states within bounds, given as terms, writes, crashes, losses and timeouts. */
   public static void main(String[] args) {
     int[] numbers = Arrays.stream(args).mapToInt(Integer::parseInt).toArray();
     Bounds bounds =
@@ -285,8 +292,8 @@
             numbers[4],
             EnumSet.noneOf(SeededBug.class));
     ExplorationResult result = exploreAndPrint(Arrays.toString(numbers), bounds, Integer.MAX_VALUE);
-    if (result.fault != null) {
-      result.fault.forEach(System.out::println);
+    if (result.failure != null) {
+      result.failure.forEach(System.out::println);
       System.exit(1);
     }
   }
--- a/src/test/java/io/saltflow/raft/RaftMessageCodecTest.java
+++ b/src/test/java/io/saltflow/raft/RaftMessageCodecTest.java
@@ -16,11 +16,11 @@
 import org.apache.avro.io.DecoderFactory;
 import org.junit.jupiter.api.Test;
 
-/** Frames follow the schema, and only authentic ones are decoded. */
+/** Guards against frames that deviate from the schema and against decoding forged frames. */
 class RaftMessageCodecTest {
   private static final byte[] SECRET =
       "a secret of the group's".getBytes(StandardCharsets.US_ASCII);
-  private static final RaftMessageCodec FRAMES = new RaftMessageCodec("g-1", new GroupKey(SECRET));
+  private static final RaftMessageCodec CODEC = new RaftMessageCodec("g-1", new GroupKey(SECRET));
 
   private static final List<RaftMessage> MESSAGES =
       List.of(
@@ -45,7 +45,7 @@
           new RaftMessage.InstallSnapshotResponse("c", "a", 7, 20, 65538, 14),
           new RaftMessage.TimeoutNow("a", "b", 7));
 
-  /** The records of the schema's union that the messages are written as, in the same order. */
+  /** The schema records of {@link #MESSAGES}, in the same order. */
   private static final List<String> SCHEMA_NAMES =
       List.of(
           "VoteAsked", "Voted", "Append", "Append", "Appended", "Part", "PartTaken", "TakeOver");
@@ -57,10 +57,10 @@
       assertEquals(MESSAGES.size(), SCHEMA_NAMES.size());
       for (int i = 0; i < MESSAGES.size(); i++) {
         RaftMessage message = MESSAGES.get(i);
-        byte[] frame = FRAMES.encode(message);
-        RaftMessage read = FRAMES.decode(frame);
-        assertEquals(message.getClass(), read.getClass());
-        assertArrayEquals(frame, FRAMES.encode(read));
+        byte[] frame = CODEC.encode(message);
+        RaftMessage decoded = CODEC.decode(frame);
+        assertEquals(message.getClass(), decoded.getClass());
+        assertArrayEquals(frame, CODEC.encode(decoded));
         GenericRecord record =
             new GenericDatumReader<GenericRecord>(schema)
                 .read(null, DecoderFactory.get().binaryDecoder(frame, null));
@@ -70,42 +70,41 @@
             SCHEMA_NAMES.get(i), ((GenericRecord) record.get("message")).getSchema().getName());
       }
     }
-    RaftMessage.AppendEntries read =
-        (RaftMessage.AppendEntries) FRAMES.decode(FRAMES.encode(MESSAGES.get(2)));
-    assertEquals(32, read.entries().get(1).index());
-    assertEquals(List.of("a", "b", "c", "d"), read.entries().get(2).members());
+    RaftMessage.AppendEntries decoded =
+        (RaftMessage.AppendEntries) CODEC.decode(CODEC.encode(MESSAGES.get(2)));
+    assertEquals(32, decoded.entries().get(1).index());
+    assertEquals(List.of("a", "b", "c", "d"), decoded.entries().get(2).members());
   }
 
-  /** A flipped bit, a missing part, another key or another group: rejected. */
   @Test
   void alteredTruncatedAndForeignFramesAreRejected() {
     RaftMessageCodec otherKey =
         new RaftMessageCodec("g-1", new GroupKey(Arrays.copyOf(SECRET, 20)));
     RaftMessageCodec otherGroup = new RaftMessageCodec("g-2", new GroupKey(SECRET));
     for (RaftMessage message : MESSAGES) {
-      byte[] frame = FRAMES.encode(message);
+      byte[] frame = CODEC.encode(message);
       for (int i = 0; i < frame.length; i++) {
         byte[] flipped = frame.clone();
         flipped[i] ^= (byte) (1 << (i % 8));
-        assertThrows(InvalidMessageException.class, () -> FRAMES.decode(flipped));
+        assertThrows(InvalidMessageException.class, () -> CODEC.decode(flipped));
         byte[] truncated = Arrays.copyOf(frame, i);
-        assertThrows(InvalidMessageException.class, () -> FRAMES.decode(truncated));
+        assertThrows(InvalidMessageException.class, () -> CODEC.decode(truncated));
       }
-      assertThrows(InvalidMessageException.class, () -> FRAMES.decode(otherKey.encode(message)));
-      assertThrows(InvalidMessageException.class, () -> FRAMES.decode(otherGroup.encode(message)));
+      assertThrows(InvalidMessageException.class, () -> CODEC.decode(otherKey.encode(message)));
+      assertThrows(InvalidMessageException.class, () -> CODEC.decode(otherGroup.encode(message)));
     }
     assertThrows(IllegalArgumentException.class, () -> new GroupKey(new byte[15]));
   }
 
-  /** A member that has the key may still be of another version, or defective. */
+  /** Guards against members that hold the key but run another version or are defective. */
   @Test
-  void signedFramesWithNumbersOutOfRangeAreRejected() {
+  void signedFramesWithOutOfRangeNumbersAreRejected() {
     for (RaftMessage message :
         List.of(
             new RaftMessage.RequestVote("a", "b", -1, 30, 6, true, false),
             new RaftMessage.AppendEntriesResponse("c", "a", 7, true, Long.MAX_VALUE, 12))) {
-      byte[] frame = FRAMES.encode(message);
-      assertThrows(InvalidMessageException.class, () -> FRAMES.decode(frame));
+      byte[] frame = CODEC.encode(message);
+      assertThrows(InvalidMessageException.class, () -> CODEC.decode(frame));
     }
   }
 }
--- a/src/test/java/io/saltflow/raft/RaftMessageFuzzTarget.java
+++ b/src/test/java/io/saltflow/raft/RaftMessageFuzzTarget.java
@@ -3,24 +3,22 @@
 import io.saltflow.protocol.InvalidMessageException;
 import java.util.Arrays;
 
-/**
- * What stands behind a signature, for one who has the key: it may be refused, and written again.
- */
+/** Fuzzes the decoding of authenticated frame bodies. A body is either rejected or round-trips. */
 public final class RaftMessageFuzzTarget {
-  static final RaftMessageCodec FRAMES = new RaftMessageCodec("g", new GroupKey(new byte[16]));
+  static final RaftMessageCodec CODEC = new RaftMessageCodec("g", new GroupKey(new byte[16]));
 
   private RaftMessageFuzzTarget() {}
 
   /** Runs the target on one input. */
   public static void run(byte[] data) {
     try {
-      RaftMessage raftMessage = FRAMES.read(data);
-      byte[] again = FRAMES.encode(raftMessage);
-      if (!Arrays.equals(again, FRAMES.encode(FRAMES.decode(again)))) {
-        throw new IllegalStateException("not read as it was written");
+      RaftMessage message = CODEC.read(data);
+      byte[] encoded = CODEC.encode(message);
+      if (!Arrays.equals(encoded, CODEC.encode(CODEC.decode(encoded)))) {
+        throw new IllegalStateException("re-encoded message differs after decoding");
       }
     } catch (InvalidMessageException exception) {
-      // Refused, as it should be.
+      // Malformed input is rejected.
     }
   }
 }
--- a/src/test/java/io/saltflow/raft/RaftSimulation.java
+++ b/src/test/java/io/saltflow/raft/RaftSimulation.java
@@ -16,14 +16,14 @@
 import java.util.TreeMap;
 
 /**
- * A deterministic simulation, by seed, of a Raft group, its clients and faults: crashes that lose
- * what was not durable, partitions in one direction or both, lost, duplicated and delayed messages,
+ * A deterministic simulation of a Raft group and its clients for a given seed. It injects crashes
+ * that lose unsynced writes, one-way and two-way partitions, lost, duplicated and delayed messages,
  * process pauses longer than a lease, clock drift, slow syncs, snapshots, membership changes and
  * leadership transfers.
  */
 final class RaftSimulation {
-  private static final double DRIFT = 0.0005;
-  private static final int KEYS = 3;
+  private static final double MAX_CLOCK_DRIFT = 0.0005;
+  private static final int KEY_COUNT = 3;
 
   /** An action at a simulated time. */
   private record Event(double atMs, long order, Runnable action) {}
@@ -59,7 +59,7 @@
               name,
               config,
               durableState,
-              bound -> random.nextLong(contended ? 25 : bound),
+              bound -> random.nextLong(collidingElections ? 25 : bound),
               clock(),
               seededBugs);
       contents = decode(durableState.snapshot().data());
@@ -70,24 +70,24 @@
       tick(incarnation);
     }
 
-    /** Returns for how long from now it is paused or waits for its disk. */
-    double busyFor() {
+    /** Returns the time until the node's pause ends or its disk may be idle, in milliseconds. */
+    double remainingBusyMs() {
       return Math.max(saving ? 1 : 0, pausedUntil - now);
     }
 
-    private void tick(long ofIncarnation) {
-      if (incarnation != ofIncarnation || raft == null) {
+    private void tick(long expectedIncarnation) {
+      if (incarnation != expectedIncarnation || raft == null) {
         return;
       }
-      double wait = busyFor();
-      if (wait > 0) {
-        // A paused process does nothing, and then everything late.
-        schedule(wait, () -> tick(ofIncarnation));
+      double busyMs = remainingBusyMs();
+      if (busyMs > 0) {
+        // A paused process handles its events late.
+        schedule(busyMs, () -> tick(expectedIncarnation));
         return;
       }
       raft.tick(clock());
       drainReady();
-      schedule(5 + random.nextInt(10), () -> tick(ofIncarnation));
+      schedule(5 + random.nextInt(10), () -> tick(expectedIncarnation));
     }
 
     void crash() {
@@ -97,24 +97,24 @@
       pendingReads.clear();
     }
 
-    void receive(RaftMessage raftMessage) {
-      long ofIncarnation = incarnation;
-      double wait = busyFor();
-      if (wait > 0) {
+    void receive(RaftMessage message) {
+      long expectedIncarnation = incarnation;
+      double busyMs = remainingBusyMs();
+      if (busyMs > 0) {
         schedule(
-            wait,
+            busyMs,
             () -> {
-              if (incarnation == ofIncarnation) {
-                receive(raftMessage);
+              if (incarnation == expectedIncarnation) {
+                receive(message);
               }
             });
       } else if (raft != null) {
-        raft.receive(raftMessage, clock());
+        raft.receive(message, clock());
         drainReady();
       }
     }
 
-    /** Carries out the node's output: persist, then send, apply and reply. */
+    /** Executes the node's output by persisting it and then sending, applying and replying. */
     void drainReady() {
       while (raft != null && !saving) {
         Ready ready = raft.ready();
@@ -122,23 +122,23 @@
           return;
         }
         if (ready.save() == null) {
-          carryOut(ready);
+          handleReady(ready);
           continue;
         }
         double syncMs = random.nextInt(20) == 0 ? 5 + random.nextInt(60) : random.nextInt(4);
         saving = true;
-        long ofIncarnation = incarnation;
+        long expectedIncarnation = incarnation;
         schedule(
             syncMs,
             () -> {
-              if (incarnation == ofIncarnation && raft != null) {
+              if (incarnation == expectedIncarnation && raft != null) {
                 saving = false;
                 persist(ready.save());
                 raft.onSaved(clock());
-                carryOut(ready);
+                handleReady(ready);
                 drainReady();
-              } else if (incarnation == ofIncarnation + 1 && random.nextBoolean()) {
-                // It crashed meanwhile, but the write may have become durable.
+              } else if (incarnation == expectedIncarnation + 1 && random.nextBoolean()) {
+                // The node crashed during the write, which may still have become durable.
                 persist(ready.save());
               }
             });
@@ -160,19 +160,19 @@
       durableState = new DurableState(save.term(), save.votedFor(), save.snapshot(), entries);
     }
 
-    private void carryOut(Ready ready) {
+    private void handleReady(Ready ready) {
       if (ready.installedSnapshot() != null) {
         contents = decode(ready.installedSnapshot().data());
         appliedIndex = ready.installedSnapshot().index();
       }
-      ready.messages().forEach(m -> send(this, m));
+      ready.messages().forEach(message -> send(this, message));
       for (LogEntry entry : ready.committedEntries()) {
         apply(entry);
       }
       for (Ready.ConfirmedRead read : ready.reads()) {
         ClientOperation operation = pendingReads.remove(read.id());
         if (operation != null && appliedIndex >= read.readIndex()) {
-          operation.answer(contents.get(operation.key));
+          operation.complete(contents.get(operation.key));
         }
       }
     }
@@ -186,7 +186,7 @@
       }
       ClientOperation operation = pendingWrites.remove(entry.index());
       if (operation != null && operation.term == entry.term()) {
-        operation.answer(null);
+        operation.complete(null);
       }
       if (++appliedSinceSnapshot >= 25) {
         appliedSinceSnapshot = 0;
@@ -195,13 +195,13 @@
     }
   }
 
-  /** A client's operation on a key. */
+  /** A client's read or write of a key. */
   private final class ClientOperation {
     final String key;
     final String write;
     final double calledAt;
     long term;
-    boolean answered;
+    boolean completed;
 
     ClientOperation(String key, String write) {
       this.key = key;
@@ -210,11 +210,11 @@
       openOperations.add(this);
     }
 
-    void answer(String value) {
-      if (!answered) {
-        answered = true;
+    void complete(String value) {
+      if (!completed) {
+        completed = true;
         openOperations.remove(this);
-        answers++;
+        replies++;
         record(
             new LinearizabilityChecker.Operation(
                 write, value, (long) (calledAt * 1000), (long) (now * 1000)));
@@ -222,7 +222,7 @@
     }
 
     void record(LinearizabilityChecker.Operation operation) {
-      history.computeIfAbsent(key, absent -> new ArrayList<>()).add(operation);
+      history.computeIfAbsent(key, newKey -> new ArrayList<>()).add(operation);
     }
   }
 
@@ -239,15 +239,15 @@
   private final RaftConfig config;
   private final boolean largeSnapshots;
 
-  /** Whether election timeouts are nearly the same, so that elections often collide. */
-  private final boolean contended;
+  /** Whether election timeouts vary so little that elections often collide. */
+  private final boolean collidingElections;
 
   private double now;
-  private long order;
-  private long lastOperation;
+  private long nextEventOrder;
+  private long lastOperationId;
   private boolean faultsStopped;
 
-  int answers;
+  int replies;
   int elections;
   int membershipChanges;
   int snapshotChunks;
@@ -256,17 +256,17 @@
     random = new SplittableRandom(seed);
     this.seededBugs = seededBugs;
     largeSnapshots = random.nextInt(4) == 0;
-    contended = random.nextInt(4) == 0;
+    collidingElections = random.nextInt(4) == 0;
     int entries = random.nextInt(3) == 0 ? 1 : 64;
-    config = new RaftConfig(TimeSpan.millis(300), TimeSpan.millis(60), DRIFT, entries);
+    config = new RaftConfig(TimeSpan.millis(300), TimeSpan.millis(60), MAX_CLOCK_DRIFT, entries);
     List<String> members = new ArrayList<>();
     for (int i = 0; i < size; i++) {
       members.add("n" + i);
     }
     for (int i = 0; i < size + 1; i++) {
-      // One more node may become a member.
+      // The last node is initially not a member.
       List<String> initialMembers = i < size ? members : List.of();
-      double speed = 1 + (random.nextDouble() * 2 - 1) * DRIFT;
+      double speed = 1 + (random.nextDouble() * 2 - 1) * MAX_CLOCK_DRIFT;
       SimulatedNode node = new SimulatedNode("n" + i, speed, DurableState.initial(initialMembers));
       nodes.put(node.name, node);
       node.start();
@@ -274,13 +274,14 @@
   }
 
   private void schedule(double delayMs, Runnable action) {
-    events.add(new Event(now + delayMs, order++, action));
+    events.add(new Event(now + delayMs, nextEventOrder++, action));
   }
 
   /**
-   * Runs for a simulated time, the last fifth without faults.
+   * Runs the simulation, with no faults in the last fifth of the time.
    *
-   * @throws IllegalStateException when a property is violated
+   * @param ms the simulated time in milliseconds
+   * @throws IllegalStateException if a checked property is violated
    */
   void run(double ms) {
     scheduleClient();
@@ -314,7 +315,8 @@
     history.forEach(
         (key, operations) -> {
           if (!LinearizabilityChecker.isLinearizable(operations)) {
-            throw new IllegalStateException("not linearizable: " + key + " " + operations);
+            throw new IllegalStateException(
+                "history of " + key + " is not linearizable: " + operations);
           }
         });
   }
@@ -338,12 +340,12 @@
   }
 
   private void issueOperation(SimulatedNode node) {
-    if (node.busyFor() > 0 || openOperations.size() > 6) {
+    if (node.remainingBusyMs() > 0 || openOperations.size() > 6) {
       return;
     }
-    String key = "k" + random.nextInt(KEYS);
+    String key = "k" + random.nextInt(KEY_COUNT);
     if (random.nextBoolean()) {
-      String value = "v" + ++lastOperation;
+      String value = "v" + ++lastOperationId;
       ClientOperation operation = new ClientOperation(key, value);
       long index =
           node.raft.propose((key + "=" + value).getBytes(StandardCharsets.UTF_8), node.clock());
@@ -356,25 +358,25 @@
       }
     } else {
       ClientOperation operation = new ClientOperation(key, null);
-      long number = ++lastOperation;
-      node.pendingReads.put(number, operation);
-      if (node.raft.requestRead(number, node.clock())) {
+      long readId = ++lastOperationId;
+      node.pendingReads.put(readId, operation);
+      if (node.raft.requestRead(readId, node.clock())) {
         scheduleClientTimeout(operation);
       } else {
-        node.pendingReads.remove(number);
+        node.pendingReads.remove(readId);
         openOperations.remove(operation);
       }
     }
     node.drainReady();
   }
 
-  /** Lets the client give up; the operation may still be executed. */
+  /** Schedules the client's timeout, after which the operation may still be executed. */
   private void scheduleClientTimeout(ClientOperation operation) {
     schedule(
         2000,
         () -> {
-          if (!operation.answered && openOperations.remove(operation)) {
-            operation.answered = true;
+          if (!operation.completed && openOperations.remove(operation)) {
+            operation.completed = true;
             operation.record(
                 new LinearizabilityChecker.Operation(
                     operation.write, null, (long) (operation.calledAt * 1000), Long.MAX_VALUE));
@@ -384,18 +386,18 @@
 
   // ---- Faults
 
-  private void send(SimulatedNode from, RaftMessage raftMessage) {
-    if (raftMessage instanceof RaftMessage.InstallSnapshot) {
+  private void send(SimulatedNode from, RaftMessage message) {
+    if (message instanceof RaftMessage.InstallSnapshot) {
       snapshotChunks++;
     }
     if (!faultsStopped
-        && raftMessage instanceof RaftMessage.RequestVoteResponse voted
-        && voted.granted()
+        && message instanceof RaftMessage.RequestVoteResponse response
+        && response.granted()
         && random.nextInt(6) == 0) {
-      // It must still know the vote when it restarts.
+      // A crash right after voting checks that the vote was persisted.
       schedule(1, () -> crash(from));
     }
-    if (blockedLinks.contains(from.name + raftMessage.to())
+    if (blockedLinks.contains(from.name + message.to())
         || (!faultsStopped && random.nextInt(40) == 0)) {
       return;
     }
@@ -405,8 +407,7 @@
     }
     int copies = random.nextInt(50) == 0 ? 2 : 1;
     for (int i = 0; i < copies; i++) {
-      schedule(
-          delay + i * random.nextInt(30), () -> nodes.get(raftMessage.to()).receive(raftMessage));
+      schedule(delay + i * random.nextInt(30), () -> nodes.get(message.to()).receive(message));
     }
   }
 
@@ -433,7 +434,7 @@
                     });
             case 6 -> nodes.values().forEach(peer -> changeMembers(peer, other));
             case 7 -> {
-              if (node.raft != null && node.busyFor() == 0) {
+              if (node.raft != null && node.remainingBusyMs() == 0) {
                 node.raft.transferLeadership(other.name, node.clock());
                 node.drainReady();
               }
@@ -456,7 +457,7 @@
   private void crash(SimulatedNode node) {
     if (node.raft != null) {
       node.crash();
-      // Restarts before the others notice, or later.
+      // Half of the restarts are too fast for the other nodes to notice the crash.
       int downtimeMs = random.nextBoolean() ? random.nextInt(30) : random.nextInt(1500);
       schedule(
           downtimeMs,
@@ -469,7 +470,7 @@
   }
 
   private void changeMembers(SimulatedNode node, SimulatedNode other) {
-    if (node.raft == null || node.busyFor() > 0) {
+    if (node.raft == null || node.remainingBusyMs() > 0) {
       return;
     }
     List<String> members = new ArrayList<>(node.raft.members());
@@ -487,12 +488,12 @@
   private void checkLeaders() {
     for (SimulatedNode node : nodes.values()) {
       if (node.raft != null && node.raft.role() == RaftNode.Role.LEADER) {
-        String before = leaderOfTerm.putIfAbsent(node.raft.term(), node.name);
-        if (before == null) {
+        String previous = leaderOfTerm.putIfAbsent(node.raft.term(), node.name);
+        if (previous == null) {
           elections++;
-        } else if (!before.equals(node.name)) {
+        } else if (!previous.equals(node.name)) {
           throw new IllegalStateException(
-              "two leaders of term " + node.raft.term() + ": " + before + " and " + node.name);
+              "two leaders of term " + node.raft.term() + ": " + previous + " and " + node.name);
         }
       }
     }
@@ -500,10 +501,10 @@
 
   private void checkApplied(LogEntry entry) {
     String text = entry.term() + " " + entry.members() + " " + Arrays.toString(entry.data());
-    String before = appliedEntries.putIfAbsent(entry.index(), text);
-    if (before != null && !before.equals(text)) {
+    String previous = appliedEntries.putIfAbsent(entry.index(), text);
+    if (previous != null && !previous.equals(text)) {
       throw new IllegalStateException(
-          "entry " + entry.index() + " was applied as " + before + " and as " + text);
+          "entry " + entry.index() + " was applied as " + previous + " and as " + text);
     }
   }
 
@@ -525,8 +526,8 @@
     return map;
   }
 
-  /** Describes the nodes, to investigate a failed run. */
-  String dump() {
+  /** Returns a description of the nodes for investigating a failed run. */
+  String describe() {
     StringBuilder out = new StringBuilder();
     for (SimulatedNode node : nodes.values()) {
       out.append(node.name).append(node.raft == null ? " down" : " " + node.raft.role());
--- a/src/test/java/io/saltflow/raft/RaftSimulationTest.java
+++ b/src/test/java/io/saltflow/raft/RaftSimulationTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Runs seeded simulations of groups of three and five members, and checks that seeded bugs are
- * found. Run as a program it takes the number of seeds, the first seed, and the simulated seconds
- * of each; or the name of a bug, whose first failing seed it searches.
+ * Guards against non-linearizable histories in simulated groups of three and five members, and
+ * checks that the simulation detects seeded bugs. The main method takes the number of seeds, the
+ * first seed and the simulated seconds per seed, or the name of a bug to search a failing seed for.
  */
 class RaftSimulationTest {
   private static final int SIMULATED_MS = 12_000;
@@ -32,29 +32,29 @@
 
   @Test
   void historiesAreLinearizableUnderFaults() {
-    int answers = 0;
+    int replies = 0;
     int elections = 0;
     int membershipChanges = 0;
     int snapshotChunks = 0;
     int idleRuns = 0;
     for (long seed = 0; seed < 500; seed++) {
       RaftSimulation simulation = run(seed, SIMULATED_MS, EnumSet.noneOf(SeededBug.class));
-      answers += simulation.answers;
+      replies += simulation.replies;
       elections += simulation.elections;
       membershipChanges += simulation.membershipChanges;
       snapshotChunks += simulation.snapshotChunks;
-      idleRuns += simulation.answers < 20 ? 1 : 0;
+      idleRuns += simulation.replies < 20 ? 1 : 0;
     }
     System.out.printf(
         "500 runs: %d replies, %d elections, %d membership changes, %d snapshot chunks%n",
-        answers, elections, membershipChanges, snapshotChunks);
+        replies, elections, membershipChanges, snapshotChunks);
     assertTrue(
-        answers > 50_000 && elections > 1500 && membershipChanges > 100 && snapshotChunks > 500,
-        "" + answers);
-    assertTrue(idleRuns < 10, "runs in which nearly nothing was served: " + idleRuns);
+        replies > 50_000 && elections > 1500 && membershipChanges > 100 && snapshotChunks > 500,
+        "too few events were simulated, replies: " + replies);
+    assertTrue(idleRuns < 10, "runs with fewer than 20 replies: " + idleRuns);
   }
 
-  /** Returns the first seed from the given one on whose run fails; -1: none of so many. */
+  /** Returns the first of {@code count} seeds whose run fails, or -1 if none does. */
   private static long firstFailingSeed(SeededBug bug, long from, long count) {
     for (long seed = from; seed < from + count; seed++) {
       try {
@@ -66,7 +66,7 @@
     return -1;
   }
 
-  /** Where the search for each begins: known from a search from seed 0 (docs/PERFORMANCE.md). */
+  /** Seeds at which the search for rarely detected bugs starts, to keep the test short. */
   private static final Map<SeededBug, Long> FIRST_FAILING_SEEDS =
       Map.of(
           SeededBug.VOTE_NOT_PERSISTED, 2519L,
@@ -74,31 +74,35 @@
           SeededBug.READ_WITHOUT_HEARTBEAT_ROUND, 489L);
 
   @Test
-  void seededBugsAreFound() {
+  void seededBugsAreDetected() {
     for (SeededBug bug : EnumSet.complementOf(EnumSet.of(SeededBug.COMMIT_OF_EARLIER_TERM))) {
       assertTrue(
           firstFailingSeed(bug, FIRST_FAILING_SEEDS.getOrDefault(bug, 0L), 300) >= 0,
-          bug + " was not found");
+          bug + " was not detected");
     }
   }
 
   /**
-   * Figure 8 of the paper: an entry of an earlier term that a majority stores may still be
-   * replaced, until one of the leader's own term follows it. Written by hand, as 3,000 random runs
-   * never showed the bug: the leader's own entry is sent right after.
+   * Guards against committing an entry of an earlier term before one of the leader's own term
+   * (figure 8 of the paper). The simulation rarely reaches this state, as the leader's own entry
+   * follows immediately.
    */
   @Test
-  void earlierTermsEntryIsNotCommittedByCountingReplicas() {
+  void entryOfEarlierTermIsNotCommittedByCountingReplicas() {
     for (boolean bugSeeded : new boolean[] {false, true}) {
       RaftNode leader = leaderOfTermFour(bugSeeded);
-      for (String other : List.of("b", "c")) {
-        leader.receive(new RaftMessage.AppendEntriesResponse(other, "a", 4, true, 2, 1), NOW);
+      for (String voter : List.of("b", "c")) {
+        leader.receive(new RaftMessage.AppendEntriesResponse(voter, "a", 4, true, 2, 1), NOW);
       }
-      assertEquals(bugSeeded ? 2 : 0, leader.commitIndex(), "the old entry is on three of five");
-      for (String other : List.of("b", "c")) {
-        leader.receive(new RaftMessage.AppendEntriesResponse(other, "a", 4, true, 3, 1), NOW);
+      assertEquals(
+          bugSeeded ? 2 : 0,
+          leader.commitIndex(),
+          "entry of an earlier term stored by three of five members");
+      for (String voter : List.of("b", "c")) {
+        leader.receive(new RaftMessage.AppendEntriesResponse(voter, "a", 4, true, 3, 1), NOW);
       }
-      assertEquals(3, leader.commitIndex(), "its own entry is, too");
+      assertEquals(
+          3, leader.commitIndex(), "entry of the leader's term stored by three of five members");
     }
   }
 
@@ -120,8 +124,8 @@
                 : EnumSet.noneOf(SeededBug.class));
     leader.tick(NOW);
     for (boolean preVote : new boolean[] {true, false}) {
-      for (String other : List.of("b", "c")) {
-        leader.receive(new RaftMessage.RequestVoteResponse(other, "a", 4, true, preVote), NOW);
+      for (String voter : List.of("b", "c")) {
+        leader.receive(new RaftMessage.RequestVoteResponse(voter, "a", 4, true, preVote), NOW);
       }
     }
     assertEquals(RaftNode.Role.LEADER, leader.role());
@@ -130,43 +134,49 @@
     return leader;
   }
 
-  /** The checker itself: histories that can and that can't have happened. */
   @Test
   void checkerAcceptsExactlyLinearizableHistories() {
-    LinearizabilityChecker.Operation w1 = new LinearizabilityChecker.Operation("1", null, 0, 10);
-    LinearizabilityChecker.Operation w2 = new LinearizabilityChecker.Operation("2", null, 5, 15);
-    LinearizabilityChecker.Operation lost =
+    LinearizabilityChecker.Operation firstWrite =
+        new LinearizabilityChecker.Operation("1", null, 0, 10);
+    LinearizabilityChecker.Operation secondWrite =
+        new LinearizabilityChecker.Operation("2", null, 5, 15);
+    LinearizabilityChecker.Operation openWrite =
         new LinearizabilityChecker.Operation("3", null, 12, Long.MAX_VALUE);
     assertTrue(
         LinearizabilityChecker.isLinearizable(
-            List.of(w1, w2, new LinearizabilityChecker.Operation(null, "1", 16, 20))));
+            List.of(
+                firstWrite, secondWrite, new LinearizabilityChecker.Operation(null, "1", 16, 20))));
     assertTrue(
         LinearizabilityChecker.isLinearizable(
-            List.of(w1, w2, new LinearizabilityChecker.Operation(null, "2", 16, 20))));
+            List.of(
+                firstWrite, secondWrite, new LinearizabilityChecker.Operation(null, "2", 16, 20))));
     assertFalse(
         LinearizabilityChecker.isLinearizable(
-            List.of(w1, w2, new LinearizabilityChecker.Operation(null, null, 16, 20))),
-        "both returned");
+            List.of(
+                firstWrite, secondWrite, new LinearizabilityChecker.Operation(null, null, 16, 20))),
+        "read after both writes returned cannot find no value");
     assertFalse(
         LinearizabilityChecker.isLinearizable(
             List.of(
-                w1,
-                w2,
+                firstWrite,
+                secondWrite,
                 new LinearizabilityChecker.Operation(null, "1", 16, 18),
                 new LinearizabilityChecker.Operation(null, "2", 19, 20))));
     assertTrue(
         LinearizabilityChecker.isLinearizable(
-            List.of(w1, lost, new LinearizabilityChecker.Operation(null, "3", 50, 60))),
-        "late");
+            List.of(
+                firstWrite, openWrite, new LinearizabilityChecker.Operation(null, "3", 50, 60))),
+        "write without a response takes effect late");
     assertTrue(
         LinearizabilityChecker.isLinearizable(
-            List.of(w1, lost, new LinearizabilityChecker.Operation(null, "1", 50, 60))),
-        "or never");
+            List.of(
+                firstWrite, openWrite, new LinearizabilityChecker.Operation(null, "1", 50, 60))),
+        "write without a response never takes effect");
     assertFalse(
         LinearizabilityChecker.isLinearizable(
             List.of(
-                w1,
-                lost,
+                firstWrite,
+                openWrite,
                 new LinearizabilityChecker.Operation(null, "3", 20, 30),
                 new LinearizabilityChecker.Operation(null, "1", 50, 60))));
   }
@@ -180,11 +190,11 @@
     long count = Long.parseLong(args[0]);
     long from = Long.parseLong(args[1]);
     double ms = Double.parseDouble(args[2]) * 1000;
-    long answers = 0;
+    long replies = 0;
     for (long seed = from; seed < from + count; seed++) {
-      answers += run(seed, ms, EnumSet.noneOf(SeededBug.class)).answers;
+      replies += run(seed, ms, EnumSet.noneOf(SeededBug.class)).replies;
     }
     System.out.printf(
-        "%d runs of %.0f s from seed %d: %d replies, no fault%n", count, ms / 1000, from, answers);
+        "%d runs of %.0f s from seed %d: %d replies, no fault%n", count, ms / 1000, from, replies);
   }
 }
