--- a/src/main/java/io/saltflow/raft/Election.java
+++ b/src/main/java/io/saltflow/raft/Election.java
@@ -28,7 +28,7 @@
   private MonotonicTime lastLeaderContact;
 
   /**
-   * @param random returns a random number from 0 up to, not including, its argument
+   * @param random returns a random number from 0 (inclusive) to its argument (exclusive)
    */
   Election(NodeState state, LongUnaryOperator random, MonotonicTime now) {
     this.state = state;
--- a/src/main/java/io/saltflow/raft/RaftNode.java
+++ b/src/main/java/io/saltflow/raft/RaftNode.java
@@ -294,10 +294,10 @@
 
   /**
    * Returns whether this node holds a leader lease, so that no other leader can have been elected
-   * yet (section 6.4.1 of the dissertation). The members of a quorum grant no vote within an
-   * election timeout of receiving a heartbeat, so the lease runs from the time at which the
-   * heartbeat was sent. Twice the clock drift is subtracted because the voters' clocks may be fast
-   * and this node's clock slow.
+   * yet (section 6.4.1 of the dissertation). Members that acknowledged a heartbeat grant no vote
+   * within an election timeout of receiving it, so the lease runs from the time at which a
+   * heartbeat acknowledged by a quorum was sent. Twice the clock drift is subtracted because the
+   * voters' clocks may be fast and this node's clock slow.
    */
   public boolean holdsLease(MonotonicTime now) {
     if (!state.isLeader() || transfer.isUnderWay()) {
