--- a/src/main/java/io/saltflow/kv/KeyValueStore.java
+++ b/src/main/java/io/saltflow/kv/KeyValueStore.java
@@ -245,7 +245,7 @@
    * Begins a snapshot by returning an iterator over the current contents. Values that change before
    * the iterator reaches them are preserved for it. Only one snapshot can be active at a time.
    */
-  public SnapshotIterator copy() {
+  public SnapshotIterator snapshot() {
     activeSnapshot = new SnapshotIterator();
     return activeSnapshot;
   }
--- a/src/main/java/io/saltflow/kvserver/StandaloneServer.java
+++ b/src/main/java/io/saltflow/kvserver/StandaloneServer.java
@@ -199,7 +199,7 @@
   /** Begins a snapshot. No write is under way, so the store and the log match. */
   private void beginSnapshot() {
     bytesWrittenAtSnapshot = log.bytesWritten();
-    contents = core.store().copy();
+    contents = core.store().snapshot();
     snapshot = log.beginSnapshot();
     writeNext();
   }
--- a/src/main/java/io/saltflow/kvserver/StoreMaintenance.java
+++ b/src/main/java/io/saltflow/kvserver/StoreMaintenance.java
@@ -77,7 +77,7 @@
   public void dump(PrintStream out) throws IOException {
     ObjectMapper json = new ObjectMapper();
     try (FileSystemDirectory directory = FileSystemDirectory.openReadOnly(folder)) {
-      KeyValueStore.SnapshotIterator snapshot = openReadOnly(directory).store.copy();
+      KeyValueStore.SnapshotIterator snapshot = openReadOnly(directory).store.snapshot();
       forEachPart(
           snapshot,
           part -> {
@@ -126,7 +126,7 @@
       OpenedStore opened = openReadOnly(directory);
       String name = target.getFileName().toString();
       BackupFile backup = new BackupFile(backupDirectory, name + ".new", opened.log.storeId());
-      KeyValueStore.SnapshotIterator contents = opened.store.copy();
+      KeyValueStore.SnapshotIterator contents = opened.store.snapshot();
       forEachPart(contents, part -> backup.append(part.stream().map(WriteBatch::encode).toList()));
       backup.finish();
       backupDirectory.rename(name + ".new", name);
@@ -170,7 +170,7 @@
       throws IOException {
     WriteAheadLog log =
         StoreRecovery.open(directory, MAX_SEGMENT_BYTES, storeId, new KeyValueStore(), EPOCH);
-    KeyValueStore.SnapshotIterator contents = store.copy();
+    KeyValueStore.SnapshotIterator contents = store.snapshot();
     WriteAheadLog.SnapshotWriter snapshot = log.beginSnapshot();
     forEachPart(contents, part -> snapshot.append(part.stream().map(WriteBatch::encode).toList()));
     snapshot.finish();
--- a/src/main/java/io/saltflow/kvserver/StoreSnapshotTaker.java
+++ b/src/main/java/io/saltflow/kvserver/StoreSnapshotTaker.java
@@ -42,7 +42,7 @@
 
   /** Begins a snapshot of a store that has applied the log up to an index. */
   void begin(KeyValueStore store, long lastApplied) {
-    contents = store.copy();
+    contents = store.snapshot();
     encoder = new StateMachineCodec.SnapshotEncoder(contents.revision());
     index = lastApplied;
     bytesSinceSnapshot = 0;
--- a/src/test/java/io/saltflow/kv/CommitPipelineTest.java
+++ b/src/test/java/io/saltflow/kv/CommitPipelineTest.java
@@ -139,7 +139,7 @@
           expected.put("k" + i, "" + store.value("k" + i));
         }
       }
-      KeyValueStore.SnapshotIterator snapshot = store.copy();
+      KeyValueStore.SnapshotIterator snapshot = store.snapshot();
       KeyValueStore restored = new KeyValueStore();
       for (List<WriteBatch> part = snapshot.next(3); !part.isEmpty(); part = snapshot.next(3)) {
         part.forEach(batch -> restored.apply(batch, now));
--- a/src/test/java/io/saltflow/kvserver/GroupStorageForms.java
+++ b/src/test/java/io/saltflow/kvserver/GroupStorageForms.java
@@ -41,7 +41,7 @@
   }
 
   private static byte[] snapshot(KeyValueStore store) {
-    KeyValueStore.SnapshotIterator copy = store.copy();
+    KeyValueStore.SnapshotIterator copy = store.snapshot();
     StateMachineCodec.SnapshotEncoder writer =
         new StateMachineCodec.SnapshotEncoder(copy.revision());
     for (List<WriteBatch> part = copy.next(KEYS_PER_PART);
