--- a/src/main/java/io/saltflow/api/HeldHeartbeats.java
+++ b/src/main/java/io/saltflow/api/HeldHeartbeats.java
@@ -8,24 +8,27 @@
 import java.util.Deque;
 
 /**
- * Worker heartbeats that are held for a moment until there is a leader that can answer them. A
- * worker that is redirected instead asks all other nodes first and is some seconds late, and so is
- * every task that waits for all machines to be reconciled. Used on the event loop's thread.
+ * Holds worker heartbeats briefly until a leader can answer them. A worker that is redirected
+ * instead tries all other nodes first; the delay of several seconds would hold up every task that
+ * waits for the reconciliation of all machines. Not thread-safe: used on the event loop's thread.
  */
 public final class HeldHeartbeats extends Routine {
-  /** While the leader seems to have failed: until another has acquired leadership. */
+  /**
+   * Maximum time to wait for another node to acquire leadership after the leader seems to have
+   * failed.
+   */
   private static final TimeSpan ELECTION_HOLD = TimeSpan.millis(1500);
 
   /**
-   * In addition, while this node was elected and reads the records. Both together are well below
-   * the 4 s that a worker waits for its answer.
+   * Additional time while this node, once elected, reads the records. The sum is well below the
+   * worker's request timeout of 4 s.
    */
   private static final TimeSpan RECOVERY_HOLD = TimeSpan.millis(1500);
 
-  /** Bounds the memory: a heartbeat takes some kilobytes. */
+  /** Bounds the memory, as a heartbeat takes a few kilobytes. */
   private static final int MAX_HELD = 1500;
 
-  /** Answered in one turn of the event loop: each costs the leader what any heartbeat does. */
+  /** Maximum number of heartbeats answered in one iteration of the event loop. */
   private static final int MAX_PER_TURN = 50;
 
   private static final TimeSpan CHECK_INTERVAL = TimeSpan.millis(100);
@@ -36,19 +39,19 @@
   private final Deque<HeldHeartbeat> held = new ArrayDeque<>();
   private boolean checkScheduled;
 
-  /** The first so many need not be held any longer: they are answered, some of them a turn. */
+  /** Number of heartbeats at the head of the queue that are released but not answered yet. */
   private int released;
 
-  /** Whether this node was elected and reads the records, for which all are held. */
+  /** Whether this node was elected and still reads the records. */
   private boolean recovering;
 
-  /** Holds nothing at first; what is held ends unanswered with the parent. */
+  /** Creates an empty queue. Heartbeats held when the parent is cancelled stay unanswered. */
   public HeldHeartbeats(Routine parent, EventLoop loop) {
     super(parent);
     this.loop = loop;
   }
 
-  /** Whether no more can be held. */
+  /** Returns whether no more heartbeats can be held. */
   public boolean full() {
     return held.size() >= MAX_HELD;
   }
@@ -56,19 +59,19 @@
   /**
    * Holds a heartbeat.
    *
-   * @param answer answers it by what holds at that time
+   * @param answer answers the heartbeat according to the state at that time
    */
   public void add(Runnable answer) {
     held.add(new HeldHeartbeat(loop.now().plus(ELECTION_HOLD), answer));
     scheduleCheck(CHECK_INTERVAL);
   }
 
-  /** This node was elected and reads the records now: all are held until that is done. */
+  /** Extends the hold time while this node, just elected, reads the records. */
   public void onElected() {
     recovering = true;
   }
 
-  /** Lets all go: there is a leader that can answer, here or elsewhere. */
+  /** Releases all held heartbeats once a leader, here or elsewhere, can answer them. */
   public void release() {
     recovering = false;
     released = held.size();
@@ -93,7 +96,7 @@
     scheduleCheck(firstIsDue(expiredBefore) ? new TimeSpan(0) : CHECK_INTERVAL);
   }
 
-  /** Whether the first is to be answered; the others came later and are held as long. */
+  /** Returns whether the oldest heartbeat is due. Later ones have later deadlines. */
   private boolean firstIsDue(MonotonicTime expiredBefore) {
     return !held.isEmpty() && (released > 0 || !expiredBefore.before(held.peek().deadline()));
   }
--- a/src/main/java/io/saltflow/api/JobValidator.java
+++ b/src/main/java/io/saltflow/api/JobValidator.java
@@ -10,15 +10,13 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/**
- * Judges whether a job could ever run, by its team's quota and by the machine types that there are.
- */
+/** Validates that a job can run at all, given its team's quota and the available machine types. */
 public final class JobValidator {
   private final Map<String, Policy.TeamQuota> teams;
   private final Supplier<Collection<MachineType>> machineTypes;
 
   /**
-   * @param machineTypes the types that are known now; empty: none are known yet
+   * @param machineTypes returns the currently known types; empty if none are known yet
    */
   public JobValidator(
       Map<String, Policy.TeamQuota> teams, Supplier<Collection<MachineType>> machineTypes) {
@@ -26,19 +24,25 @@
     this.machineTypes = machineTypes;
   }
 
-  /** Whether machine types are known, without which no job can be judged. */
+  /** Returns whether machine types are known, which validation requires. */
   boolean isReady() {
     return !machineTypes.get().isEmpty();
   }
 
-  /** Why a submitted job is refused, with the wire names of the fields at fault; null: it isn't. */
+  /**
+   * Returns why a submission must be refused, with the wire names of the invalid fields, or {@code
+   * null} if it is valid.
+   */
   String submissionFault(JobSpec spec) {
     return spec.jobClass().startsWith(Wire.SERVICE_CLASS)
         ? Wire.JOB_CLASS + ": the class of a service, which is set up as such"
         : unsatisfiableReason(spec);
   }
 
-  /** Why no machine will ever run a job, with the wire names of the fields at fault; or null. */
+  /**
+   * Returns why no machine can ever run a job, with the wire names of the invalid fields, or {@code
+   * null} if one can.
+   */
   public String unsatisfiableReason(JobSpec spec) {
     Policy.TeamQuota team = teams.get(spec.team());
     if (team == null) {
--- a/src/main/java/io/saltflow/api/SchedulingApi.java
+++ b/src/main/java/io/saltflow/api/SchedulingApi.java
@@ -24,10 +24,10 @@
 import java.util.function.Supplier;
 
 /**
- * The HTTP interface of operators to the scheduling order: {@code GET /queue}, {@code POST
- * /queue/ID}, {@code GET /moves}, {@code GET /ready[/QUEUE]}. Any node overrides a job's order and
- * answers readiness, by what is recorded; the queue and the migrations only the leader knows, and
- * any other node names it.
+ * HTTP API by which operators inspect and override the scheduling order: {@code GET /queue}, {@code
+ * POST /queue/ID}, {@code GET /moves}, {@code GET /ready[/QUEUE]}. Any node overrides a job's order
+ * and answers readiness from the recorded state. Only the leader knows the queue and the
+ * migrations; other nodes name the leader.
  */
 public final class SchedulingApi {
   public static final String QUEUE_PATH = "/queue";
@@ -37,10 +37,10 @@
   public static final String LANES = "lanes";
   public static final String LINES = "lines";
 
-  /** In place of a lane's name: in front of the job's own lane. */
+  /** Value used in place of a lane name to move a job to the front of its own lane. */
   static final String FRONT = "front";
 
-  /** Of each queue the open daily deadline and the one before are answered. */
+  /** Daily deadlines reported per queue: the open one and the one before it. */
   private static final int MAX_DEADLINES_PER_QUEUE = 2;
 
   private final JobRepository jobs;
@@ -52,8 +52,8 @@
   private final EventLoop loop;
 
   /**
-   * @param activeCore the core of this node as the leader, or null
-   * @param leaderName the host that leads, or null
+   * @param activeCore returns the leader core, or {@code null} if this node does not lead
+   * @param leaderName returns the leader's host, or {@code null} if it is not known
    */
   public SchedulingApi(
       JobRepository jobs,
@@ -72,7 +72,7 @@
     this.loop = loop;
   }
 
-  /** Whether a path belongs to this interface. */
+  /** Returns whether this API serves a path. */
   public static boolean serves(String path) {
     return path.equals(QUEUE_PATH)
         || path.startsWith(QUEUE_PATH + "/")
@@ -81,7 +81,7 @@
         || path.startsWith(READINESS_PATH + "/");
   }
 
-  /** Answers a request at a path that {@link #serves}. */
+  /** Handles a request whose path this API {@link #serves}. */
   public void handle(String method, String path, byte[] body, Consumer<HttpResponse> answer) {
     boolean post = method.equals("POST");
     if (path.startsWith(READINESS_PATH) && !post) {
@@ -107,18 +107,18 @@
   }
 
   private MessageBody queueReport(LeaderCore core) {
-    List<Object> lanesReport = new ArrayList<>();
-    for (LaneSummary line : core.queueView(loop.now())) {
-      lanesReport.add(
+    List<Object> laneRows = new ArrayList<>();
+    for (LaneSummary summary : core.queueView(loop.now())) {
+      laneRows.add(
           MessageBody.of()
-              .with(LANE, line.lane())
-              .with("jobs", line.jobs())
-              .with("tasks", line.tasks())
-              .with("why", line.waitReason())
-              .with("first", line.firstJobs())
+              .with(LANE, summary.lane())
+              .with("jobs", summary.jobs())
+              .with("tasks", summary.tasks())
+              .with("why", summary.waitReason())
+              .with("first", summary.firstJobs())
               .fields());
     }
-    return MessageBody.of().with(LANES, lanesReport);
+    return MessageBody.of().with(LANES, laneRows);
   }
 
   private void answerReadiness(String queue, Consumer<HttpResponse> answer) {
--- a/src/main/java/io/saltflow/api/ServiceApi.java
+++ b/src/main/java/io/saltflow/api/ServiceApi.java
@@ -13,9 +13,9 @@
 import java.util.function.Supplier;
 
 /**
- * The HTTP interface of services and their rollouts, beside the platform's paths: {@code
- * /services}, {@code /services/NAME}, {@code /services/NAME/rollout} and {@code .../rollout/pause}
- * and so on. Only the leader answers; any other node names the leader and a time to retry after.
+ * HTTP API of services and their rollouts: {@code /services}, {@code /services/NAME}, {@code
+ * /services/NAME/rollout}, and commands such as {@code .../rollout/pause}. Only the leader answers;
+ * other nodes respond with the leader's name and a time to retry after.
  */
 public final class ServiceApi {
   private static final String ROLLOUT = "/rollout";
@@ -24,15 +24,16 @@
   private final Supplier<String> leaderName;
 
   /**
-   * @param activeServices the services that this node controls as the leader, or null
-   * @param leaderName the host that leads, or null
+   * @param activeServices returns the service controller, or {@code null} if this node does not
+   *     control services
+   * @param leaderName returns the leader's host, or {@code null} if it is not known
    */
   public ServiceApi(Supplier<ServiceController> activeServices, Supplier<String> leaderName) {
     this.activeServices = activeServices;
     this.leaderName = leaderName;
   }
 
-  /** Answers a request at or below {@code /services}. */
+  /** Handles a request at or below {@code /services}. */
   public void handle(String method, String path, byte[] body, Consumer<HttpResponse> answer) {
     ServiceController services = activeServices.get();
     if (services == null || !services.ready()) {
@@ -74,10 +75,12 @@
     String action = slash < 0 ? "" : subpath.substring(slash);
     RolloutCommand command = action.startsWith(ROLLOUT + "/") ? command(action) : null;
     if (action.isEmpty() && !post) {
-      MessageBody shown = services.show(name);
+      MessageBody description = services.show(name);
       answer.accept(
-          shown == null ? 404 : 200,
-          shown == null ? MessageBody.of().with(Wire.ERROR, "no service '" + name + "'") : shown);
+          description == null ? 404 : 200,
+          description == null
+              ? MessageBody.of().with(Wire.ERROR, "no service '" + name + "'")
+              : description);
     } else if (action.equals(ROLLOUT) && post) {
       services.begin(name, request, answer);
     } else if (command != null && post) {
--- a/src/main/java/io/saltflow/api/UserApi.java
+++ b/src/main/java/io/saltflow/api/UserApi.java
@@ -25,24 +25,27 @@
 import java.util.function.Supplier;
 
 /**
- * The HTTP interface of users: submitting, querying and cancelling jobs. Any node answers, by the
- * key-value store: nothing is answered that is not recorded, and what can't be answered now is
- * refused at once with 503 and a time to retry after. Used on the event loop's thread.
+ * HTTP API for submitting, polling and cancelling jobs. Any node answers from the key-value store.
+ * Only recorded state is reported; a request that cannot be answered now is refused at once with
+ * 503 and a time to retry after. Not thread-safe: used on the event loop's thread.
  */
 public final class UserApi {
   private static final int MAX_CONCURRENT_REQUESTS = 256;
 
-  /** From so many requests on, queries of a job that was answered just now are refused. */
-  private static final int REPEATED_POLLS_REFUSED_FROM = 96;
+  /** Number of requests in flight at which repeated polls of a just answered job are refused. */
+  private static final int REPEATED_POLL_REFUSAL_THRESHOLD = 96;
 
-  /** The same of any job that was answered lately, so that room is left to submit and cancel. */
-  private static final int RECENT_POLLS_REFUSED_FROM = 192;
+  /**
+   * Number at which polls of any recently answered job are refused, to leave room for submissions
+   * and cancellations.
+   */
+  private static final int RECENT_POLL_REFUSAL_THRESHOLD = 192;
 
-  /** Up to here, queries of jobs that were refused before may take some of that room, too. */
-  private static final int ALL_POLLS_REFUSED_FROM = 224;
+  /** Number at which polls of jobs that were refused before are refused as well. */
+  private static final int ALL_POLL_REFUSAL_THRESHOLD = 224;
 
-  /** Once the store has not answered for so long, requests are refused without asking it. */
-  private static final TimeSpan MAX_STORE_FAILURE = TimeSpan.seconds(2);
+  /** Store outage after which requests are refused without contacting the store. */
+  private static final TimeSpan MAX_STORE_OUTAGE = TimeSpan.seconds(2);
 
   private final JobRepository jobs;
   private final KeyValueClient store;
@@ -54,14 +57,17 @@
   private final FairPolling fairPolling =
       new FairPolling(
           new FairPolling.PollLimits(
-              REPEATED_POLLS_REFUSED_FROM, RECENT_POLLS_REFUSED_FROM, ALL_POLLS_REFUSED_FROM));
+              REPEATED_POLL_REFUSAL_THRESHOLD,
+              RECENT_POLL_REFUSAL_THRESHOLD,
+              ALL_POLL_REFUSAL_THRESHOLD));
   private int inFlight;
 
   /**
-   * @param taskCounts the done and running tasks of a job; null: not known here
-   * @param wallMs the time of day in milliseconds since the epoch
+   * @param taskCounts returns the counts of done and running tasks of a job, or {@code null} if not
+   *     known
+   * @param wallMs the wall clock in milliseconds since the epoch
    * @param now the monotonic clock
-   * @param cascadeBarrier says of which jobs it may be answered that they are live
+   * @param cascadeBarrier decides which jobs may be reported as live
    */
   public UserApi(
       JobRepository jobs,
@@ -80,7 +86,7 @@
     this.cascadeBarrier = cascadeBarrier;
   }
 
-  /** Submits the job that the body describes; repeating a submission has no effect. */
+  /** Submits the job described by the body. Idempotent. */
   public void submit(byte[] body, Consumer<HttpResponse> answer) {
     MessageBody fields;
     JobId id;
@@ -129,13 +135,13 @@
           422, Wire.DEPENDENCIES + ": " + never.dependency() + " was never accepted");
     }
     if (outcome instanceof JobOutcome.TooLarge) {
-      // Only of a job that is not known: the acceptance has looked it up.
+      // The job is not known: a known one would have been found first.
       return UserResponses.error(400, "the description is too large to be recorded");
     }
     return reply(id, outcome, UserResponses.retryLater("not recorded", 1));
   }
 
-  /** A known job is never refused, whatever a repeated submission of it says. */
+  /** Replies with the status of a known job, which is never refused, or with {@code otherwise}. */
   private void replyIfUnknown(JobId id, HttpResponse otherwise, Consumer<HttpResponse> answer) {
     jobs.find(id, outcome -> answer.accept(reply(id, outcome, otherwise)));
   }
@@ -170,7 +176,7 @@
     };
   }
 
-  /** Answers how far a job has come. */
+  /** Answers with the status of a job. */
   public void poll(String id, Consumer<HttpResponse> answer) {
     if (!JobId.valid(id)) {
       answer.accept(UserResponses.error(404, "no such job"));
@@ -179,7 +185,7 @@
     JobId job = new JobId(id);
     JobStatus ended = jobs.cachedEnd(job);
     if (ended != null) {
-      // An end never changes, so it is answered whatever the store does.
+      // A final state never changes, so it is answered even during an outage.
       answer.accept(statusReply(ended));
       return;
     }
@@ -206,7 +212,7 @@
     }
   }
 
-  /** The jobs whose queries were refused here, to be announced to the other controllers. */
+  /** Returns the jobs whose polls were refused here, to be announced to the peers. */
   public List<PeerHeartbeat.UnansweredJob> unansweredPolls() {
     List<PeerHeartbeat.UnansweredJob> polls = new ArrayList<>();
     fairPolling
@@ -215,12 +221,12 @@
     return polls;
   }
 
-  /** The same of another controller: queries of these jobs go first here. */
+  /** Prioritizes polls of jobs that a peer has refused to answer. */
   public void onPeerUnanswered(List<PeerHeartbeat.UnansweredJob> unanswered) {
     unanswered.forEach(poll -> fairPolling.onPeerRefused(poll.job(), poll.since(), now.get()));
   }
 
-  /** Cancels a job; repeating it has no effect. */
+  /** Cancels a job. Idempotent. */
   public void cancel(String id, Consumer<HttpResponse> answer) {
     if (!JobId.valid(id)) {
       answer.accept(UserResponses.error(404, "no such job"));
@@ -236,12 +242,13 @@
   }
 
   /**
-   * Counts a request as in flight until it is answered; null: it was refused at once, as too many
-   * are in flight or the store has not answered for a while. A request is not held back instead:
-   * its user would have to wait for the same refusal.
+   * Counts a request as in flight until it is answered. Refuses it at once, rather than queueing
+   * it, if too many requests are in flight or the store has not answered for a while.
+   *
+   * @return the consumer of the answer, or {@code null} if the request was refused
    */
   private Consumer<HttpResponse> admit(Consumer<HttpResponse> answer, int limit) {
-    if (inFlight >= limit || store.outageDuration().longerThan(MAX_STORE_FAILURE)) {
+    if (inFlight >= limit || store.outageDuration().longerThan(MAX_STORE_OUTAGE)) {
       answer.accept(UserResponses.retryLater("not served now", 1));
       return null;
     }
--- a/src/main/java/io/saltflow/api/UserResponses.java
+++ b/src/main/java/io/saltflow/api/UserResponses.java
@@ -6,23 +6,23 @@
 import io.saltflow.protocol.Wire;
 import io.saltflow.transport.HttpResponse;
 
-/** The HTTP responses to users and operators. */
+/** Builds the HTTP responses to users and operators. */
 public final class UserResponses {
   private UserResponses() {}
 
-  /** A refusal with its reason. */
+  /** Returns an error response with its reason. */
   public static HttpResponse error(int status, String reason) {
     return HttpResponse.of(
         status, MessagePackCodec.encode(MessageBody.of().with(Wire.ERROR, reason)));
   }
 
-  /** 503 with its reason, and after how many seconds to retry. */
+  /** Returns a 503 response with its reason and the number of seconds to retry after. */
   public static HttpResponse retryLater(String reason, int afterS) {
     return new HttpResponse(
         503, MessagePackCodec.encode(MessageBody.of().with(Wire.ERROR, reason)), afterS);
   }
 
-  /** How far a job has come: its phase by wire name, and its done and running tasks. */
+  /** Returns the status of a job: the wire name of its phase, and its done and running tasks. */
   static HttpResponse jobStatus(int status, JobId id, String phase, int done, int running) {
     return HttpResponse.of(
         status,
--- a/src/main/java/io/saltflow/api/WorkerApi.java
+++ b/src/main/java/io/saltflow/api/WorkerApi.java
@@ -19,14 +19,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The HTTP interface of workers: answers heartbeats with commands. Only a leader whose lease covers
- * it answers 200, as that renews the worker's lease. Used on the event loop's thread.
+ * HTTP API for workers: answers heartbeats with commands. Only a leader with a valid lease answers
+ * 200, since that renews the worker's lease. Not thread-safe: used on the event loop's thread.
  */
 public final class WorkerApi {
-  /** Another node leads; the body names it if it is known. */
+  /** Status if another node leads; the body names that node if it is known. */
   public static final int MISDIRECTED = 421;
 
-  /** Nothing may be answered now, by the leader either. */
+  /** Status if the leader itself must not answer at the moment. */
   public static final int UNAVAILABLE = 503;
 
   private static final Logger LOG = LoggerFactory.getLogger(WorkerApi.class);
@@ -40,11 +40,12 @@
   private final Consumer<WorkerHeartbeat> onMisdirected;
 
   /**
-   * @param leaderHint the leader to redirect workers to; null: not known
-   * @param activeCore the core of this node as the leader, or null
-   * @param onHigherToken a worker has seen a higher fencing token than this leader's term
-   * @param leaderSuspected whether the leader may have failed, so that misdirected workers count
-   * @param onMisdirected is told the heartbeats that another node should answer
+   * @param leaderHint returns the leader to redirect workers to, or {@code null} if it is not known
+   * @param activeCore returns the leader core, or {@code null} if this node does not lead
+   * @param onHigherToken called if a worker has seen a fencing token above this leader's term
+   * @param leaderSuspected returns whether the leader may have failed, so that misdirected
+   *     heartbeats are reported
+   * @param onMisdirected receives the heartbeats that another node should answer
    */
   public WorkerApi(
       String host,
@@ -63,7 +64,7 @@
     this.onMisdirected = onMisdirected;
   }
 
-  /** Answers a heartbeat of a worker now. */
+  /** Answers the heartbeat of a worker. */
   public HttpResponse handleHeartbeat(byte[] body, MonotonicTime now) {
     if (!leaderLease.isLeader()) {
       if (leaderSuspected.getAsBoolean()) {
--- a/src/main/java/io/saltflow/api/package-info.java
+++ b/src/main/java/io/saltflow/api/package-info.java
@@ -1,2 +1,2 @@
-/** The HTTP interfaces of a controller for users, operators and workers. */
+/** HTTP APIs of a controller for users, operators and workers. */
 package io.saltflow.api;
--- a/src/main/java/io/saltflow/controller/CancellationCascade.java
+++ b/src/main/java/io/saltflow/controller/CancellationCascade.java
@@ -15,22 +15,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Cancels live jobs that depend on cancelled ones, where no leader does so: after an outage,
- * without a leader, or under one of a version that knows no dependencies. Runs on every node's
- * event loop.
+ * Cancels live jobs that depend on cancelled ones while no leader does so: after an outage, while
+ * there is no leader, or while the leader runs a version without dependency support. Runs on every
+ * node's event loop.
  */
 final class CancellationCascade extends Routine {
   private static final Logger LOG = LoggerFactory.getLogger(CancellationCascade.class);
   private static final TimeSpan CHECK_INTERVAL = TimeSpan.millis(250);
 
-  /** Several nodes may cancel the same jobs, each at the cost of two writes. */
+  /** Bounds duplicate work: several nodes may cancel the same jobs, at two writes each. */
   private static final int MAX_CANCELS_PER_CHECK = 8;
 
   /**
-   * What this node reaches now.
+   * What this node can currently reach.
    *
-   * @param storeAvailable whether the key-value store answers
-   * @param leaderCancelsDependents whether there is a leader that cancels dependent jobs itself
+   * @param storeAvailable returns whether the key-value store answers
+   * @param leaderCancelsDependents returns whether a leader exists that cancels dependent jobs
+   *     itself
    */
   record Availability(BooleanSupplier storeAvailable, BooleanSupplier leaderCancelsDependents) {}
 
@@ -55,7 +56,7 @@
     this.host = host;
   }
 
-  /** Begins to check; to be called once. */
+  /** Starts the periodic check. Must be called once. */
   void start() {
     check();
     loop.scheduleRepeating(CHECK_INTERVAL, this, this::check);
@@ -80,9 +81,9 @@
       return;
     }
     LOG.info(
-        "cancelling {} jobs: they depend on cancelled ones, no leader does it", orphans.size());
+        "cancelling {} jobs that depend on cancelled jobs, as no leader does so", orphans.size());
     List<JobId> ordered = new ArrayList<>(orphans);
-    // Nodes that cancel at the same time begin with different jobs.
+    // Nodes that cancel at the same time start with different jobs.
     Collections.rotate(ordered, host.hashCode());
     ordered
         .subList(0, Math.min(MAX_CANCELS_PER_CHECK, ordered.size()))
--- a/src/main/java/io/saltflow/controller/ControllerNode.java
+++ b/src/main/java/io/saltflow/controller/ControllerNode.java
@@ -39,14 +39,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One controller process: wires its parts together on one event loop and hands over between them
- * when leadership is acquired or lost. Cancelling it closes all that it opened.
+ * Runs one controller process: wires its components on one event loop and switches between the
+ * leader and follower roles. Cancelling the node closes everything that it opened.
  */
 public final class ControllerNode extends Routine {
   private static final Logger LOG = LoggerFactory.getLogger(ControllerNode.class);
   private static final TimeSpan PEER_HEARTBEAT_INTERVAL = TimeSpan.seconds(1);
 
-  /** How long a node that a worker has corrected leaves the election to others. */
+  /**
+   * Time for which a leader that steps down on seeing a higher term does not stand for election.
+   */
   private static final TimeSpan STALE_TERM_ABSTENTION = TimeSpan.seconds(1);
 
   private static final TimeSpan NO_ABSTENTION = TimeSpan.millis(0);
@@ -79,7 +81,7 @@
   private final SocketBudget sockets;
   private final LeaderRole leaderRole;
 
-  /** A controller with the platform's interfaces alone; see the other constructor. */
+  /** Creates a controller that serves neither AMQP nor services. */
   public ControllerNode(
       EventLoop loop, PlatformSettings settings, OperatorSettings operator, long seed)
       throws IOException {
@@ -87,10 +89,10 @@
   }
 
   /**
-   * Opens the listening sockets; nothing is sent before {@link #start}.
+   * Opens the listening sockets. Nothing is sent before {@link #start}.
    *
-   * @param seed of this process's identity and of its random delays
-   * @throws IOException when an address can't be listened on
+   * @param seed seed of the process identity and of random delays
+   * @throws IOException if listening on an address fails
    */
   public ControllerNode(
       EventLoop loop,
@@ -144,7 +146,7 @@
         loop,
         new LeaderSession.Resources(
             policy, leaderLease, store, jobs, cloud, settings.cloudListLag()),
-        new LeaderRole.Parts(
+        new LeaderRole.Components(
             election,
             peers,
             machineTypes,
@@ -225,7 +227,7 @@
   private PeerProtocol newPeerProtocol() {
     return new PeerProtocol(
         loop,
-        new PeerProtocol.Parts(
+        new PeerProtocol.Components(
             settings.host(),
             leaderLease,
             election,
@@ -281,26 +283,26 @@
     election.stepDown("leader key is held by another controller", NO_ABSTENTION);
   }
 
-  /** The port for users and workers. */
+  /** Returns the port that serves users and workers. */
   public int port() {
     return server.port();
   }
 
-  /** The port of the AMQP server; -1: there is none. */
+  /** Returns the port of the AMQP server, or -1 if AMQP is not served. */
   public int amqpPort() {
     return amqpServer == null ? -1 : amqpServer.port();
   }
 
-  /** Whether work can be submitted here and a leader can start it. */
+  /** Returns whether this node leads and accepts submissions on all its interfaces. */
   public boolean ready() {
     boolean queuesReady = amqpServer == null || amqpServer.ready();
     return queuesReady && !machineTypes.isEmpty() && activeCore() != null;
   }
 
-  /** Starts to serve and to stand in elections; to be called once, before the loop runs. */
+  /** Starts serving and standing for election. Must be called once, before the loop runs. */
   public void start() {
     LOG.info("listening on {}, host {}", settings.listenAddress(), settings.host());
-    settings.warnings().forEach(warning -> LOG.warn("doubtful settings: {}", warning));
+    settings.warnings().forEach(warning -> LOG.warn("questionable settings: {}", warning));
     loop.detectPauses(settings.clockSkew(), this::onProcessPause);
     election.start();
     cancellationCascade.start();
@@ -316,16 +318,16 @@
     return leaderRole.services();
   }
 
-  /** Makes the lease look as old as it is, and logs what this node believed meanwhile. */
+  /** Corrects the age of the lease for the pause and logs the leadership known before it. */
   private void onProcessPause(ProcessPause pause) {
     MonotonicTime now = loop.now();
     LeaderCore core = activeCore();
-    String belief = "believed leader " + election.leaderHost();
+    String belief = "last known leader " + election.leaderHost();
     if (leaderLease.isLeader()) {
       belief =
           String.format(
               Locale.ROOT,
-              "believed itself leader, term %s%s, lease renewed %.1f s ago",
+              "was leader, term %s%s, lease renewed %.1f s ago",
               leaderLease.term(),
               core == null ? "" : " with " + core.sizeSummary(),
               now.since(leaderLease.renewedAt()).toSeconds());
@@ -334,7 +336,7 @@
     if (core != null) {
       core.onProcessResumed(now);
     }
-    LOG.info("{}; {}; acts on that only once confirmed", pause, belief);
+    LOG.info("{}; {}; leadership must be confirmed before it is used", pause, belief);
   }
 
   private final class LeadershipListener implements LeaderElection.Listener {
@@ -360,8 +362,9 @@
   }
 
   /**
-   * Unhealthy only while this node alone is without the store, so that users go elsewhere; when it
-   * is down for all, moving them helps nobody.
+   * Returns whether the node is healthy. It is unhealthy only while the key-value store is
+   * unavailable to this node but not to its peers, since moving users elsewhere does not help when
+   * the store is down for every node.
    */
   private boolean healthy() {
     return !store.outageDuration().longerThan(PeerTable.STORE_FAILURE_THRESHOLD)
@@ -373,7 +376,9 @@
     return store.outageDuration().ms() == 0;
   }
 
-  /** Whether there is a leader, here or heard, that cancels what depends on cancelled jobs. */
+  /**
+   * Returns whether this node or a reachable peer leads and cancels dependents of cancelled jobs.
+   */
   private boolean leaderCancelsDependents() {
     if (!storeAvailable()) {
       return false;
--- a/src/main/java/io/saltflow/controller/CorrectedWallClock.java
+++ b/src/main/java/io/saltflow/controller/CorrectedWallClock.java
@@ -7,14 +7,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This node's time of day in milliseconds since the epoch, put forward when the other controllers
- * agree that it is behind. Used on the event loop's thread.
+ * Wall clock of this node in milliseconds since the epoch, moved forward if the other controllers
+ * agree that it is behind. Not thread-safe: used on the event loop's thread.
  */
 final class CorrectedWallClock {
   private static final Logger LOG = LoggerFactory.getLogger(CorrectedWallClock.class);
 
   /**
-   * On top of twice the platform's skew: a delayed heartbeat makes its sender's clock look slow.
+   * Tolerance in addition to twice the clock skew, since a delayed heartbeat makes its sender's
+   * clock look slow.
    */
   private static final TimeSpan DIVERGENCE_MARGIN = TimeSpan.seconds(30);
 
@@ -24,7 +25,7 @@
   private long correctionMs;
 
   /**
-   * @param skew by how much a time of day may be off the true time, either way
+   * @param skew the largest deviation of a wall clock from true time, in either direction
    */
   CorrectedWallClock(EventLoop loop, PeerTable peers, TimeSpan skew) {
     this.loop = loop;
@@ -32,19 +33,19 @@
     this.toleranceMs = 2 * skew.ms() + DIVERGENCE_MARGIN.ms();
   }
 
-  /** The time of day now, by the correction of the last {@link #update}. */
+  /** Returns the current time with the correction of the last {@link #update}. */
   long nowMs() {
     return System.currentTimeMillis() + correctionMs;
   }
 
-  /** Compares the clock with the other controllers' anew. */
+  /** Recomputes the correction from the peers' clocks and returns the corrected time. */
   long update() {
     long correction = ClockAgreement.correction(peers.clockLeadsMs(), toleranceMs);
     if ((correction == 0) != (correctionMs == 0)) {
       LOG.warn(
           correction == 0
               ? "wall clock agrees with the other controllers again"
-              : "wall clock is {} ms behind the other controllers, using theirs",
+              : "wall clock is {} ms behind the other controllers, using their time",
           correction);
     }
     correctionMs = correction;
--- a/src/main/java/io/saltflow/controller/EarlyFailover.java
+++ b/src/main/java/io/saltflow/controller/EarlyFailover.java
@@ -12,12 +12,12 @@
 import java.util.List;
 
 /**
- * Lets this node acquire leadership before the leader's lease expires, once all evidence says that
- * the leader's process has ended: closed and refused connections, and workers that turn to others.
- * Used on the event loop's thread.
+ * Lets this node acquire leadership before the leader's lease expires, once all evidence shows that
+ * the leader's process has ended: closed connections, refused connections, and workers that contact
+ * other nodes. Not thread-safe: used on the event loop's thread.
  */
 final class EarlyFailover implements PeerMesh.LinkListener {
-  /** What it usually takes from the attempt to acquire leadership until this node leads. */
+  /** Expected time from the attempt to acquire leadership until this node leads. */
   private static final TimeSpan ACQUISITION_TIME = TimeSpan.millis(1500);
 
   private final EventLoop loop;
@@ -28,7 +28,7 @@
   private MonotonicTime acquiringUntil = MonotonicTime.LONG_AGO;
 
   /**
-   * @param peerHosts the host names of the mesh's peers, in the mesh's order
+   * @param peerHosts the host names of the peers, in the order of the mesh
    */
   EarlyFailover(
       EventLoop loop, LeaderElection election, KeyValueClient store, List<String> peerHosts) {
@@ -38,22 +38,22 @@
     this.peerHosts = peerHosts;
   }
 
-  /** Whether the leader's connection is lost. */
+  /** Returns whether the connection to the leader is lost. */
   boolean leaderSuspected() {
     return failureDetector.leaderSuspected();
   }
 
-  /** Whether the leader may have failed, or this node is about to acquire leadership. */
+  /** Returns whether the leader may have failed or this node is acquiring leadership. */
   boolean leadershipInTransition() {
     return leaderSuspected() || loop.now().before(acquiringUntil);
   }
 
-  /** A controller was heard. */
+  /** Records that a frame from a peer was received. */
   void onPeerAlive(String host) {
     failureDetector.onAlive(host);
   }
 
-  /** A worker sent its heartbeat here, although another node leads. */
+  /** Handles the heartbeat of a worker that contacted this node while another node leads. */
   void onMisdirectedHeartbeat(WorkerHeartbeat heartbeat) {
     failureDetector.onWorkerHeartbeat(heartbeat.machine(), heartbeat.fencingToken());
     tryFailover();
--- a/src/main/java/io/saltflow/controller/JobFeed.java
+++ b/src/main/java/io/saltflow/controller/JobFeed.java
@@ -28,25 +28,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Feeds the live jobs of the key-value store to the leader core: once as a whole, then each change
- * as a watch reports it. Used on the event loop's thread; ends with the leader's session.
+ * Feeds the live jobs of the key-value store to the leader core: first a full snapshot, then each
+ * change that a watch reports. Used on the event loop's thread; stops when the leader session is
+ * cancelled.
  */
 final class JobFeed {
   private static final Logger LOG = LoggerFactory.getLogger(JobFeed.class);
   private static final TimeSpan RETRY_DELAY = TimeSpan.millis(300);
   private static final TimeSpan WATCH_TIMEOUT = TimeSpan.seconds(1);
 
-  /** Between the answer to one watch and the next one. */
+  /** Delay between the response to one watch and the next watch. */
   private static final TimeSpan WATCH_INTERVAL = TimeSpan.millis(120);
 
-  /** The status of a watch that begins before the oldest change that the store keeps. */
+  /** Status of a watch that starts before the oldest change that the store retains. */
   private static final int COMPACTED = 410;
 
   /**
-   * The live jobs as the store listed them.
+   * The live jobs as listed by the key-value store.
    *
-   * @param revision the store's revision, from which on changes are to be watched
-   * @param requestedAt when the list was asked for
+   * @param revision the store revision after which changes must be watched
+   * @param requestedAt the time at which the list was requested
    */
   record Snapshot(List<Job> jobs, long revision, MonotonicTime requestedAt) {}
 
@@ -71,7 +72,7 @@
     this.leaderLease = leaderLease;
   }
 
-  /** Reads all live jobs, again and again until the store answers. */
+  /** Reads all live jobs, retrying until the store answers. */
   void readAll(InheritedRecords inheritedState, Consumer<Snapshot> then) {
     inherited = inheritedState;
     listLive(
@@ -90,7 +91,7 @@
         });
   }
 
-  /** Reports each change after that revision to the core, until the session ends. */
+  /** Applies each change after a revision to the core until the session is cancelled. */
   void follow(LeaderCore leaderCore, long revision) {
     core = leaderCore;
     watch(revision);
@@ -167,7 +168,9 @@
     }
   }
 
-  /** Reads all jobs again: the watch has fallen behind the changes that the store keeps. */
+  /**
+   * Reads all jobs again after the watch failed or fell behind the changes that the store retains.
+   */
   private void resync() {
     listLive(
         (listing, requestedAt) -> {
@@ -176,7 +179,7 @@
             if (addIfBatch(entry.key(), entry.value(), entry.revision())) {
               continue;
             }
-            // A job whose record can't be decoded is live all the same.
+            // A job is live even if its record cannot be decoded.
             live.add(JobRecordCodec.liveJobId(entry.key()));
             LiveJobRecord recorded = decodeJob(entry.key(), entry.value(), entry.revision());
             if (recorded != null) {
@@ -193,7 +196,7 @@
         });
   }
 
-  /** Whether it is a submission batch; its jobs get records of their own later on. */
+  /** Returns whether the record is a submission batch, whose jobs get their own records later. */
   private boolean addIfBatch(String key, MessageBody value, Revision revision) {
     boolean isBatch = JobRecordCodec.isBatch(key);
     if (isBatch) {
@@ -202,7 +205,7 @@
     return isBatch;
   }
 
-  /** Adds a job unless it is known; one with an earlier launch intent may be running already. */
+  /** Adds a job unless it is known. A job with an earlier launch intent may already be running. */
   private void addJob(LiveJobRecord recorded) {
     JobId id = recorded.spec().id();
     if (core.jobs().find(id) == null) {
--- a/src/main/java/io/saltflow/controller/LeaderHint.java
+++ b/src/main/java/io/saltflow/controller/LeaderHint.java
@@ -6,12 +6,12 @@
 import java.util.function.Supplier;
 
 /**
- * The host that workers are redirected to as the leader; null: it is not known now. A node that
- * reaches neither the store nor the leader knows only an earlier leader: a worker that is sent to
- * that one and back loses its lease and all that it runs.
+ * Supplies the host that workers are redirected to, or {@code null} if the leader is not currently
+ * known. A node that reaches neither the key-value store nor the leader may know only a former
+ * leader; a worker that is redirected there and back would lose its lease and its tasks.
  */
 final class LeaderHint implements Supplier<String> {
-  /** The watch of the leader's key is answered at least so often, if by no change. */
+  /** Maximum time between responses to the watch of the leader key, even without changes. */
   private static final TimeSpan WATCH_MAX_SILENCE = TimeSpan.seconds(11);
 
   private final LeaderElection election;
--- a/src/main/java/io/saltflow/controller/LeaderRole.java
+++ b/src/main/java/io/saltflow/controller/LeaderRole.java
@@ -16,22 +16,23 @@
 import java.util.function.Supplier;
 
 /**
- * What a node runs only while it leads: the leader's session, and on top of it the services and the
- * AMQP queues. Used on the event loop's thread.
+ * Runs the components that are active only while this node leads: the leader session, services and
+ * AMQP queues. Not thread-safe: used on the event loop's thread.
  */
 final class LeaderRole implements LeaderSession.Environment {
-  /** What a leader may write to the store, as a multiple of any node's share. */
+  /** Store write rate of the leader, as a multiple of a node's regular share. */
   private static final double LEADER_WRITE_SHARE = 1.6;
 
   private static final double FOLLOWER_WRITE_SHARE = 1;
 
   /**
-   * The parts of the node that take part.
+   * The components of the node that take part in leading.
    *
-   * @param serviceNodes makes what a new service controller runs on; null: services are not served
-   * @param amqpServer null: AMQP is not served
+   * @param serviceNodes creates the node of each new service controller; {@code null} if services
+   *     are not served
+   * @param amqpServer {@code null} if AMQP is not served
    */
-  record Parts(
+  record Components(
       LeaderElection election,
       PeerTable peers,
       MachineTypeCatalog machineTypes,
@@ -43,88 +44,92 @@
   private final Routine node;
   private final EventLoop loop;
   private final LeaderSession.Resources resources;
-  private final Parts parts;
+  private final Components components;
   private LeaderSession session;
   private ServiceController services;
 
-  LeaderRole(Routine node, EventLoop loop, LeaderSession.Resources resources, Parts parts) {
+  LeaderRole(Routine node, EventLoop loop, LeaderSession.Resources resources, Components parts) {
     this.node = node;
     this.loop = loop;
     this.resources = resources;
-    this.parts = parts;
+    this.components = parts;
   }
 
-  /** The core of the session; null: this node doesn't lead, or still reads the records. */
+  /**
+   * Returns the leader core, or {@code null} if this node does not lead or still reads the records.
+   */
   LeaderCore core() {
     return session == null ? null : session.core();
   }
 
-  /** Whether this node leads and still reads the records. */
+  /** Returns whether this node leads but still reads the records. */
   boolean recovering() {
     return session != null && session.core() == null;
   }
 
-  /** The services that this node controls; null: it doesn't, or not yet. */
+  /**
+   * Returns the controller of the services, or {@code null} if this node does not control services.
+   */
   ServiceController services() {
     return services;
   }
 
-  /** Begins a session; leadership was acquired. */
+  /** Starts a session after leadership was acquired. */
   void begin() {
     resources.store().setWriteShare(LEADER_WRITE_SHARE);
     session = new LeaderSession(node, loop, resources, this);
     session.start();
-    parts.heldHeartbeats().onElected();
+    components.heldHeartbeats().onElected();
   }
 
-  /** Ends the session, if there is one; leadership was lost. */
+  /** Ends the session, if any, after leadership was lost. */
   void end() {
     resources.store().setWriteShare(FOLLOWER_WRITE_SHARE);
-    parts.heldHeartbeats().release();
+    components.heldHeartbeats().release();
     if (session != null) {
       session.cancel();
       session = null;
     }
     services = null;
-    if (parts.amqpServer() != null) {
-      parts.amqpServer().deposed();
+    if (components.amqpServer() != null) {
+      components.amqpServer().deposed();
     }
   }
 
   @Override
   public void onReady(LeaderSession ready) {
-    parts.heldHeartbeats().release();
-    if (parts.serviceNodes() != null) {
-      services = new ServiceController(ready, loop, parts.serviceNodes().get(), ready.core());
+    components.heldHeartbeats().release();
+    if (components.serviceNodes() != null) {
+      services = new ServiceController(ready, loop, components.serviceNodes().get(), ready.core());
       services.start();
     }
-    if (parts.amqpServer() != null) {
-      parts.amqpServer().lead(ready, ready.core());
+    if (components.amqpServer() != null) {
+      components.amqpServer().lead(ready, ready.core());
     }
   }
 
   @Override
   public Collection<MachineType> machineTypes() {
-    return parts.machineTypes().types();
+    return components.machineTypes().types();
   }
 
   @Override
   public void onMachineTypes(List<MachineType> types) {
-    parts.machineTypes().addAll(types);
+    components.machineTypes().addAll(types);
   }
 
   @Override
   public void onUnreachableInbound(TimeSpan abstain) {
-    parts.election().stepDown("no worker heartbeats received", abstain);
+    components.election().stepDown("no worker heartbeats received", abstain);
   }
 
   @Override
   public boolean storeDownForAllPeers() {
-    return parts.peers().storeDownForAll();
+    return components.peers().storeDownForAll();
   }
 
   @Override
   public int takeRejectedConnections() {
-    return parts.server().takeTurnedAway();
+    return components.server().takeTurnedAway();
   }
 }
--- a/src/main/java/io/saltflow/controller/LeaderSession.java
+++ b/src/main/java/io/saltflow/controller/LeaderSession.java
@@ -19,8 +19,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One term of this controller as the leader: it reads the recorded state, creates the {@link
- * LeaderCore} from it, and drives the core by timers until the session is cancelled. Used on the
+ * Runs one term of this controller as the leader: reads the recorded state, creates the {@link
+ * LeaderCore} from it, and drives the core by timers until cancelled. Not thread-safe: used on the
  * event loop's thread.
  */
 final class LeaderSession extends Routine {
@@ -28,7 +28,7 @@
   private static final TimeSpan RETRY_DELAY = TimeSpan.millis(300);
   private static final TimeSpan TICK_INTERVAL = TimeSpan.millis(200);
 
-  /** Well below the half second after which a machine that came up sends its next heartbeat. */
+  /** Well below the 500 ms after which a newly started machine sends its next heartbeat. */
   private static final TimeSpan LEDGER_INTERVAL = TimeSpan.millis(100);
 
   private static final TimeSpan PROGRESS_INTERVAL = TimeSpan.seconds(2);
@@ -40,19 +40,19 @@
   private static final TimeSpan LOAD_SAMPLE_INTERVAL = TimeSpan.seconds(1);
   private static final TimeSpan STATUS_LINE_INTERVAL = TimeSpan.seconds(10);
 
-  /** Operators override rarely, so one request may stay open for this long. */
+  /** Overrides by operators are rare, so one watch request may stay open for long. */
   private static final TimeSpan OVERRIDE_WATCH_TIMEOUT = TimeSpan.seconds(20);
 
-  /** The machines are listed no more often than this, however fresh the cloud's list is. */
+  /** Minimum interval between listings of the machines, in milliseconds. */
   private static final long MIN_LIST_INTERVAL_MS = 2000;
 
-  /** How long a leader that no worker reaches leaves the election to others. */
+  /** Time for which a leader that no worker reaches does not stand for election. */
   private static final TimeSpan UNREACHABLE_ABSTENTION = TimeSpan.seconds(10);
 
   /**
-   * What a session is built from.
+   * The resources that a session uses.
    *
-   * @param cloudListLag how old the cloud's list of machines may be
+   * @param cloudListLag the maximum staleness of the cloud's machine list
    */
   record Resources(
       Policy policy,
@@ -62,28 +62,30 @@
       CloudClient cloud,
       TimeSpan cloudListLag) {}
 
-  /** The node in which a session runs. */
+  /** The node that runs a session. */
   interface Environment {
-    /** The machine types that the node knows. */
+    /** Returns the machine types known to the node. */
     Collection<MachineType> machineTypes();
 
-    /** The cloud has told its machine types. */
+    /** Called when the machine types were read from the cloud. */
     void onMachineTypes(List<MachineType> types);
 
     /**
-     * No worker reaches this leader.
+     * Called when no worker reaches this leader.
      *
-     * @param abstain for how long the node is to stand in no election
+     * @param abstain the time for which the node must not stand for election
      */
     void onUnreachableInbound(TimeSpan abstain);
 
-    /** Whether the store is down for every controller that can be heard. */
+    /**
+     * Returns whether the store is down for every reachable peer, of which there is at least one.
+     */
     boolean storeDownForAllPeers();
 
-    /** The records have been read and the core runs. */
+    /** Called when the records have been read and the core runs. */
     void onReady(LeaderSession session);
 
-    /** The connections that were rejected since the last call. */
+    /** Returns the number of connections rejected since the last call. */
     int takeRejectedConnections();
   }
 
@@ -108,12 +110,12 @@
     processUsage = new ProcessUsage(loop);
   }
 
-  /** The core; null while the records are being read. */
+  /** Returns the core, or {@code null} while the records are being read. */
   LeaderCore core() {
     return core;
   }
 
-  /** Begins to read the records; the environment is told when the core runs. */
+  /** Starts reading the records. The environment is notified when the core runs. */
   void start() {
     records.readInherited(
         inherited -> {
@@ -123,12 +125,12 @@
           if (inherited == null) {
             loop.schedule(RETRY_DELAY, this, this::start);
           } else {
-            jobFeed.readAll(inherited, snapshot -> lead(inherited, snapshot));
+            jobFeed.readAll(inherited, snapshot -> startLeading(inherited, snapshot));
           }
         });
   }
 
-  private void lead(InheritedRecords inherited, JobFeed.Snapshot snapshot) {
+  private void startLeading(InheritedRecords inherited, JobFeed.Snapshot snapshot) {
     core =
         new LeaderCore(
             resources.policy(),
@@ -143,11 +145,11 @@
     records.setLeader(core);
     records.adopt(inherited);
     leaderLease.onSynced(snapshot.requestedAt());
-    startLoops(snapshot.revision(), inherited.plans().revision());
+    startTimers(snapshot.revision(), inherited.plans().revision());
     environment.onReady(this);
   }
 
-  private void startLoops(long jobsRevision, long plansRevision) {
+  private void startTimers(long jobsRevision, long plansRevision) {
     MachineProvisioner provisioner =
         new MachineProvisioner(
             this, loop, resources.cloud(), leaderLease, records, core, environment);
@@ -190,7 +192,9 @@
     records.plans().recordMigrations();
   }
 
-  /** Follows the operators' overrides; without plans there are none to follow. */
+  /**
+   * Watches the operators' overrides; a negative revision means that there are no plans to watch.
+   */
   private void watchOverrides(long after) {
     if (after < 0) {
       return;
--- a/src/main/java/io/saltflow/controller/MachineProvisioner.java
+++ b/src/main/java/io/saltflow/controller/MachineProvisioner.java
@@ -13,14 +13,15 @@
 import java.util.List;
 
 /**
- * Carries out what the autoscaler plans at the cloud, and reports to the leader core which machines
- * and machine types there are. Used on the event loop's thread; ends with the leader's session.
+ * Executes the autoscaler's plans through the cloud API, and reports the existing machines and
+ * machine types to the leader core. Used on the event loop's thread; stops when the leader session
+ * is cancelled.
  */
 final class MachineProvisioner {
   private static final TimeSpan THROTTLED_RETRY_DELAY = TimeSpan.millis(300);
   private static final TimeSpan FAILED_RETRY_DELAY = TimeSpan.seconds(1);
 
-  /** The most machines that the cloud deletes by one request. */
+  /** Maximum number of machines that the cloud deletes per request. */
   private static final int MAX_DELETES_PER_REQUEST = 100;
 
   private static final int BAD_REQUEST = 400;
@@ -53,7 +54,7 @@
     this.environment = environment;
   }
 
-  /** Requests the machines that the core wants to add now. */
+  /** Requests the machines by which the core scales out. */
   void scaleOut() {
     if (!mayScaleOut()) {
       return;
@@ -67,11 +68,12 @@
     return leaderLease.mayScaleOut(environment.storeDownForAllPeers(), loop.now());
   }
 
-  /** Asks until there is an answer: its name makes a repeated request idempotent. */
+  /** Retries until the cloud answers; the name makes the request idempotent. */
   private void createMachines(ScaleOutRequest request) {
     if (!mayScaleOut() || !cloud.tryAcquire()) {
-      // Checked before each attempt: one that was queued during a process pause would be sent by a
-      // controller that no longer leads.
+      // Checked before each attempt, since this controller may have lost leadership during a
+      // process
+      // pause after the attempt was queued.
       loop.schedule(THROTTLED_RETRY_DELAY, session, () -> createMachines(request));
       return;
     }
@@ -96,7 +98,7 @@
         });
   }
 
-  /** Deletes machines that the core wants to remove, one request at a time. */
+  /** Deletes the machines by which the core scales in, one request at a time. */
   void scaleIn() {
     if (!leaderLease.mayScaleIn(loop.now())) {
       return;
@@ -121,7 +123,7 @@
         });
   }
 
-  /** Reports the cloud's list of machines to the core; one list at a time. */
+  /** Reports the cloud's machine list to the core. Only one list request is open at a time. */
   void listMachines() {
     if (listing || !cloud.tryAcquire()) {
       return;
@@ -136,7 +138,7 @@
         });
   }
 
-  /** Reads the machine types and records them; asks again only while none are known. */
+  /** Reads and records the machine types. Retries a failure only while no types are known. */
   void refreshMachineTypes() {
     if (!cloud.tryAcquire()) {
       loop.schedule(THROTTLED_RETRY_DELAY, session, this::refreshMachineTypes);
--- a/src/main/java/io/saltflow/controller/MachineTypeCatalog.java
+++ b/src/main/java/io/saltflow/controller/MachineTypeCatalog.java
@@ -15,8 +15,8 @@
 import java.util.TreeSet;
 
 /**
- * The machine types by which this node judges submissions; empty until the first are read. Used on
- * the event loop's thread.
+ * Machine types against which this node validates submissions. Empty until the first types are
+ * read. Not thread-safe: used on the event loop's thread.
  */
 final class MachineTypeCatalog {
   private static final TimeSpan RETRY_DELAY = TimeSpan.seconds(1);
@@ -34,24 +34,24 @@
     this.cloud = cloud;
   }
 
-  /** Whether no type is known yet. */
+  /** Returns whether no type is known yet. */
   boolean isEmpty() {
     return typesByName.isEmpty();
   }
 
-  /** The known types, in no order; the view follows later changes. */
+  /** Returns a live view of the known types, in no particular order. */
   Collection<MachineType> types() {
     return typesByName.values();
   }
 
-  /** The zones of all known types, sorted by name. */
+  /** Returns the zones of all known types, sorted by name. */
   List<String> zones() {
     Set<String> zones = new TreeSet<>();
     typesByName.values().forEach(type -> zones.addAll(type.zones()));
     return List.copyOf(zones);
   }
 
-  /** Adds types, or replaces those of the same names. */
+  /** Adds types, replacing those with the same names. */
   void addAll(Collection<MachineType> types) {
     for (MachineType type : types) {
       typesByName.put(type.name(), type);
@@ -59,8 +59,9 @@
   }
 
   /**
-   * Reads the types until some are known: from the store, where a leader recorded them, so that
-   * submissions are judged while the cloud can't be reached; else from the cloud.
+   * Reads the types, retrying until some are known. Types recorded by a leader in the key-value
+   * store come first, so that submissions can be validated while the cloud is unreachable;
+   * otherwise the cloud is queried.
    */
   void load() {
     if (!isEmpty()) {
--- a/src/main/java/io/saltflow/controller/NodeClients.java
+++ b/src/main/java/io/saltflow/controller/NodeClients.java
@@ -9,17 +9,17 @@
 import io.saltflow.transport.Routine;
 
 /**
- * A node's clients of the key-value store and the cloud, each held to this node's share of the rate
- * that the platform allows all controllers.
+ * Clients of the key-value store and the cloud, each limited to this node's share of the request
+ * rate that the platform grants to all controllers.
  */
 record NodeClients(KeyValueClient store, CloudClient cloud) {
-  /** A node may be alone in serving users, so each may use a good part of the whole rate. */
+  /** Share of the total rate per node, large because a node may have to serve all users alone. */
   private static final double STORE_RATE_SHARE = 0.45;
 
   private static final double STORE_WRITE_RATE_SHARE = 0.5;
   private static final double CLOUD_RATE_SHARE = 0.75;
 
-  /** Opens the clients; they are closed with their owner. */
+  /** Opens the clients, which are closed with their owner. */
   static NodeClients open(Routine owner, EventLoop loop, PlatformSettings settings) {
     HttpClient storeHttp = new HttpClient(owner, loop, settings.storeAddress(), 24, 256);
     HttpClient watchHttp = new HttpClient(owner, loop, settings.storeAddress(), 4, 8);
@@ -42,7 +42,7 @@
     return new NodeClients(store, new CloudClient(owner, loop, cloudHttp, cloudRate));
   }
 
-  /** The writes a second that a node which doesn't lead may send to the store. */
+  /** Returns the number of writes per second that a follower may send to the store. */
   static double storeWritesPerSecond(PlatformSettings settings) {
     return settings.storeWritesPerSecond() * STORE_WRITE_RATE_SHARE;
   }
--- a/src/main/java/io/saltflow/controller/OptionalInterfaces.java
+++ b/src/main/java/io/saltflow/controller/OptionalInterfaces.java
@@ -5,15 +5,16 @@
 import java.util.function.Consumer;
 
 /**
- * The interfaces that a controller may serve beside the platform's protocol.
+ * Interfaces that a controller may serve in addition to the platform's protocol.
  *
- * @param amqpSettings the AMQP server and its queues; null: not served
+ * @param amqpSettings settings of the AMQP server and its queues; {@code null} if AMQP is not
+ *     served
  * @param servicesEnabled whether services and their rollouts are served
- * @param rolloutListener is told each event of a rollout
+ * @param rolloutListener receives each rollout event
  */
 public record OptionalInterfaces(
     AmqpSettings amqpSettings, boolean servicesEnabled, Consumer<RolloutEvent> rolloutListener) {
-  /** Interfaces whose rollouts nobody listens to. */
+  /** Creates interfaces that ignore rollout events. */
   public OptionalInterfaces(AmqpSettings amqpSettings, boolean servicesEnabled) {
     this(amqpSettings, servicesEnabled, event -> {});
   }
--- a/src/main/java/io/saltflow/controller/PeerProtocol.java
+++ b/src/main/java/io/saltflow/controller/PeerProtocol.java
@@ -19,21 +19,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The messages between controllers: composes this node's heartbeats, and passes on what others'
- * heartbeats and probe frames say. Used on the event loop's thread.
+ * Handles messages between controllers: composes this node's heartbeats and dispatches received
+ * heartbeats and probe frames. Not thread-safe: used on the event loop's thread.
  */
 final class PeerProtocol {
   private static final Logger LOG = LoggerFactory.getLogger(PeerProtocol.class);
   private static final TimeSpan NO_ABSTENTION = TimeSpan.millis(0);
 
   /**
-   * The parts of a node that peers tell of, or are told of.
+   * The components of a node that provide or consume the contents of peer messages.
    *
-   * @param probeResponder null: this node probes no replicas
-   * @param activeCore the core of this node as the leader, or null
-   * @param services the services that this node controls as the leader, or null
+   * @param probeResponder {@code null} if this node does not probe replicas
+   * @param activeCore returns the leader core, or {@code null} if this node does not lead
+   * @param services returns the service controller, or {@code null} if this node does not control
+   *     services
    */
-  record Parts(
+  record Components(
       String host,
       LeaderLease leaderLease,
       LeaderElection election,
@@ -49,36 +50,36 @@
       Supplier<ServiceController> services) {}
 
   private final EventLoop loop;
-  private final Parts parts;
+  private final Components components;
 
-  PeerProtocol(EventLoop loop, Parts parts) {
+  PeerProtocol(EventLoop loop, Components parts) {
     this.loop = loop;
-    this.parts = parts;
+    this.components = parts;
   }
 
-  /** This node's next heartbeat; compares the clocks anew for it. */
+  /** Composes this node's next heartbeat, updating the corrected wall clock. */
   PeerHeartbeat nextHeartbeat() {
-    LeaderCore core = parts.activeCore().get();
-    long wallMs = parts.wallClock().update();
+    LeaderCore core = components.activeCore().get();
+    long wallMs = components.wallClock().update();
     if (core != null) {
       core.decisions().setWallClock(wallMs, loop.now());
     }
-    List<PeerHeartbeat.JobCounts> counts = parts.taskCounts().toAnnounce();
-    KeyValueClient store = parts.store();
+    List<PeerHeartbeat.JobCounts> counts = components.taskCounts().toAnnounce();
+    KeyValueClient store = components.store();
     boolean storeFailing = store.outageDuration().ms() > 0;
     return new PeerHeartbeat(
-        parts.host(),
-        parts.leaderLease().term(),
-        parts.leaderLease().isLeader(),
+        components.host(),
+        components.leaderLease().term(),
+        components.leaderLease().isLeader(),
         storeFailing ? Math.max(1, store.timeSinceLastResponse().ms()) : 0,
         counts,
-        parts.probeResponder() != null,
-        parts.userApi().unansweredPolls(),
+        components.probeResponder() != null,
+        components.userApi().unansweredPolls(),
         loop.wallClockMs(),
         core != null);
   }
 
-  /** A frame from another controller; one that can't be decoded is logged and dropped. */
+  /** Handles a frame from a peer. A frame that cannot be decoded is logged and dropped. */
   void onFrame(byte[] frame) {
     try {
       if (ProbeFrame.is(frame)) {
@@ -92,23 +93,23 @@
   }
 
   private void onProbeFrame(ProbeFrame frame) {
-    ServiceController services = parts.services().get();
+    ServiceController services = components.services().get();
     if (frame instanceof ProbeFrame.ProbeRequest request
-        && parts.probeResponder() != null
-        && request.to().equals(parts.host())
-        && request.from().equals(parts.election().leaderHost())) {
-      parts.probeResponder().called(request);
+        && components.probeResponder() != null
+        && request.to().equals(components.host())
+        && request.from().equals(components.election().leaderHost())) {
+      components.probeResponder().called(request);
     } else if (frame instanceof ProbeFrame.ProbeResponse response
         && services != null
-        && response.to().equals(parts.host())) {
+        && response.to().equals(components.host())) {
       services.probed(response);
     }
   }
 
   private void onHeartbeat(PeerHeartbeat heartbeat) {
-    parts.peers().onHeartbeat(heartbeat);
-    parts.earlyFailover().onPeerAlive(heartbeat.host());
-    parts.userApi().onPeerUnanswered(heartbeat.unanswered());
+    components.peers().onHeartbeat(heartbeat);
+    components.earlyFailover().onPeerAlive(heartbeat.host());
+    components.userApi().onPeerUnanswered(heartbeat.unanswered());
     if (heartbeat.leading()) {
       onLeaderHeartbeat(heartbeat);
     }
@@ -116,18 +117,18 @@
 
   private void onLeaderHeartbeat(PeerHeartbeat heartbeat) {
     String host = heartbeat.host();
-    LeaderElection election = parts.election();
-    LeaderLease lease = parts.leaderLease();
+    LeaderElection election = components.election();
+    LeaderLease lease = components.leaderLease();
     boolean leaderChanges = !host.equals(election.leaderHost());
     election.onLeaderAnnounced(host, heartbeat.term());
     if (leaderChanges && host.equals(election.leaderHost())) {
-      parts.heldHeartbeats().release();
+      components.heldHeartbeats().release();
     }
     if (lease.isLeader() && heartbeat.term().compareTo(lease.term()) > 0) {
       election.stepDown(host + " leads term " + heartbeat.term(), NO_ABSTENTION);
     }
     if (!lease.isLeader()) {
-      parts.taskCounts().onAnnounced(heartbeat.jobs());
+      components.taskCounts().onAnnounced(heartbeat.jobs());
     }
   }
 }
--- a/src/main/java/io/saltflow/controller/PeerTable.java
+++ b/src/main/java/io/saltflow/controller/PeerTable.java
@@ -10,16 +10,17 @@
 import java.util.Map;
 
 /**
- * The other controllers as their last heartbeats describe them. A heartbeat counts for {@link
- * #HEARTBEAT_MAX_AGE}; then its sender is taken for unreachable. Used on the event loop's thread.
+ * State of the other controllers according to their last heartbeats. A peer counts as unreachable
+ * once its heartbeat is older than {@link #HEARTBEAT_MAX_AGE}. Not thread-safe: used on the event
+ * loop's thread.
  */
 final class PeerTable {
-  /** From here on a store that is silent for a controller is down for it. */
+  /** Time without a response after which the key-value store counts as down for a controller. */
   static final TimeSpan STORE_FAILURE_THRESHOLD = TimeSpan.seconds(2);
 
   private static final TimeSpan HEARTBEAT_MAX_AGE = TimeSpan.seconds(4);
 
-  /** Bounds the memory that unknown senders can take. */
+  /** Bounds the memory used by unknown senders. */
   private static final int MAX_PEERS = 64;
 
   private record Peer(PeerHeartbeat heartbeat, MonotonicTime receivedAt, long clockLeadMs) {}
@@ -31,7 +32,7 @@
     this.loop = loop;
   }
 
-  /** Takes note of a heartbeat that was received just now. */
+  /** Records a heartbeat that was just received. */
   void onHeartbeat(PeerHeartbeat heartbeat) {
     if (peers.size() < MAX_PEERS || peers.containsKey(heartbeat.host())) {
       peers.put(heartbeat.host(), new Peer(heartbeat, loop.now(), clockLeadMs(heartbeat)));
@@ -46,13 +47,13 @@
     return loop.now().since(peer.receivedAt).compareTo(HEARTBEAT_MAX_AGE) < 0;
   }
 
-  /** Whether that controller says of itself that it leads; a null host is nobody. */
+  /** Returns whether a reachable peer claims to lead; {@code false} for a {@code null} host. */
   boolean leads(String host) {
     Peer peer = peers.get(host);
     return peer != null && peer.heartbeat.leading() && isFresh(peer);
   }
 
-  /** Whether it leads, reaches the store, and cancels what depends on cancelled jobs. */
+  /** Returns whether a reachable peer leads, reaches the store and cancels dependent jobs. */
   boolean leadsAndCancelsDependents(String host) {
     Peer peer = peers.get(host);
     return peer != null
@@ -62,7 +63,7 @@
         && isFresh(peer);
   }
 
-  /** The reachable controllers that probe replicas for a leader. */
+  /** Returns the reachable peers that probe replicas for the leader. */
   List<String> probingHosts() {
     List<String> hosts = new ArrayList<>();
     for (Peer peer : peers.values()) {
@@ -73,7 +74,7 @@
     return hosts;
   }
 
-  /** By how many milliseconds the reachable controllers' times of day are ahead of this one's. */
+  /** Returns the offsets of reachable peers' wall clocks ahead of this one, in milliseconds. */
   List<Long> clockLeadsMs() {
     List<Long> leads = new ArrayList<>();
     for (Peer peer : peers.values()) {
@@ -84,17 +85,19 @@
     return leads;
   }
 
-  /** Whether some controller is reachable, and the store is down for each that is. */
+  /**
+   * Returns whether at least one peer is reachable and the store is down for all reachable ones.
+   */
   boolean storeDownForAll() {
-    boolean someReachable = false;
+    boolean anyReachable = false;
     for (Peer peer : peers.values()) {
       if (isFresh(peer)) {
-        someReachable = true;
+        anyReachable = true;
         if (peer.heartbeat.storeSilenceMs() < STORE_FAILURE_THRESHOLD.ms()) {
           return false;
         }
       }
     }
-    return someReachable;
+    return anyReachable;
   }
 }
--- a/src/main/java/io/saltflow/controller/ProcessUsage.java
+++ b/src/main/java/io/saltflow/controller/ProcessUsage.java
@@ -4,54 +4,54 @@
 import io.saltflow.model.TimeSpan;
 import io.saltflow.transport.EventLoop;
 
-/** This process's use of its event loop and its heap, between one sample and the next. */
+/** Samples the utilization of this process's event loop and heap. */
 final class ProcessUsage {
-  /** Garbage makes the use rise between collections, so the least of so many samples counts. */
+  /** Number of samples whose minimum counts, as garbage raises heap usage between collections. */
   private static final int HEAP_SAMPLES = 15;
 
   private final EventLoop loop;
   private final double[] heapSamples = new double[HEAP_SAMPLES];
   private MonotonicTime sampledAt;
-  private TimeSpan workedBefore;
+  private TimeSpan previousBusyTime;
   private int sampleCount;
   private double loopUtilization;
 
   ProcessUsage(EventLoop loop) {
     this.loop = loop;
     this.sampledAt = loop.now();
-    this.workedBefore = loop.busyTime();
+    this.previousBusyTime = loop.busyTime();
   }
 
-  /** Takes a sample; to be called at even intervals. */
+  /** Takes a sample. Must be called at regular intervals. */
   void sample() {
     MonotonicTime now = loop.now();
     TimeSpan elapsed = now.since(sampledAt);
-    TimeSpan work = loop.busyTime().minus(workedBefore);
+    TimeSpan busyTime = loop.busyTime().minus(previousBusyTime);
     if (elapsed.ms() > 0) {
-      loopUtilization = Math.min(1, (double) work.ms() / elapsed.ms());
+      loopUtilization = Math.min(1, (double) busyTime.ms() / elapsed.ms());
     }
     sampledAt = now;
-    workedBefore = loop.busyTime();
+    previousBusyTime = loop.busyTime();
     Runtime runtime = Runtime.getRuntime();
     double usedBytes = runtime.totalMemory() - runtime.freeMemory();
     heapSamples[sampleCount++ % HEAP_SAMPLES] = usedBytes / runtime.maxMemory();
   }
 
-  /** The part of the last interval in which the loop was busy, 0 to 1. */
+  /** Returns the fraction of the last interval in which the loop was busy, from 0 to 1. */
   double loopUtilization() {
     return loopUtilization;
   }
 
-  /** The least part of the heap that was in use in the last samples, 0 to 1; first 0. */
+  /** Returns the minimum heap usage of the last samples, from 0 to 1; 0 until there are enough. */
   double heapUtilization() {
     if (sampleCount < HEAP_SAMPLES) {
       return 0;
     }
-    double least = 1;
+    double lowest = 1;
     for (double sample : heapSamples) {
-      least = Math.min(least, sample);
+      lowest = Math.min(lowest, sample);
     }
-    return least;
+    return lowest;
   }
 
   @Override
--- a/src/main/java/io/saltflow/controller/RequestRouter.java
+++ b/src/main/java/io/saltflow/controller/RequestRouter.java
@@ -14,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Routes each HTTP request by its path to the interface that answers it. Used on the event loop's
- * thread.
+ * Routes HTTP requests by path to the interface that answers them. Not thread-safe: used on the
+ * event loop's thread.
  */
 final class RequestRouter {
   private static final Logger LOG = LoggerFactory.getLogger(RequestRouter.class);
@@ -23,11 +23,11 @@
   private static final String POST = "POST";
 
   /**
-   * The interfaces behind the paths.
+   * The interfaces that requests are routed to.
    *
-   * @param workers answers the body of a worker's heartbeat
-   * @param healthy whether this node should serve users rather than another
-   * @param services null: services are not served
+   * @param workers answers a worker's heartbeat, given its body
+   * @param healthy returns whether load balancers should send users to this node
+   * @param services {@code null} if services are not served
    */
   record Interfaces(
       BiConsumer<byte[], Consumer<HttpResponse>> workers,
@@ -45,7 +45,7 @@
     this.interfaces = interfaces;
   }
 
-  /** Logs how many requests were refused after a process pause since the last call, if any. */
+  /** Logs the number of requests refused after a process pause since the last call, if any. */
   void logRefusedAfterPause() {
     if (refusedAfterPause > 0) {
       LOG.info("refused {} requests received during a process pause", refusedAfterPause);
@@ -53,7 +53,7 @@
     }
   }
 
-  /** Answers a request; {@code answer} is called once, now or later. */
+  /** Handles a request, calling {@code answer} once, possibly later. */
   void handle(String method, String target, byte[] body, Consumer<HttpResponse> answer) {
     int query = target.indexOf('?');
     String path = query < 0 ? target : target.substring(0, query);
@@ -62,9 +62,10 @@
     } else if (path.equals(Wire.PATH_HEALTH)) {
       requireMethod(GET, method, answer, () -> answer.accept(health()));
     } else if (loop.readingBacklog()) {
-      // It came during a process pause. Served in order, requests whose senders have given up would
-      // delay those who ask now. Workers are answered all the same: in an outage their tasks live
-      // by the answer, and they would be long in coming back.
+      // The request arrived during a process pause and its sender has probably timed out; serving
+      // it
+      // would delay current requests. Workers are always answered, since their tasks depend on the
+      // renewed lease during an outage and a refused worker takes long to return.
       refusedAfterPause++;
       answer.accept(UserResponses.retryLater("it came while this controller stood still", 1));
     } else if (SchedulingApi.serves(path)) {
--- a/src/main/java/io/saltflow/controller/TaskCounts.java
+++ b/src/main/java/io/saltflow/controller/TaskCounts.java
@@ -11,21 +11,21 @@
 import java.util.function.Supplier;
 
 /**
- * How many tasks of each live job are done and running: by this node's core if it leads, else by
- * the leader's last heartbeat. Used on the event loop's thread.
+ * Numbers of done and running tasks per live job, taken from this node's core if it leads,
+ * otherwise from the leader's last heartbeat. Not thread-safe: used on the event loop's thread.
  */
 final class TaskCounts {
   private final Supplier<LeaderCore> activeCore;
   private Map<JobId, PeerHeartbeat.JobCounts> announced = new HashMap<>();
 
   /**
-   * @param activeCore the core of this node as the leader, or null
+   * @param activeCore returns the leader core, or {@code null} if this node does not lead
    */
   TaskCounts(Supplier<LeaderCore> activeCore) {
     this.activeCore = activeCore;
   }
 
-  /** The counts of a job; null: they are not known here. */
+  /** Returns the counts of a job, or {@code null} if they are not known. */
   PeerHeartbeat.JobCounts of(JobId id) {
     LeaderCore core = activeCore.get();
     if (core == null) {
@@ -35,7 +35,7 @@
     return job == null ? null : countsOf(job);
   }
 
-  /** The counts of all live jobs, to be announced by the leader; empty on other nodes. */
+  /** Returns the counts of all live jobs for the leader's heartbeat; empty on followers. */
   List<PeerHeartbeat.JobCounts> toAnnounce() {
     List<PeerHeartbeat.JobCounts> counts = new ArrayList<>();
     LeaderCore core = activeCore.get();
@@ -47,7 +47,7 @@
     return counts;
   }
 
-  /** Replaces what the leader announced before. */
+  /** Replaces the counts that the leader announced before. */
   void onAnnounced(List<PeerHeartbeat.JobCounts> counts) {
     Map<JobId, PeerHeartbeat.JobCounts> countsById = new HashMap<>();
     for (PeerHeartbeat.JobCounts jobCounts : counts) {
--- a/src/main/java/io/saltflow/controller/WorkerEndpoint.java
+++ b/src/main/java/io/saltflow/controller/WorkerEndpoint.java
@@ -8,8 +8,8 @@
 import java.util.function.Consumer;
 
 /**
- * Answers workers' heartbeats, or holds them while leadership is in transition. Used on the event
- * loop's thread.
+ * Answers worker heartbeats, or holds them while leadership is in transition. Not thread-safe: used
+ * on the event loop's thread.
  */
 final class WorkerEndpoint {
   private final EventLoop loop;
@@ -19,7 +19,7 @@
   private final BooleanSupplier recoveringHere;
 
   /**
-   * @param recoveringHere whether this node leads and still reads the records
+   * @param recoveringHere returns whether this node leads but still reads the records
    */
   WorkerEndpoint(
       EventLoop loop,
@@ -35,8 +35,8 @@
   }
 
   /**
-   * Answers a heartbeat, or holds it: while the leader seems to have failed, for the next one; and
-   * here, after the election, until it is known what was cancelled.
+   * Answers a heartbeat, or holds it: until the next leader is elected if the leader seems to have
+   * failed, and until the records are read if this node was just elected.
    */
   void handle(byte[] body, Consumer<HttpResponse> answer) {
     boolean inTransition = earlyFailover.leadershipInTransition();
--- a/src/main/java/io/saltflow/controller/package-info.java
+++ b/src/main/java/io/saltflow/controller/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One controller process: the wiring of a node, and the leader's session, which reads what is
- * recorded and then drives the leader core with events from the network.
+ * The controller process: wiring of a node, and the leader session, which reads the recorded state
+ * and drives the leader core with events from the network.
  */
 package io.saltflow.controller;
--- a/src/test/java/io/saltflow/api/UserApiConsistencyTest.java
+++ b/src/test/java/io/saltflow/api/UserApiConsistencyTest.java
@@ -19,214 +19,265 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Users ask several nodes while a job is accepted, ends or is called off, and the key-value store's
- * answers are delayed, lost or late: what happens in which order is gone through, whole for small
- * cases and by seeds for larger ones.
+ * Guards against contradictory responses from several nodes while jobs are accepted, completed or
+ * cancelled and answers of the key-value store are delayed or lost. Small scenarios are checked in
+ * every order of events, larger ones in seeded random orders.
  */
 class UserApiConsistencyTest {
   private static final int MAX_ORDERS = 10_000;
 
-  /** Writes a second that nobody waits for. */
+  /** Write rate at which no write is throttled. */
   private static final double UNLIMITED_WRITES = 1e6;
 
   private static final long SEEDS = Long.getLong("answers.seeds", 150);
 
-  /** Goes through every order of steps, the last choice changing first. */
-  private static final class EveryOrder implements IntUnaryOperator {
-    private final List<int[]> path = new ArrayList<>();
-    private int depth;
+  /** Enumerates all sequences of choices depth first. */
+  private static final class ExhaustiveChoices implements IntUnaryOperator {
+    private final List<int[]> choices = new ArrayList<>();
+    private int position;
 
     @Override
     public int applyAsInt(int options) {
-      if (depth == path.size()) {
-        path.add(new int[] {0, options});
+      if (position == choices.size()) {
+        choices.add(new int[] {0, options});
       }
-      int[] choice = path.get(depth++);
+      int[] choice = choices.get(position++);
       if (choice[1] != options) {
-        throw new IllegalStateException("the same choices led elsewhere");
+        throw new IllegalStateException("the same choices led to a different number of options");
       }
       return choice[0];
     }
 
-    /** Whether there is another order. */
+    /** Advances to the next sequence; returns whether there is one. */
     boolean next() {
-      depth = 0;
-      while (!path.isEmpty()) {
-        int[] last = path.get(path.size() - 1);
+      position = 0;
+      while (!choices.isEmpty()) {
+        int[] last = choices.get(choices.size() - 1);
         if (++last[0] < last[1]) {
           return true;
         }
-        path.remove(path.size() - 1);
+        choices.remove(choices.size() - 1);
       }
       return false;
     }
   }
 
-  private static Action act(Kind kind, int node) {
+  private static Action action(Kind kind, int node) {
     return new Action(kind, 0, node);
   }
 
-  /** Plays every order; there must be at least so many, or nothing is gone through. */
-  private static void everyOrder(Scenario play, String name, int least) {
-    EveryOrder order = new EveryOrder();
+  /** Checks the scenario in every order of events, of which there must be a minimum number. */
+  private static void checkAllOrders(Scenario scenario, String name, int minimumOrders) {
+    ExhaustiveChoices order = new ExhaustiveChoices();
     int count = 0;
     do {
-      assertNull(UserApiSimulation.play(play, order), name);
+      assertNull(UserApiSimulation.simulate(scenario, order), name);
       assertTrue(++count <= MAX_ORDERS, name + ": too many orders");
     } while (order.next());
-    assertTrue(count >= least, name + ": " + count + " orders");
+    assertTrue(count >= minimumOrders, name + ": " + count + " orders");
   }
 
-  private static void seeds(Scenario play, String name) {
+  private static void checkSeeds(Scenario scenario, String name) {
     for (long seed = 0; seed < SEEDS; seed++) {
       Random random = new Random(seed);
-      String fault = UserApiSimulation.play(play, random::nextInt);
+      String fault = UserApiSimulation.simulate(scenario, random::nextInt);
       assertNull(fault, name + ", seed " + seed);
     }
   }
 
-  /** One job that was accepted before, two nodes. */
-  private static Scenario oneJob(
-      List<List<Action>> users, Set<Integer> ending, int lost, int late, int early) {
-    return new Scenario(2, users, 1, ending, new Faults(lost, late, 0, early), UNLIMITED_WRITES);
+  /** Returns a scenario with one job that is already accepted, on two nodes. */
+  private static Scenario acceptedJob(
+      List<List<Action>> userScripts,
+      Set<Integer> completedJobs,
+      int lostAnswers,
+      int delayedRequests,
+      int earlyTicks) {
+    return new Scenario(
+        2,
+        userScripts,
+        1,
+        completedJobs,
+        new Faults(lostAnswers, delayedRequests, 0, earlyTicks),
+        UNLIMITED_WRITES);
   }
 
-  /** One job that nobody has submitted yet. */
-  private static Scenario newJob(List<List<Action>> users, int lost, int late, int early) {
-    return new Scenario(2, users, 0, Set.of(), new Faults(lost, late, 0, early), UNLIMITED_WRITES);
+  /** Returns a scenario with one job that is not submitted yet, on two nodes. */
+  private static Scenario newJob(
+      List<List<Action>> userScripts, int lostAnswers, int delayedRequests, int earlyTicks) {
+    return new Scenario(
+        2,
+        userScripts,
+        0,
+        Set.of(),
+        new Faults(lostAnswers, delayedRequests, 0, earlyTicks),
+        UNLIMITED_WRITES);
   }
 
-  /** A cancellation meets the end of the last task: one of the two, at both nodes, for ever. */
+  /** Guards against nodes that report different final states. */
   @Test
-  void aCancellationMeetsTheEnd() {
-    Set<Integer> ending = Set.of(0);
-    List<Action> cancels = List.of(act(CANCEL, 1), act(POLL, 0));
-    everyOrder(oneJob(List.of(cancels), ending, 0, 0, 1), "end", 3000);
-    everyOrder(
-        oneJob(List.of(List.of(act(CANCEL, 1)), List.of(act(SUBMIT, 0))), Set.of(), 0, 0, 0),
+  void cancellationRacingCompletionLeavesOneFinalState() {
+    Set<Integer> completedJobs = Set.of(0);
+    List<Action> cancellation = List.of(action(CANCEL, 1), action(POLL, 0));
+    checkAllOrders(acceptedJob(List.of(cancellation), completedJobs, 0, 0, 1), "completion", 3000);
+    checkAllOrders(
+        acceptedJob(
+            List.of(List.of(action(CANCEL, 1)), List.of(action(SUBMIT, 0))), Set.of(), 0, 0, 0),
         "repeated submission",
         100);
-    seeds(
-        oneJob(List.of(cancels, List.of(act(POLL, 1), act(POLL, 1))), ending, 0, 0, 2),
-        "end and questions");
-    seeds(oneJob(List.of(cancels, List.of(act(CANCEL, 0))), ending, 0, 0, 2), "two cancel");
-    List<Action> again = List.of(act(SUBMIT, 0), act(CANCEL, 2), act(POLL, 1));
-    List<Action> asks = List.of(act(POLL, 1), act(POLL, 0), act(POLL, 1), act(POLL, 2));
-    List<Action> odd = List.of(act(POLL, 1), act(POLL, 1), act(POLL, 0), act(SUBMIT_INVALID, 2));
-    seeds(
+    checkSeeds(
+        acceptedJob(
+            List.of(cancellation, List.of(action(POLL, 1), action(POLL, 1))),
+            completedJobs,
+            0,
+            0,
+            2),
+        "completion and polls");
+    checkSeeds(
+        acceptedJob(List.of(cancellation, List.of(action(CANCEL, 0))), completedJobs, 0, 0, 2),
+        "two cancellations");
+    List<Action> again = List.of(action(SUBMIT, 0), action(CANCEL, 2), action(POLL, 1));
+    List<Action> polls =
+        List.of(action(POLL, 1), action(POLL, 0), action(POLL, 1), action(POLL, 2));
+    List<Action> invalid =
+        List.of(action(POLL, 1), action(POLL, 1), action(POLL, 0), action(SUBMIT_INVALID, 2));
+    checkSeeds(
         new Scenario(
             3,
-            List.of(cancels, again, asks, odd),
+            List.of(cancellation, again, polls, invalid),
             1,
-            ending,
+            completedJobs,
             new Faults(0, 0, 0, 4),
             UNLIMITED_WRITES),
-        "all at once at three nodes");
+        "concurrent requests at three nodes");
   }
 
-  /** The same while one answer is lost, or one request is executed after it was given up. */
+  /**
+   * Guards against different final states if an answer is lost or a request runs after its timeout.
+   */
   @Test
-  void aCancellationMeetsTheEndAndAnAnswerIsLost() {
-    List<List<Action>> users = List.of(List.of(act(CANCEL, 1), act(POLL, 0)));
-    everyOrder(oneJob(users, Set.of(0), 1, 0, 0), "end, lost", 400);
-    everyOrder(oneJob(users, Set.of(0), 0, 1, 0), "end, late", 1000);
-    everyOrder(oneJob(users, Set.of(), 1, 0, 1), "cancelled, lost", 50);
-    everyOrder(oneJob(users, Set.of(), 0, 1, 1), "cancelled, late", 100);
+  void cancellationRacingCompletionLeavesOneFinalStateDespiteLostAnswer() {
+    List<List<Action>> userScripts = List.of(List.of(action(CANCEL, 1), action(POLL, 0)));
+    checkAllOrders(acceptedJob(userScripts, Set.of(0), 1, 0, 0), "completion, lost answer", 400);
+    checkAllOrders(
+        acceptedJob(userScripts, Set.of(0), 0, 1, 0), "completion, delayed request", 1000);
+    checkAllOrders(acceptedJob(userScripts, Set.of(), 1, 0, 1), "cancellation, lost answer", 50);
+    checkAllOrders(
+        acceptedJob(userScripts, Set.of(), 0, 1, 1), "cancellation, delayed request", 100);
     List<List<Action>> more =
-        List.of(users.get(0), List.of(act(POLL, 1), act(SUBMIT, 0)), List.of(act(CANCEL, 0)));
-    seeds(oneJob(more, Set.of(0), 2, 2, 4), "end, lost and late");
+        List.of(
+            userScripts.get(0),
+            List.of(action(POLL, 1), action(SUBMIT, 0)),
+            List.of(action(CANCEL, 0)));
+    checkSeeds(
+        acceptedJob(more, Set.of(0), 2, 2, 4), "completion, lost answers and delayed requests");
   }
 
-  /** The key-value store refuses one node, or the leader, in the middle of a cancellation. */
+  /** Guards against contradictory responses if the store refuses requests during a cancellation. */
   @Test
-  void aNodeIsRefusedWhileAJobIsCancelled() {
-    List<List<Action>> users = List.of(List.of(act(CANCEL, 1), act(POLL, 0), act(POLL, 1)));
+  void cancellationStaysConsistentWhileStoreRefusesRequests() {
+    List<List<Action>> userScripts =
+        List.of(List.of(action(CANCEL, 1), action(POLL, 0), action(POLL, 1)));
     Faults one = new Faults(0, 0, 1, 0);
-    everyOrder(
-        new Scenario(2, users, 1, Set.of(0), one, UNLIMITED_WRITES), "end, refused once", 400);
+    checkAllOrders(
+        new Scenario(2, userScripts, 1, Set.of(0), one, UNLIMITED_WRITES),
+        "completion, one refusal",
+        400);
     List<List<Action>> more =
         List.of(
-            List.of(act(CANCEL, 1), act(POLL, 0), act(CANCEL, 2)),
-            List.of(act(POLL, 1), act(SUBMIT, 0), act(POLL, 2)),
-            List.of(act(CANCEL, 0), act(SUBMIT_INVALID, 1)));
+            List.of(action(CANCEL, 1), action(POLL, 0), action(CANCEL, 2)),
+            List.of(action(POLL, 1), action(SUBMIT, 0), action(POLL, 2)),
+            List.of(action(CANCEL, 0), action(SUBMIT_INVALID, 1)));
     Faults often = new Faults(1, 1, 5, 4);
-    seeds(new Scenario(3, more, 1, Set.of(0), often, UNLIMITED_WRITES), "refused often, end");
-    seeds(new Scenario(3, more, 1, Set.of(), often, UNLIMITED_WRITES), "refused often");
+    checkSeeds(
+        new Scenario(3, more, 1, Set.of(0), often, UNLIMITED_WRITES),
+        "completion, repeated refusals");
+    checkSeeds(new Scenario(3, more, 1, Set.of(), often, UNLIMITED_WRITES), "repeated refusals");
   }
 
-  /** An admission's answer is lost while the other node reads what it wrote. */
+  /** Guards against denying an acceptance whose answer was lost. */
   @Test
-  void anAdmissionsAnswerIsLost() {
-    List<Action> one = List.of(act(SUBMIT, 0), act(POLL, 1), act(SUBMIT_INVALID, 1));
-    seeds(newJob(List.of(one, List.of(act(POLL, 1))), 0, 0, 2), "asked meanwhile");
-    everyOrder(newJob(List.of(one), 1, 0, 1), "lost", 30);
-    everyOrder(newJob(List.of(one), 0, 1, 1), "late", 70);
-    seeds(newJob(List.of(one, List.of(act(SUBMIT, 1))), 1, 1, 12), "sent again while under way");
-    List<List<Action>> two = List.of(List.of(act(SUBMIT, 0)), List.of(act(SUBMIT, 1)));
-    everyOrder(newJob(two, 1, 1, 0), "at two nodes, lost and late", 1000);
-    List<Action> cancels = List.of(act(SUBMIT, 0), act(POLL, 1), act(CANCEL, 2), act(SUBMIT, 1));
+  void acceptanceStaysConsistentWhenItsAnswerIsLost() {
+    List<Action> one = List.of(action(SUBMIT, 0), action(POLL, 1), action(SUBMIT_INVALID, 1));
+    checkSeeds(newJob(List.of(one, List.of(action(POLL, 1))), 0, 0, 2), "concurrent polls");
+    checkAllOrders(newJob(List.of(one), 1, 0, 1), "lost answer", 30);
+    checkAllOrders(newJob(List.of(one), 0, 1, 1), "delayed request", 70);
+    checkSeeds(
+        newJob(List.of(one, List.of(action(SUBMIT, 1))), 1, 1, 12), "repeated while in flight");
+    List<List<Action>> two = List.of(List.of(action(SUBMIT, 0)), List.of(action(SUBMIT, 1)));
+    checkAllOrders(newJob(two, 1, 1, 0), "two nodes, lost answer and delayed request", 1000);
+    List<Action> cancellation =
+        List.of(action(SUBMIT, 0), action(POLL, 1), action(CANCEL, 2), action(SUBMIT, 1));
     List<Action> repeats =
-        List.of(act(SUBMIT, 1), act(POLL, 2), act(POLL, 0), act(SUBMIT_INVALID, 0));
-    List<Action> asks = List.of(act(POLL, 0), act(POLL, 2), act(POLL, 1), act(POLL, 0));
-    seeds(
+        List.of(action(SUBMIT, 1), action(POLL, 2), action(POLL, 0), action(SUBMIT_INVALID, 0));
+    List<Action> polls =
+        List.of(action(POLL, 0), action(POLL, 2), action(POLL, 1), action(POLL, 0));
+    checkSeeds(
         new Scenario(
             3,
-            List.of(cancels, repeats, asks),
+            List.of(cancellation, repeats, polls),
             0,
             Set.of(),
             new Faults(2, 2, 0, 4),
             UNLIMITED_WRITES),
-        "all at once");
+        "concurrent requests");
   }
 
-  /** Called off at the node that has not told yet that it was accepted. */
   @Test
-  void aJobIsCancelledBeforeItsAcceptanceIsTold() {
-    List<List<Action>> users = List.of(List.of(act(SUBMIT, 0)), List.of(act(CANCEL, 0)));
-    everyOrder(newJob(users, 0, 0, 0), "one node", 40);
+  void jobCanBeCancelledBeforeItsAcceptanceIsAnswered() {
+    List<List<Action>> userScripts =
+        List.of(List.of(action(SUBMIT, 0)), List.of(action(CANCEL, 0)));
+    checkAllOrders(newJob(userScripts, 0, 0, 0), "one node", 40);
   }
 
-  private static Action act(Kind kind, int job, int node) {
+  private static Action action(Kind kind, int job, int node) {
     return new Action(kind, job, node);
   }
 
   /**
-   * Jobs that come in quick succession lie in bundles first, and are taken out while they are asked
-   * about, called off and submitted again.
+   * Guards against contradictory responses while submission batches are unpacked and their jobs are
+   * polled, cancelled and submitted again.
    */
   @Test
-  void jobsInSubmissionBatches() {
-    List<List<Action>> users = new ArrayList<>();
+  void responsesStayConsistentWhileBatchesAreUnpacked() {
+    List<List<Action>> userScripts = new ArrayList<>();
     for (int job = 0; job < 5; job++) {
-      users.add(
+      userScripts.add(
           List.of(
-              act(SUBMIT, job, job == 4 ? 1 : 0),
-              act(POLL, job, 1),
-              act(job % 2 == 0 ? CANCEL : SUBMIT, job, job % 2),
-              act(POLL, job, 0),
-              act(SUBMIT_INVALID, job, 1)));
+              action(SUBMIT, job, job == 4 ? 1 : 0),
+              action(POLL, job, 1),
+              action(job % 2 == 0 ? CANCEL : SUBMIT, job, job % 2),
+              action(POLL, job, 0),
+              action(SUBMIT_INVALID, job, 1)));
     }
-    users.add(List.of(act(SUBMIT, 1, 0), act(POLL, 1, 0), act(SUBMIT, 2, 0), act(POLL, 2, 1)));
-    seeds(new Scenario(2, users, 0, Set.of(), new Faults(0, 0, 0, 6), 2), "bundles");
-    seeds(new Scenario(2, users, 0, Set.of(), new Faults(2, 1, 1, 6), 2), "bundles, lost and late");
+    userScripts.add(
+        List.of(
+            action(SUBMIT, 1, 0), action(POLL, 1, 0), action(SUBMIT, 2, 0), action(POLL, 2, 1)));
+    checkSeeds(new Scenario(2, userScripts, 0, Set.of(), new Faults(0, 0, 0, 6), 2), "batches");
+    checkSeeds(
+        new Scenario(2, userScripts, 0, Set.of(), new Faults(2, 1, 1, 6), 2),
+        "batches, lost answers and delayed requests");
   }
 
-  /** So many unknown jobs are asked about that all records are read at once. */
+  /**
+   * Guards against stale responses when the polls of many unknown jobs are answered by one listing.
+   */
   @Test
-  void manyFirstQuestions() {
-    List<List<Action>> users = new ArrayList<>();
+  void pollsOfManyUnknownJobsStayConsistent() {
+    List<List<Action>> userScripts = new ArrayList<>();
     for (int job = 0; job < 10; job++) {
-      users.add(List.of(act(POLL, job, 1), act(POLL, job, 1)));
+      userScripts.add(List.of(action(POLL, job, 1), action(POLL, job, 1)));
     }
-    users.add(List.of(act(CANCEL, 3, 0), act(POLL, 3, 1), act(POLL, 3, 0)));
-    users.add(List.of(act(CANCEL, 4, 1), act(POLL, 4, 0), act(POLL, 4, 1)));
-    users.add(List.of(act(SUBMIT, 10, 0), act(POLL, 10, 1), act(POLL, 10, 0)));
-    users.add(List.of(act(POLL, 5, 1), act(POLL, 5, 0), act(POLL, 5, 1)));
-    seeds(
-        new Scenario(2, users, 10, Set.of(3, 4, 5), new Faults(0, 0, 0, 12), UNLIMITED_WRITES),
-        "many");
-    seeds(
-        new Scenario(2, users, 10, Set.of(3, 4, 5), new Faults(1, 1, 1, 12), UNLIMITED_WRITES),
-        "many, lost and late");
+    userScripts.add(List.of(action(CANCEL, 3, 0), action(POLL, 3, 1), action(POLL, 3, 0)));
+    userScripts.add(List.of(action(CANCEL, 4, 1), action(POLL, 4, 0), action(POLL, 4, 1)));
+    userScripts.add(List.of(action(SUBMIT, 10, 0), action(POLL, 10, 1), action(POLL, 10, 0)));
+    userScripts.add(List.of(action(POLL, 5, 1), action(POLL, 5, 0), action(POLL, 5, 1)));
+    checkSeeds(
+        new Scenario(
+            2, userScripts, 10, Set.of(3, 4, 5), new Faults(0, 0, 0, 12), UNLIMITED_WRITES),
+        "many polls");
+    checkSeeds(
+        new Scenario(
+            2, userScripts, 10, Set.of(3, 4, 5), new Faults(1, 1, 1, 12), UNLIMITED_WRITES),
+        "many polls, lost answers and delayed requests");
   }
 }
--- a/src/test/java/io/saltflow/api/UserApiLoadTest.java
+++ b/src/test/java/io/saltflow/api/UserApiLoadTest.java
@@ -43,9 +43,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How long users wait for the acceptance of their jobs, by a simulated clock: three nodes before a
- * key-value store with its limits, users who look closely after each answer, and answers that come
- * late.
+ * Guards against slow acceptance of jobs under load: three nodes use one rate-limited key-value
+ * store on a simulated clock, while users poll repeatedly and answers are delayed.
  */
 class UserApiLoadTest {
   private static final int NODES = 3;
@@ -61,57 +60,59 @@
 
   private Root root = new Root();
   private Random random = new Random(7);
-  private final List<Long> waits = new ArrayList<>();
+  private final List<Long> acceptanceTimesMs = new ArrayList<>();
   private final Map<String, Integer> refusals = new TreeMap<>();
   private final List<UserApi> nodes = new ArrayList<>();
   private long clockMs = 1_000_000;
   private EventLoop loop;
   private EmulatedKeyValueStore store;
-  private KeyValueServer front;
+  private KeyValueServer storeServer;
   private UserResponseHistory history;
 
-  /** The share of transactions with writes that get no answer and are executed later. */
-  private double late;
+  /** Fraction of POST requests to the store that time out and are executed later. */
+  private double delayedFraction;
 
-  /** How long a message is on its way, in milliseconds. */
-  private long transitMs = 3;
+  /** One-way network delay, in milliseconds. */
+  private long networkDelayMs = 3;
 
   private boolean repeatedPolls;
-  private int open;
+  private int unacceptedJobs;
 
-  /** After so many polls every fourth job is called off; the others after six. */
-  private int cancelledAfter = 6;
+  /**
+   * Number of polls after which every fourth job is cancelled; the others are cancelled after six.
+   */
+  private int pollsBeforeCancellation = 6;
 
   @BeforeEach
-  void start() throws IOException {
+  void createLoop() throws IOException {
     loop = new EventLoop(() -> clockMs * 1_000_000, () -> clockMs);
   }
 
   @AfterEach
-  void end() {
+  void cancelRoutines() {
     root.cancel();
   }
 
-  /** Begins anew; what users have waited is kept. */
-  private void restart(long seed) {
+  /** Starts a new simulation, keeping the measured acceptance times. */
+  private void resetSimulation(long seed) {
     root.cancel();
     root = new Root();
     random = new Random(seed);
     nodes.clear();
-    history = new UserResponseHistory(this::recorded);
+    history = new UserResponseHistory(this::recordedPhase);
     clockMs += 60_000;
   }
 
-  private void nodes(double rps, double writeRps, int txnOps) {
+  private void startNodes(double rps, double writeRps, int txnOps) {
     store =
         new EmulatedKeyValueStore(
             new KeyValueLimits(rps, writeRps, 16, txnOps), steps -> {}, loop.now());
-    front = new KeyValueServer(root, loop, store.core(), () -> store.flush(loop.now()));
+    storeServer = new KeyValueServer(root, loop, store.core(), () -> store.flush(loop.now()));
     MachineType type =
         new MachineType(
             "box", new Resources(8, 0, 32), 1, 1, 0.5, TimeSpan.seconds(15), List.of("a"));
     for (int number = 0; number < NODES; number++) {
-      KeyValueClient state =
+      KeyValueClient client =
           new KeyValueClient(
               root,
               loop,
@@ -120,12 +121,12 @@
               rps * 0.45,
               writeRps * 0.5,
               new StoreLimits(txnOps, 16, writeRps));
-      JobRepository jobs = new JobRepository(root, loop, state, "node-" + number, LaneRules.NONE);
+      JobRepository jobs = new JobRepository(root, loop, client, "node-" + number, LaneRules.NONE);
       nodes.add(
           new UserApi(
               jobs,
-              state,
-              new JobValidator(config().teams(), () -> List.of(type)),
+              client,
+              new JobValidator(settings().teams(), () -> List.of(type)),
               id -> null,
               loop::wallClockMs,
               loop::now,
@@ -133,7 +134,7 @@
     }
   }
 
-  private static PlatformSettings config() {
+  private static PlatformSettings settings() {
     try {
       return PlatformSettings.parse(PlatformSettingsTest.SETTINGS);
     } catch (ConfigException exception) {
@@ -141,7 +142,7 @@
     }
   }
 
-  private void after(long ms, Runnable action) {
+  private void schedule(long ms, Runnable action) {
     loop.schedule(TimeSpan.millis(ms), root, action);
   }
 
@@ -151,70 +152,72 @@
       byte[] body,
       TimeSpan timeout,
       Consumer<HttpClient.Answer> then) {
-    boolean[] ended = new boolean[1];
+    boolean[] finished = new boolean[1];
     var sent = loop.now();
     Consumer<HttpResponse> answer =
         reply -> {
-          if (!ended[0]) {
-            ended[0] = true;
+          if (!finished[0]) {
+            finished[0] = true;
             then.accept(new HttpClient.Answer(reply.status(), reply.body(), sent, 0));
           }
         };
-    after(timeout.ms(), () -> answer.accept(HttpResponse.NONE));
-    boolean held = method.equals("POST") && random.nextDouble() < late;
-    long way = held ? 2000 + random.nextInt(10_000) : transitMs;
-    after(
-        way,
-        () -> front.handle(method, target, body, r -> after(transitMs, () -> answer.accept(r))));
+    schedule(timeout.ms(), () -> answer.accept(HttpResponse.NONE));
+    boolean delayed = method.equals("POST") && random.nextDouble() < delayedFraction;
+    long delayMs = delayed ? 2000 + random.nextInt(10_000) : networkDelayMs;
+    schedule(
+        delayMs,
+        () ->
+            storeServer.handle(
+                method, target, body, r -> schedule(networkDelayMs, () -> answer.accept(r))));
   }
 
   // ---- Users
 
-  private void user(int number) {
-    open++;
+  private void addUser(int number) {
+    unacceptedJobs++;
     submit(number, loop.now().ms(), random.nextInt(NODES));
   }
 
-  private void submit(int number, long since, int node) {
-    boolean[] ended = new boolean[1];
-    Runnable again = () -> submit(number, since, random.nextInt(NODES));
-    after(
+  private void submit(int number, long firstSentMs, int node) {
+    boolean[] finished = new boolean[1];
+    Runnable retry = () -> submit(number, firstSentMs, random.nextInt(NODES));
+    schedule(
         ANSWER_TIMEOUT.ms(),
         () -> {
-          if (!ended[0]) {
-            ended[0] = true;
-            refused("no answer");
-            after(RETRY_DELAY.ms(), again);
+          if (!finished[0]) {
+            finished[0] = true;
+            recordRefusal("no answer");
+            schedule(RETRY_DELAY.ms(), retry);
           }
         });
-    ask(
+    request(
         UserApiSimulation.Kind.SUBMIT,
         number,
         node,
         reply -> {
-          if (ended[0]) {
+          if (finished[0]) {
             return;
           }
-          ended[0] = true;
+          finished[0] = true;
           if (reply.status() / 100 == 2) {
-            waits.add(loop.now().ms() - since);
-            open--;
+            acceptanceTimesMs.add(loop.now().ms() - firstSentMs);
+            unacceptedJobs--;
             accepted(number);
           } else {
             assertEquals(503, reply.status());
-            refused(
+            recordRefusal(
                 new String(
                     reply.body(),
                     7,
                     Math.min(20, reply.body().length - 7),
                     StandardCharsets.UTF_8));
-            after(RETRY_DELAY.ms(), again);
+            schedule(RETRY_DELAY.ms(), retry);
           }
         });
   }
 
-  private void refused(String why) {
-    refusals.merge(why.replaceAll("req-[0-9]+", "it"), 1, Integer::sum);
+  private void recordRefusal(String reason) {
+    refusals.merge(reason.replaceAll("req-[0-9]+", "it"), 1, Integer::sum);
   }
 
   private static byte[] submission(int number) {
@@ -229,11 +232,11 @@
     if (repeatedPolls) {
       for (int i = 0; i < 4 * NODES; i++) {
         int node = i % NODES;
-        after(1 + i * 2L, () -> ask(UserApiSimulation.Kind.POLL, number, node, reply -> {}));
+        schedule(1 + i * 2L, () -> request(UserApiSimulation.Kind.POLL, number, node, reply -> {}));
       }
       for (int node = 0; node < NODES; node++) {
-        int at = node;
-        after(5, () -> ask(UserApiSimulation.Kind.SUBMIT, number, at, reply -> {}));
+        int target = node;
+        schedule(5, () -> request(UserApiSimulation.Kind.SUBMIT, number, target, reply -> {}));
       }
     }
     poll(number, 0);
@@ -241,47 +244,52 @@
 
   private void poll(int number, int times) {
     int node = random.nextInt(NODES);
-    if (times == (number % 4 == 0 ? cancelledAfter : 6)) {
-      ask(UserApiSimulation.Kind.CANCEL, number, node, reply -> lookAfter(number, reply));
+    if (times == (number % 4 == 0 ? pollsBeforeCancellation : 6)) {
+      request(
+          UserApiSimulation.Kind.CANCEL,
+          number,
+          node,
+          reply -> pollAfterCancellation(number, reply));
     } else {
-      ask(UserApiSimulation.Kind.POLL, number, node, reply -> {});
-      after(POLL_INTERVAL.ms(), () -> poll(number, times + 1));
+      request(UserApiSimulation.Kind.POLL, number, node, reply -> {});
+      schedule(POLL_INTERVAL.ms(), () -> poll(number, times + 1));
     }
   }
 
-  private void lookAfter(int number, HttpResponse cancelled) {
+  private void pollAfterCancellation(int number, HttpResponse cancelled) {
     for (int node = 0; repeatedPolls && cancelled.status() == 200 && node < NODES; node++) {
-      int at = node;
-      after(1, () -> ask(UserApiSimulation.Kind.POLL, number, at, reply -> {}));
+      int target = node;
+      schedule(1, () -> request(UserApiSimulation.Kind.POLL, number, target, reply -> {}));
     }
   }
 
-  private void ask(UserApiSimulation.Kind kind, int number, int node, Consumer<HttpResponse> then) {
-    UserResponseHistory.Question question = history.onRequest(id(number), kind, node);
-    Consumer<HttpResponse> told =
+  private void request(
+      UserApiSimulation.Kind kind, int number, int node, Consumer<HttpResponse> then) {
+    UserResponseHistory.Request request = history.onRequest(id(number), kind, node);
+    Consumer<HttpResponse> onResponse =
         reply -> {
-          history.told(question, reply);
+          history.onResponse(request, reply);
           then.accept(reply);
         };
     UserApi api = nodes.get(node);
     switch (kind) {
-      case SUBMIT -> api.submit(submission(number), told);
-      case POLL -> api.poll(id(number).text(), told);
-      default -> api.cancel(id(number).text(), told);
+      case SUBMIT -> api.submit(submission(number), onResponse);
+      case POLL -> api.poll(id(number).text(), onResponse);
+      default -> api.cancel(id(number).text(), onResponse);
     }
   }
 
-  private String recorded(JobId id) {
-    KeyValueStore.Value over = store.value("over/" + id.text());
-    if (over != null) {
-      return over.data().get("phase").toString();
+  private String recordedPhase(JobId id) {
+    KeyValueStore.Value finalRecord = store.value("over/" + id.text());
+    if (finalRecord != null) {
+      return finalRecord.data().get("phase").toString();
     }
-    return store.value(JobRecordCodec.liveKey(id)) != null || inABatch(id)
+    return store.value(JobRecordCodec.liveKey(id)) != null || isInBatch(id)
         ? UserResponseHistory.LIVE
         : null;
   }
 
-  private boolean inABatch(JobId id) {
+  private boolean isInBatch(JobId id) {
     try {
       MessageBody all =
           MessagePackCodec.decode(MessagePackCodec.encode(store.list("live/~", "", 1000).body()));
@@ -296,106 +304,104 @@
     }
   }
 
-  /** So many submissions a second for so long, and until the last is accepted. */
-  private void play(double perS, int seconds) throws IOException {
-    int jobs = (int) (perS * seconds);
-    int before = waits.size();
+  /** Submits jobs at a rate for some time, and runs until the last is accepted. */
+  private void runLoad(double jobsPerSecond, int seconds) throws IOException {
+    int jobs = (int) (jobsPerSecond * seconds);
+    int before = acceptanceTimesMs.size();
     for (int number = 0; number < jobs; number++) {
-      int each = number;
-      after((long) (1000 * seconds * random.nextDouble()), () -> user(each));
+      int job = number;
+      schedule((long) (1000 * seconds * random.nextDouble()), () -> addUser(job));
     }
-    for (int ms = 0; ms < seconds * 1000 || open > 0; ms += 1) {
+    for (int ms = 0; ms < seconds * 1000 || unacceptedJobs > 0; ms += 1) {
       clockMs += 1;
       loop.post(loop::pause);
       loop.run();
       assertTrue(ms < 600_000);
     }
-    assertEquals(before + jobs, waits.size());
-    Collections.sort(waits);
+    assertEquals(before + jobs, acceptanceTimesMs.size());
+    Collections.sort(acceptanceTimesMs);
     assertNull(history.fault());
   }
 
-  private double within(long ms) {
-    return (double) waits.stream().filter(w -> w <= ms).count() / waits.size();
+  private double fractionWithin(long ms) {
+    return (double) acceptanceTimesMs.stream().filter(waitMs -> waitMs <= ms).count()
+        / acceptanceTimesMs.size();
   }
 
   private String summary() {
     return String.format(
-        "%d jobs, %.1f%% within 200 ms, %.1f%% in 2 s, p95 %d ms, most %d ms, refused %s",
-        waits.size(),
-        100 * within(200),
-        100 * within(2000),
-        waits.get(waits.size() * 95 / 100),
-        waits.get(waits.size() - 1),
+        "%d jobs, %.1f%% within 200 ms, %.1f%% within 2 s, p95 %d ms, max %d ms, refusals %s",
+        acceptanceTimesMs.size(),
+        100 * fractionWithin(200),
+        100 * fractionWithin(2000),
+        acceptanceTimesMs.get(acceptanceTimesMs.size() * 95 / 100),
+        acceptanceTimesMs.get(acceptanceTimesMs.size() - 1),
         refusals);
   }
 
-  private void small(double perS, int seconds, int seeds) throws IOException {
+  private void runOnSmallStore(double jobsPerSecond, int seconds, int seeds) throws IOException {
     for (int seed = 0; seed < seeds; seed++) {
-      restart(seed);
-      nodes(120, 30, 8);
-      play(perS, seconds);
+      resetSimulation(seed);
+      startNodes(120, 30, 8);
+      runLoad(jobsPerSecond, seconds);
     }
   }
 
-  private void large(double perS, int seconds, int seeds) throws IOException {
+  private void runOnLargeStore(double jobsPerSecond, int seconds, int seeds) throws IOException {
     for (int seed = 0; seed < seeds; seed++) {
-      restart(seed);
-      nodes(600, 250, 24);
-      play(perS, seconds);
+      resetSimulation(seed);
+      startNodes(600, 250, 24);
+      runLoad(jobsPerSecond, seconds);
     }
   }
 
-  /** Twelve questions and three repeated submissions after each acceptance delay nobody. */
+  /** Guards against polls that use up the request rate needed by submissions. */
   @Test
-  void repeatedPollsDelayNoSubmission() throws IOException {
+  void repeatedPollsDoNotDelaySubmissions() throws IOException {
     repeatedPolls = true;
-    small(4, 60, 1);
-    large(20, 60, 1);
-    assertTrue(within(200) > 0.992, summary());
+    runOnSmallStore(4, 60, 1);
+    runOnLargeStore(20, 60, 1);
+    assertTrue(fractionWithin(200) > 0.992, summary());
   }
 
-  /** Every twelfth transaction gets no answer; its user waited 1.5 s for the next. */
+  /** Guards against submissions that wait for the timeout of an unanswered transaction. */
   @Test
-  void lateAnswersDelayNoSubmission() throws IOException {
-    late = 0.08;
-    large(20, 60, 1);
-    small(4, 60, 1);
-    assertTrue(within(200) > 0.992, summary());
+  void delayedAnswersDoNotDelaySubmissions() throws IOException {
+    delayedFraction = 0.08;
+    runOnLargeStore(20, 60, 1);
+    runOnSmallStore(4, 60, 1);
+    assertTrue(fractionWithin(200) > 0.992, summary());
   }
 
-  /**
-   * A service that is slow for all gets no more to do: nothing is sent twice because it takes as
-   * long as everything does.
-   */
+  /** Guards against retries that multiply the load on a slow store. */
   @Test
-  void aBurstBeforeASlowServiceIsNotSentTwice() throws IOException {
-    transitMs = 150;
-    small(60, 4, 4);
-    assertTrue(within(2000) > 0.99, summary());
-    waits.clear();
+  void burstAtSlowStoreIsAcceptedWithoutRetryLoad() throws IOException {
+    networkDelayMs = 150;
+    runOnSmallStore(60, 4, 4);
+    assertTrue(fractionWithin(2000) > 0.99, summary());
+    acceptanceTimesMs.clear();
     repeatedPolls = true;
-    large(150, 4, 4);
-    assertTrue(within(2000) > 0.89, summary());
+    runOnLargeStore(150, 4, 4);
+    assertTrue(fractionWithin(2000) > 0.89, summary());
   }
 
-  /** Four small jobs a second for two minutes, a quarter of them called off at once. */
+  /** Guards against slow acceptance while a quarter of the jobs is cancelled immediately. */
   @Test
-  void smallJobsAndCancellationsForMinutes() throws IOException {
+  void steadyLoadWithCancellationsIsAcceptedInTime() throws IOException {
     repeatedPolls = true;
-    cancelledAfter = 0;
-    small(4, 120, 1);
-    assertTrue(within(200) > 0.992, summary());
-    late = 0.08;
-    small(4, 120, 1);
-    assertTrue(within(2000) > 0.992, summary());
+    pollsBeforeCancellation = 0;
+    runOnSmallStore(4, 120, 1);
+    assertTrue(fractionWithin(200) > 0.992, summary());
+    delayedFraction = 0.08;
+    runOnSmallStore(4, 120, 1);
+    assertTrue(fractionWithin(2000) > 0.992, summary());
   }
 
   @Test
-  void aBurstWithRepeatedPollsAndLateAnswers() throws IOException {
-    late = 0.08;
+  void burstWithRepeatedPollsAndDelayedAnswersIsAcceptedInTime() throws IOException {
+    delayedFraction = 0.08;
     repeatedPolls = true;
-    small(60, 4, 4);
-    assertTrue(within(2000) > 0.97, summary());
+    runOnSmallStore(60, 4, 4);
+    assertTrue(fractionWithin(2000) > 0.97, summary());
   }
 }
--- a/src/test/java/io/saltflow/api/UserApiSimulation.java
+++ b/src/test/java/io/saltflow/api/UserApiSimulation.java
@@ -51,55 +51,55 @@
 import java.util.function.IntUnaryOperator;
 
 /**
- * Several nodes' user interfaces and one leader's records before one key-value store, by a clock of
- * the test. Every request to the key-value store is a message whose execution, answer and loss are
- * steps of their own; which step comes next is chosen from outside. {@link UserResponseHistory}
- * judges what users are told.
+ * Deterministic simulation of the user APIs of several nodes and the records of one leader, sharing
+ * one key-value store and a simulated clock. The execution, answer and loss of each store request
+ * are separate steps, and the caller chooses which step comes next. {@link UserResponseHistory}
+ * checks the responses to users.
  */
 final class UserApiSimulation {
-  /** What a user does: one request to one node. */
+  /** A request of a user to one node. */
   record Action(Kind kind, int job, int node) {}
 
-  /** The kind of request. */
+  /** Type of a user request. */
   enum Kind {
     SUBMIT,
-    /** The same id with a description that a node would refuse. */
+    /** Submits the same id with a description that a node would refuse for a new job. */
     SUBMIT_INVALID,
     POLL,
     CANCEL
   }
 
   /**
-   * What is played.
+   * A scenario to simulate.
    *
-   * @param users each does one thing after the other, all of them at the same time
-   * @param before jobs that were accepted before it begins, each with a record of its own
-   * @param ending those of them whose tasks are all done, as the leader knows
-   * @param writesPerS what each node may write
+   * @param userScripts the actions of each user; users act concurrently, each sequentially
+   * @param acceptedJobs the number of jobs accepted before the start, each with its own record
+   * @param completedJobs the accepted jobs whose tasks are all done according to the leader
+   * @param writesPerSecond the write rate of each node
    */
   record Scenario(
       int nodes,
-      List<List<Action>> users,
-      int before,
-      Set<Integer> ending,
-      Faults troubles,
-      double writesPerS) {}
+      List<List<Action>> userScripts,
+      int acceptedJobs,
+      Set<Integer> completedJobs,
+      Faults faults,
+      double writesPerSecond) {}
 
   /**
-   * What may go wrong, in so many places at most.
+   * Maximum numbers of injected faults.
    *
-   * @param lost requests that are executed and whose answers never come
-   * @param late requests that get no answer and are executed later
-   * @param refused requests that are refused to that node alone
-   * @param early moments that pass while something else might happen first
+   * @param lostAnswers requests that are executed but never answered
+   * @param delayedRequests requests that time out and are executed later
+   * @param refusals requests that are refused with 503
+   * @param earlyTicks clock ticks that pass although other steps are possible
    */
-  record Faults(int lost, int late, int refused, int early) {}
+  record Faults(int lostAnswers, int delayedRequests, int refusals, int earlyTicks) {}
 
   private static final TimeSpan TICK = TimeSpan.millis(100);
   private static final int MAX_TICKS = 400;
-  private static final int MAX_TRIES = 6;
+  private static final int MAX_ATTEMPTS = 6;
   private static final byte[] NO_BODY = new byte[0];
-  private static final PlatformSettings CONFIG = config();
+  private static final PlatformSettings SETTINGS = settings();
   private static final MachineType TYPE =
       new MachineType(
           "box", new Resources(8, 0, 32), 1, 1, 0.5, TimeSpan.seconds(15), List.of("a"));
@@ -115,7 +115,7 @@
     }
   }
 
-  private static PlatformSettings config() {
+  private static PlatformSettings settings() {
     try {
       return PlatformSettings.parse(PlatformSettingsTest.SETTINGS);
     } catch (ConfigException exception) {
@@ -129,57 +129,57 @@
     }
   }
 
-  /** A request to the key-value store on its way, or its answer. */
-  private static final class Message {
+  /** A request to the key-value store in flight, or its answer. */
+  private static final class StoreRequest {
     final String method;
     final String target;
     final byte[] body;
-    final Consumer<HttpClient.Answer> then;
-    final MonotonicTime sent = LOOP.now();
+    final Consumer<HttpClient.Answer> callback;
+    final MonotonicTime sentAt = LOOP.now();
     HttpResponse reply;
-    boolean held;
-    boolean lost;
-    boolean givenUp;
+    boolean delayed;
+    boolean answerLost;
+    boolean completed;
 
-    Message(String method, String target, byte[] body, Consumer<HttpClient.Answer> then) {
+    StoreRequest(String method, String target, byte[] body, Consumer<HttpClient.Answer> callback) {
       this.method = method;
       this.target = target;
       this.body = body;
-      this.then = then;
+      this.callback = callback;
     }
 
-    /** Whether a step may execute it: one that is held back only when nobody waits for it. */
+    /** Returns whether the store may execute the request; a delayed one only after its timeout. */
     boolean executable() {
-      return reply == null && (!held || givenUp);
+      return reply == null && (!delayed || completed);
     }
 
     boolean answerable() {
-      return reply != null && !lost && !givenUp;
+      return reply != null && !answerLost && !completed;
     }
 
-    void end(int status, byte[] bytes) {
-      givenUp = true;
-      then.accept(new HttpClient.Answer(status, bytes, sent, 0));
+    void complete(int status, byte[] bytes) {
+      completed = true;
+      callback.accept(new HttpClient.Answer(status, bytes, sentAt, 0));
     }
   }
 
-  /** No job depends on another here, so there is nothing that may be behind. */
+  /** Never withholds a live job, since no job has dependencies here. */
   static final CascadeBarrier OPEN_BARRIER = new CascadeBarrier(new TimeSpan(Long.MAX_VALUE / 2));
 
   private final class Node {
-    final KeyValueClient state;
+    final KeyValueClient client;
     final JobRepository jobs;
-    final UserApi users;
+    final UserApi userApi;
 
-    Node(int number, double writesPerS) {
+    Node(int number, double writesPerSecond) {
       HttpCaller network = UserApiSimulation.this::send;
-      state = new KeyValueClient(root, LOOP, network, network, 1e6, writesPerS, limits());
-      jobs = new JobRepository(root, LOOP, state, "node-" + number, LaneRules.NONE);
-      users =
+      client = new KeyValueClient(root, LOOP, network, network, 1e6, writesPerSecond, limits());
+      jobs = new JobRepository(root, LOOP, client, "node-" + number, LaneRules.NONE);
+      userApi =
           new UserApi(
               jobs,
-              state,
-              new JobValidator(CONFIG.teams(), () -> List.of(TYPE)),
+              client,
+              new JobValidator(SETTINGS.teams(), () -> List.of(TYPE)),
               id -> null,
               LOOP::wallClockMs,
               LOOP::now,
@@ -187,79 +187,78 @@
     }
   }
 
-  /** Each client learns by itself what the service takes. */
+  /** Returns new limits, as each client adapts its own. */
   private static StoreLimits limits() {
     return new StoreLimits(8, 8, 1000);
   }
 
   private static final class User {
-    final Deque<Action> todo;
-    boolean waits;
-    int tries;
+    final Deque<Action> remaining;
+    boolean waiting;
+    int attempts;
 
     User(List<Action> script) {
-      todo = new ArrayDeque<>(script);
+      remaining = new ArrayDeque<>(script);
     }
   }
 
-  private final Scenario play;
+  private final Scenario scenario;
   private final IntUnaryOperator chooser;
   private final Root root = new Root();
   private final EmulatedKeyValueStore store =
       new EmulatedKeyValueStore(new KeyValueLimits(1e6, 1e6, 8, 8), steps -> {}, LOOP.now());
-  private final KeyValueServer front =
+  private final KeyValueServer storeServer =
       new KeyValueServer(root, LOOP, store.core(), () -> store.flush(LOOP.now()));
   private final List<Node> nodes = new ArrayList<>();
   private final List<User> users = new ArrayList<>();
-  private final List<Message> messages = new ArrayList<>();
-  private final Set<JobId> responded = new LinkedHashSet<>();
+  private final List<StoreRequest> requests = new ArrayList<>();
+  private final Set<JobId> acknowledgedJobs = new LinkedHashSet<>();
   private final UserResponseHistory history;
   private LeaderRepository records;
   private LeaderCore leader;
 
-  /** Requests of the leader that are not answered yet. */
   private int leaderRequestsInFlight;
 
-  private int lost;
-  private int late;
-  private int refused;
-  private int early;
+  private int lostAnswers;
+  private int delayedRequests;
+  private int refusals;
+  private int earlyTicks;
   private int ticks;
 
-  private UserApiSimulation(Scenario play, IntUnaryOperator chooser) {
-    this.play = play;
+  private UserApiSimulation(Scenario scenario, IntUnaryOperator chooser) {
+    this.scenario = scenario;
     this.chooser = chooser;
-    history = new UserResponseHistory(this::recorded);
-    for (int number = 0; number < play.nodes; number++) {
-      nodes.add(new Node(number, play.writesPerS));
+    history = new UserResponseHistory(this::recordedPhase);
+    for (int number = 0; number < scenario.nodes; number++) {
+      nodes.add(new Node(number, scenario.writesPerSecond));
     }
-    play.users.forEach(script -> users.add(new User(script)));
-    prepare();
+    scenario.userScripts.forEach(script -> users.add(new User(script)));
+    createAcceptedJobs();
   }
 
   /**
-   * Plays it once.
+   * Runs a scenario once.
    *
-   * @param chooser of so many possible steps, the number of the next
-   * @return what was wrong, or null
+   * @param chooser returns the index of the next step, given the number of possible steps
+   * @return the description of the first fault, or {@code null} if none
    */
-  static String play(Scenario play, IntUnaryOperator chooser) {
-    UserApiSimulation world = new UserApiSimulation(play, chooser);
+  static String simulate(Scenario scenario, IntUnaryOperator chooser) {
+    UserApiSimulation simulation = new UserApiSimulation(scenario, chooser);
     try {
-      world.run();
-      return world.history.fault();
+      simulation.run();
+      return simulation.history.fault();
     } finally {
-      world.root.cancel();
+      simulation.root.cancel();
       clockMs += 10_000;
-      fire();
+      runDueEvents();
     }
   }
 
-  // ---- What was there before
+  // ---- Initial state
 
-  private void prepare() {
+  private void createAcceptedJobs() {
     List<Job> known = new ArrayList<>();
-    for (int number = 0; number < play.before; number++) {
+    for (int number = 0; number < scenario.acceptedJobs; number++) {
       JobId id = id(number);
       MessageBody spec = submission(number);
       commit(
@@ -271,8 +270,8 @@
                       MessageBody.of()
                           .with(Wire.PUT, JobRecordCodec.liveKey(id))
                           .with(Wire.VALUE, MessageBody.of().with("spec", spec).with("at", 5L)))));
-      history.acceptedBefore(id);
-      responded.add(id);
+      history.onAcceptedBefore(id);
+      acknowledgedJobs.add(id);
       try {
         KeyValueStore.Value value = store.value(JobRecordCodec.liveKey(id));
         LiveJobRecord recorded =
@@ -280,7 +279,7 @@
                 MessagePackCodec.decode(MessagePackCodec.encode(value.data())),
                 new Revision(value.modRevision()));
         BitSet done = new BitSet();
-        if (play.ending.contains(number)) {
+        if (scenario.completedJobs.contains(number)) {
           done.set(0, recorded.spec().tasks());
         }
         known.add(new Job(recorded.spec(), 5, done, true));
@@ -288,10 +287,10 @@
         throw new IllegalStateException(exception);
       }
     }
-    lead(known);
+    startLeader(known);
   }
 
-  private void lead(List<Job> known) {
+  private void startLeader(List<Job> known) {
     commit(
         MessageBody.of()
             .with(Wire.GUARDS, List.of())
@@ -299,26 +298,26 @@
                 Wire.WRITES,
                 List.of(
                     MessageBody.of().with(Wire.PUT, "lead").with(Wire.VALUE, MessageBody.of()))));
-    LeaderLease authority = new LeaderLease(TimeSpan.seconds(5), TimeSpan.seconds(10));
-    authority.onElected(new Term(1), new Revision(store.value("lead").modRevision()), LOOP.now());
+    LeaderLease leaderLease = new LeaderLease(TimeSpan.seconds(5), TimeSpan.seconds(10));
+    leaderLease.onElected(new Term(1), new Revision(store.value("lead").modRevision()), LOOP.now());
     leader =
         new LeaderCore(
-            OperatorSettings.defaults().policy(CONFIG),
+            OperatorSettings.defaults().policy(SETTINGS),
             new Term(1),
             new InheritedState(known, List.of(), true, List.of(TYPE)),
             LOOP.now(),
             LOOP.wallClockMs());
-    Node own = nodes.get(0);
-    // Its writes have a share of their own: users' requests use up the nodes'.
-    KeyValueClient writes =
+    Node firstNode = nodes.get(0);
+    // A separate client, since user requests exhaust the write rate of the nodes.
+    KeyValueClient leaderClient =
         new KeyValueClient(root, LOOP, this::sendOfLeader, this::sendOfLeader, 1e6, 1e6, limits());
-    records = new LeaderRepository(root, writes, own.jobs, authority, LOOP::now);
+    records = new LeaderRepository(root, leaderClient, firstNode.jobs, leaderLease, LOOP::now);
     records.setLeader(leader);
   }
 
-  private void commit(MessageBody txn) {
+  private void commit(MessageBody transaction) {
     try {
-      store.commit(MessagePackCodec.decode(MessagePackCodec.encode(txn)));
+      store.commit(MessagePackCodec.decode(MessagePackCodec.encode(transaction)));
     } catch (InvalidMessageException exception) {
       throw new IllegalStateException(exception);
     }
@@ -339,15 +338,15 @@
       String target,
       byte[] body,
       TimeSpan timeout,
-      Consumer<HttpClient.Answer> then) {
-    Message message = new Message(method, target, body, then);
-    messages.add(message);
+      Consumer<HttpClient.Answer> callback) {
+    StoreRequest request = new StoreRequest(method, target, body, callback);
+    requests.add(request);
     LOOP.schedule(
         timeout,
         root,
         () -> {
-          if (!message.givenUp) {
-            message.end(0, NO_BODY);
+          if (!request.completed) {
+            request.complete(0, NO_BODY);
           }
         });
   }
@@ -357,7 +356,7 @@
       String target,
       byte[] body,
       TimeSpan timeout,
-      Consumer<HttpClient.Answer> then) {
+      Consumer<HttpClient.Answer> callback) {
     leaderRequestsInFlight++;
     send(
         method,
@@ -366,16 +365,17 @@
         timeout,
         answer -> {
           leaderRequestsInFlight--;
-          then.accept(answer);
+          callback.accept(answer);
         });
   }
 
-  private void execute(Message message) {
-    front.handle(message.method, message.target, message.body, reply -> message.reply = reply);
+  private void execute(StoreRequest request) {
+    storeServer.handle(
+        request.method, request.target, request.body, reply -> request.reply = reply);
     history.onStoreStep();
   }
 
-  private static void fire() {
+  private static void runDueEvents() {
     LOOP.post(LOOP::pause);
     try {
       LOOP.run();
@@ -393,106 +393,107 @@
         if (finished() || ++ticks > MAX_TICKS) {
           break;
         }
-        tick();
+        advanceClock();
       } else {
         steps.get(steps.size() == 1 ? 0 : chooser.applyAsInt(steps.size())).run();
       }
-      fire();
+      runDueEvents();
     }
     if (!finished()) {
-      history.fail("somebody waits for ever: " + users.stream().filter(user -> user.waits).count());
+      history.fail(
+          "users that are never answered: " + users.stream().filter(user -> user.waiting).count());
     }
-    responded.forEach(this::checkFinalRecord);
+    acknowledgedJobs.forEach(this::checkFinalRecord);
   }
 
-  private static void tick() {
+  private static void advanceClock() {
     clockMs += TICK.ms();
   }
 
   private boolean finished() {
-    return users.stream().allMatch(user -> user.todo.isEmpty() && !user.waits)
-        && messages.stream().allMatch(m -> m.reply != null || !m.executable())
-        && messages.stream().allMatch(m -> m.givenUp)
+    return users.stream().allMatch(user -> user.remaining.isEmpty() && !user.waiting)
+        && requests.stream().allMatch(request -> request.reply != null || !request.executable())
+        && requests.stream().allMatch(request -> request.completed)
         && leader.jobs().toFinish().isEmpty()
         && batches().isEmpty();
   }
 
-  /** What may happen next. Time passes when nothing else does. */
+  /** Returns the steps that are possible now. If there are none, the clock advances. */
   private List<Runnable> steps() {
-    messages.removeIf(m -> m.givenUp && m.reply != null);
-    List<Runnable> out = new ArrayList<>();
-    for (Message message : List.copyOf(messages)) {
-      if (message.executable()) {
-        out.add(() -> execute(message));
+    requests.removeIf(request -> request.completed && request.reply != null);
+    List<Runnable> steps = new ArrayList<>();
+    for (StoreRequest request : List.copyOf(requests)) {
+      if (request.executable()) {
+        steps.add(() -> execute(request));
       }
-      if (message.answerable()) {
-        out.add(() -> message.end(message.reply.status(), message.reply.body()));
+      if (request.answerable()) {
+        steps.add(() -> request.complete(request.reply.status(), request.reply.body()));
       }
-      addFaults(message, out);
+      addFaults(request, steps);
     }
     for (User user : users) {
-      if (!user.waits && !user.todo.isEmpty()) {
-        out.add(() -> ask(user));
+      if (!user.waiting && !user.remaining.isEmpty()) {
+        steps.add(() -> sendNext(user));
       }
     }
     if (!leader.jobs().toFinish().isEmpty() && !records.isBusy()) {
-      out.add(records::recordCompletions);
+      steps.add(records::recordCompletions);
     }
-    if (early < play.troubles.early
-        && !out.isEmpty()
-        && users.stream().anyMatch(user -> user.waits)) {
-      out.add(
+    if (earlyTicks < scenario.faults.earlyTicks
+        && !steps.isEmpty()
+        && users.stream().anyMatch(user -> user.waiting)) {
+      steps.add(
           () -> {
-            early++;
-            tick();
+            earlyTicks++;
+            advanceClock();
           });
     }
     if (leaderRequestsInFlight == 0 && !batches().isEmpty()) {
-      out.add(this::unpack);
+      steps.add(this::unpackBatches);
     }
-    return out;
+    return steps;
   }
 
-  private void addFaults(Message message, List<Runnable> out) {
-    if (message.reply != null || message.held || message.givenUp) {
+  private void addFaults(StoreRequest request, List<Runnable> steps) {
+    if (request.reply != null || request.delayed || request.completed) {
       return;
     }
-    if (lost < play.troubles.lost) {
-      out.add(
+    if (lostAnswers < scenario.faults.lostAnswers) {
+      steps.add(
           () -> {
-            lost++;
-            execute(message);
-            message.lost = true;
+            lostAnswers++;
+            execute(request);
+            request.answerLost = true;
           });
     }
-    if (refused < play.troubles.refused) {
-      out.add(
+    if (refusals < scenario.faults.refusals) {
+      steps.add(
           () -> {
-            refused++;
-            message.reply = HttpResponse.empty(503);
+            refusals++;
+            request.reply = HttpResponse.empty(503);
           });
     }
-    if (late < play.troubles.late) {
-      out.add(
+    if (delayedRequests < scenario.faults.delayedRequests) {
+      steps.add(
           () -> {
-            late++;
-            message.held = true;
+            delayedRequests++;
+            request.delayed = true;
           });
     }
   }
 
   private Map<String, KeyValueStore.Value> batches() {
-    Map<String, KeyValueStore.Value> out = new HashMap<>();
-    for (MessageBody pair : list()) {
-      String key = (String) pair.get(Wire.KEY);
+    Map<String, KeyValueStore.Value> batches = new HashMap<>();
+    for (MessageBody entry : listLiveEntries()) {
+      String key = (String) entry.get(Wire.KEY);
       if (JobRecordCodec.isBatch(key)) {
-        out.put(key, store.value(key));
+        batches.put(key, store.value(key));
       }
     }
-    return out;
+    return batches;
   }
 
-  private List<MessageBody> list() {
+  private List<MessageBody> listLiveEntries() {
     try {
       return MessagePackCodec.decode(MessagePackCodec.encode(store.list("live/", "", 1000).body()))
           .maps(Wire.ITEMS);
@@ -501,7 +502,7 @@
     }
   }
 
-  private void unpack() {
+  private void unpackBatches() {
     batches()
         .forEach(
             (key, value) -> {
@@ -517,56 +518,57 @@
 
   // ---- Users
 
-  private void ask(User user) {
-    Action next = user.todo.peek();
-    user.waits = true;
-    JobId id = id(next.job);
-    UserResponseHistory.Question question = history.onRequest(id, next.kind, next.node);
-    Consumer<HttpResponse> then =
+  private void sendNext(User user) {
+    Action action = user.remaining.peek();
+    user.waiting = true;
+    JobId id = id(action.job);
+    UserResponseHistory.Request userRequest = history.onRequest(id, action.kind, action.node);
+    Consumer<HttpResponse> callback =
         reply -> {
-          user.waits = false;
-          history.told(question, reply);
+          user.waiting = false;
+          history.onResponse(userRequest, reply);
           if (reply.status() / 100 == 2) {
-            responded.add(id);
+            acknowledgedJobs.add(id);
           }
-          if (reply.status() != 503 || ++user.tries >= MAX_TRIES) {
-            user.todo.poll();
-            user.tries = 0;
+          if (reply.status() != 503 || ++user.attempts >= MAX_ATTEMPTS) {
+            user.remaining.poll();
+            user.attempts = 0;
           }
         };
-    UserApi api = nodes.get(next.node).users;
-    switch (next.kind) {
-      case SUBMIT -> api.submit(MessagePackCodec.encode(submission(next.job)), then);
+    UserApi api = nodes.get(action.node).userApi;
+    switch (action.kind) {
+      case SUBMIT -> api.submit(MessagePackCodec.encode(submission(action.job)), callback);
       case SUBMIT_INVALID ->
-          api.submit(MessagePackCodec.encode(submission(next.job).with("crew", "nobody")), then);
-      case POLL -> api.poll(id.text(), then);
-      case CANCEL -> api.cancel(id.text(), then);
-      default -> throw new IllegalStateException(next.toString());
+          api.submit(
+              MessagePackCodec.encode(submission(action.job).with("crew", "nobody")), callback);
+      case POLL -> api.poll(id.text(), callback);
+      case CANCEL -> api.cancel(id.text(), callback);
+      default -> throw new IllegalStateException(action.toString());
     }
   }
 
   // ---- The records
 
-  private boolean inABatch(JobId id) {
-    return batches().values().stream().anyMatch(v -> v.data().get(id.text()) != null);
+  private boolean isInBatch(JobId id) {
+    return batches().values().stream().anyMatch(batch -> batch.data().get(id.text()) != null);
   }
 
-  /** How a job is recorded now: null, live, or the name of its end. */
-  private String recorded(JobId id) {
+  /** Returns the recorded phase of a job, or {@code null} if there is no record. */
+  private String recordedPhase(JobId id) {
     KeyValueStore.Value over = store.value("over/" + id.text());
     if (over != null) {
       return over.data().get("phase").toString();
     }
-    boolean live = store.value(JobRecordCodec.liveKey(id)) != null || inABatch(id);
+    boolean live = store.value(JobRecordCodec.liveKey(id)) != null || isInBatch(id);
     return live ? UserResponseHistory.LIVE : null;
   }
 
-  /** Each comes out once: as a record of its own or as an end. */
+  /** Checks that the job has exactly one record, either live or final. */
   private void checkFinalRecord(JobId id) {
     boolean live = store.value(JobRecordCodec.liveKey(id)) != null;
     boolean over = store.value("over/" + id.text()) != null;
-    if (live == over || inABatch(id)) {
-      history.fail(id + " at the end: live " + live + ", over " + over);
+    if (live == over || isInBatch(id)) {
+      history.fail(id + " has wrong final records: live " + live + ", ended " + over);
     }
   }
 }
--- a/src/test/java/io/saltflow/api/UserResponseHistory.java
+++ b/src/test/java/io/saltflow/api/UserResponseHistory.java
@@ -14,100 +14,102 @@
 import java.util.function.Function;
 
 /**
- * What users were told, in order, judged by PROTOCOL: no answer is ahead of the record; an answer
- * to a question that was asked after another was told is not older than that; neither is one that
- * the same node gives after the other, whenever it was asked; and a job has one end.
+ * Records the responses to users in order and checks their consistency: no response is ahead of the
+ * stored record; a response is not older than an earlier one if its request was sent after the
+ * earlier response was received, or if both come from the same node; and a job has one final state.
  */
 final class UserResponseHistory {
   static final String LIVE = "LIVE";
 
-  /** How far an answer says that a job has come. */
+  /** Progress of a job according to a response. */
   private enum JobProgress {
     NOT_ACCEPTED,
     ACCEPTED,
     ENDED
   }
 
-  /** A request of a user that is not answered yet. */
-  record Question(JobId job, UserApiSimulation.Kind kind, int node, int askedAt) {}
+  /** A request of a user, sent at a logical time. */
+  record Request(JobId job, UserApiSimulation.Kind kind, int node, int sentAt) {}
 
   private record Response(
-      Question question, int receivedAt, int status, JobProgress progress, String phase) {}
+      Request request, int receivedAt, int status, JobProgress progress, String phase) {}
 
-  private final Function<JobId, String> recorded;
-  private final Map<JobId, List<Response>> told = new HashMap<>();
+  private final Function<JobId, String> recordedPhase;
+  private final Map<JobId, List<Response>> responses = new HashMap<>();
   private final Set<JobId> submitted = new HashSet<>();
   private final Set<JobId> cancelled = new HashSet<>();
   private final List<String> trace = new ArrayList<>();
-  private int moment;
+  private int time;
   private String fault;
 
   /**
-   * @param recorded how the key-value store has a job now: null, {@link #LIVE}, or its end's name
+   * @param recordedPhase returns the phase of a job in the store: {@code null} if it is absent,
+   *     {@link #LIVE}, or its final phase
    */
-  UserResponseHistory(Function<JobId, String> recorded) {
-    this.recorded = recorded;
+  UserResponseHistory(Function<JobId, String> recordedPhase) {
+    this.recordedPhase = recordedPhase;
   }
 
-  /** The first thing that was wrong, with all that was told; or null. */
+  /** Returns the first fault with the trace of requests and responses, or {@code null} if none. */
   String fault() {
     return fault == null ? null : fault + "\n" + String.join("\n", trace);
   }
 
-  void fail(String what) {
-    fault = fault == null ? what : fault;
+  void fail(String message) {
+    fault = fault == null ? message : fault;
   }
 
-  /** The key-value store has executed a request. */
+  /** Advances the logical time after the store has executed a request. */
   void onStoreStep() {
-    moment++;
+    time++;
   }
 
-  void acceptedBefore(JobId id) {
+  void onAcceptedBefore(JobId id) {
     submitted.add(id);
-    Question question = new Question(id, UserApiSimulation.Kind.SUBMIT, 0, moment);
-    of(id).add(new Response(question, moment++, 201, JobProgress.ACCEPTED, Wire.STATE_PENDING));
+    Request request = new Request(id, UserApiSimulation.Kind.SUBMIT, 0, time);
+    responsesTo(id)
+        .add(new Response(request, time++, 201, JobProgress.ACCEPTED, Wire.STATE_PENDING));
   }
 
-  Question onRequest(JobId id, UserApiSimulation.Kind kind, int node) {
+  Request onRequest(JobId id, UserApiSimulation.Kind kind, int node) {
     if (kind == UserApiSimulation.Kind.SUBMIT) {
       submitted.add(id);
     } else if (kind == UserApiSimulation.Kind.CANCEL) {
       cancelled.add(id);
     }
-    trace.add(++moment + ": " + kind + " " + id + " at node " + node);
-    return new Question(id, kind, node, moment);
+    trace.add(++time + ": " + kind + " " + id + " at node " + node);
+    return new Request(id, kind, node, time);
   }
 
-  void told(Question question, HttpResponse reply) {
-    String phase = phase(reply);
-    trace.add(++moment + ": " + question + " -> " + reply.status() + " " + phase);
-    if (reply.status() == 503) {
-      if (reply.retryAfterS() < 1) {
+  void onResponse(Request request, HttpResponse response) {
+    String phase = phase(response);
+    trace.add(++time + ": " + request + " -> " + response.status() + " " + phase);
+    if (response.status() == 503) {
+      if (response.retryAfterS() < 1) {
         fail("503 without Retry-After");
       }
       return;
     }
-    Response now =
-        new Response(question, moment, reply.status(), age(reply.status(), phase), phase);
-    checkAgainstRecord(now);
-    of(question.job).forEach(before -> compare(before, now));
-    of(question.job).add(now);
+    Response current =
+        new Response(request, time, response.status(), progressOf(response.status(), phase), phase);
+    checkAgainstRecord(current);
+    responsesTo(request.job).forEach(earlier -> checkOrder(earlier, current));
+    responsesTo(request.job).add(current);
   }
 
-  private List<Response> of(JobId id) {
-    return told.computeIfAbsent(id, i -> new ArrayList<>());
+  private List<Response> responsesTo(JobId id) {
+    return responses.computeIfAbsent(id, i -> new ArrayList<>());
   }
 
-  private static String phase(HttpResponse reply) {
+  private static String phase(HttpResponse response) {
     try {
-      return MessagePackCodec.decode(reply.body()).textOr(Wire.STATE, null);
+      return MessagePackCodec.decode(response.body()).textOr(Wire.STATE, null);
     } catch (InvalidMessageException exception) {
       throw new IllegalStateException(exception);
     }
   }
 
-  private static JobProgress age(int status, String phase) {
+  private static JobProgress progressOf(int status, String phase) {
     if (status / 100 != 2) {
       return JobProgress.NOT_ACCEPTED;
     }
@@ -116,33 +118,33 @@
         : JobProgress.ACCEPTED;
   }
 
-  private void checkAgainstRecord(Response now) {
-    JobId id = now.question.job;
-    String record = recorded.apply(id);
-    if (now.progress == JobProgress.NOT_ACCEPTED) {
+  private void checkAgainstRecord(Response current) {
+    JobId id = current.request.job;
+    String record = recordedPhase.apply(id);
+    if (current.progress == JobProgress.NOT_ACCEPTED) {
       return;
     }
     if (!submitted.contains(id)) {
-      fail(now + " was never submitted");
+      fail(current + " concerns a job that was never submitted");
     } else if (record == null) {
-      fail(now + " has no record");
-    } else if (now.progress == JobProgress.ENDED && !record.equalsIgnoreCase(now.phase)) {
-      fail(now + " is recorded as " + record);
-    } else if (now.phase.equals(Wire.STATE_CANCELLED) && !cancelled.contains(id)) {
-      fail(now + " was not called off");
+      fail(current + " concerns a job without a record");
+    } else if (current.progress == JobProgress.ENDED && !record.equalsIgnoreCase(current.phase)) {
+      fail(current + " contradicts the recorded phase " + record);
+    } else if (current.phase.equals(Wire.STATE_CANCELLED) && !cancelled.contains(id)) {
+      fail(current + " concerns a job that was never cancelled");
     }
   }
 
-  private void compare(Response before, Response now) {
+  private void checkOrder(Response earlier, Response current) {
     boolean after =
-        before.receivedAt < now.question.askedAt || before.question.node == now.question.node;
-    if (after && now.progress.compareTo(before.progress) < 0) {
-      fail(now + " is older than " + before);
+        earlier.receivedAt < current.request.sentAt || earlier.request.node == current.request.node;
+    if (after && current.progress.compareTo(earlier.progress) < 0) {
+      fail(current + " is older than " + earlier);
     }
-    if (before.progress == JobProgress.ENDED
-        && now.progress == JobProgress.ENDED
-        && !before.phase.equals(now.phase)) {
-      fail(now + " contradicts " + before);
+    if (earlier.progress == JobProgress.ENDED
+        && current.progress == JobProgress.ENDED
+        && !earlier.phase.equals(current.phase)) {
+      fail(current + " contradicts " + earlier);
     }
   }
 }
