--- a/src/test/java/io/saltflow/controller/AmqpBenchmark.java
+++ b/src/test/java/io/saltflow/controller/AmqpBenchmark.java
@@ -41,9 +41,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures the AMQP front by a client library on loopback, with a key-value store that takes so
- * many changes a second; bounded in time and count. Run by hand: {@code docs/PERFORMANCE.md} says
- * how.
+ * Benchmarks the AMQP server with a client library on loopback, with a key-value store that limits
+ * writes per second. Run manually; see {@code docs/PERFORMANCE.md}.
  */
 public final class AmqpBenchmark {
   private static final long SECONDS = 6;
@@ -56,20 +55,21 @@
   }
 
   private final List<EventLoop> loops = new ArrayList<>();
-  private final double writesPerS;
-  private final AmqpSettings queues;
-  private String outside;
+  private final double writesPerSecond;
+  private final AmqpSettings amqpSettings;
+  private String environmentAddress;
   private EmulatedKeyValueStore store;
   private ControllerNode node;
   private EventLoop nodeLoop;
 
-  private AmqpBenchmark(double writesPerS) throws ConfigException {
-    this.writesPerS = writesPerS;
-    // As local's, with more room: how fast is asked here, not when a queue is full.
-    queues = QueueSettings.read(Path.of(System.getProperty("queues")));
+  private AmqpBenchmark(double writesPerSecond) throws ConfigException {
+    this.writesPerSecond = writesPerSecond;
+    // Larger queues than those of the local command, so that throughput is not limited by full
+    // queues.
+    amqpSettings = QueueSettings.read(Path.of(System.getProperty("queues")));
   }
 
-  private void run(EventLoop loop) {
+  private void startThread(EventLoop loop) {
     loops.add(loop);
     Thread thread =
         new Thread(
@@ -84,35 +84,35 @@
     thread.start();
   }
 
-  private void startOutside() throws IOException {
+  private void startEnvironment() throws IOException {
     EventLoop loop = new EventLoop();
-    double rps = Math.max(100, writesPerS);
-    EmulatedEnvironment around =
-        new EmulatedEnvironment(loop, new KeyValueLimits(rps, writesPerS, 8, 8));
-    store = around.store;
-    outside = around.serve(loop, around.handler());
-    run(loop);
+    double rps = Math.max(100, writesPerSecond);
+    EmulatedEnvironment environment =
+        new EmulatedEnvironment(loop, new KeyValueLimits(rps, writesPerSecond, 8, 8));
+    store = environment.store;
+    environmentAddress = environment.serve(loop, environment.handler());
+    startThread(loop);
   }
 
   private void startNode(String name) throws Exception {
-    PlatformSettings config =
+    PlatformSettings settings =
         PlatformSettings.parse(
             PlatformSettingsTest.SETTINGS
-                    .replace("10.9.9.9:1", outside)
+                    .replace("10.9.9.9:1", environmentAddress)
                     .replace("node-0", name)
-                    .replace("write_rps = 25.0", "write_rps = " + writesPerS)
-                    .replace("rps = 100.0", "rps = " + Math.max(100, writesPerS))
+                    .replace("write_rps = 25.0", "write_rps = " + writesPerSecond)
+                    .replace("rps = 100.0", "rps = " + Math.max(100, writesPerSecond))
                 + "[settings.resources]\nsockets = 6000\n");
     nodeLoop = new EventLoop();
     node =
         new ControllerNode(
             nodeLoop,
-            config,
+            settings,
             OperatorSettings.defaults(),
-            new OptionalInterfaces(queues, false),
+            new OptionalInterfaces(amqpSettings, false),
             1);
     node.start();
-    run(nodeLoop);
+    startThread(nodeLoop);
     for (int i = 0; i < 2000 && !ready(); i++) {
       Thread.sleep(5);
     }
@@ -136,47 +136,47 @@
     return factory.newConnection();
   }
 
-  private void end() {
+  private void stop() {
     loops.forEach(EventLoop::stop);
   }
 
-  /** Publishes for a while over so many connections, each message as soon as there is room. */
+  /** Publishes over a number of connections, keeping a window of unconfirmed messages. */
   private String publish(int connections, int size, int outstanding) throws Exception {
     Histogram latency = new ConcurrentHistogram(TimeUnit.SECONDS.toMicros(60), 3);
     AtomicLong refused = new AtomicLong();
     long heapBefore = heap();
-    List<Connection> open = new ArrayList<>();
+    List<Connection> openConnections = new ArrayList<>();
     List<Thread> threads = new ArrayList<>();
     for (int i = 0; i < connections; i++) {
-      open.add(connect());
+      openConnections.add(connect());
     }
     long heap = heap() - heapBefore;
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(SECONDS);
+    long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(SECONDS);
     int window = Math.max(1, outstanding / connections);
-    long epoch = store.revision();
-    for (Connection connection : open) {
+    long startRevision = store.revision();
+    for (Connection connection : openConnections) {
       Thread thread =
-          new Thread(() -> publishUntil(connection, until, window, size, latency, refused));
+          new Thread(() -> publishUntil(connection, deadlineNanos, window, size, latency, refused));
       threads.add(thread);
       thread.start();
     }
     for (Thread thread : threads) {
       thread.join();
     }
-    long changes = store.revision() - epoch;
-    for (Connection connection : open) {
+    long transactions = store.revision() - startRevision;
+    for (Connection connection : openConnections) {
       connection.abort();
     }
     return String.format(
         "%5d connections %6d B: %7.0f confirms/s, p50 %6.1f ms, p99 %6.1f ms, %d refused, "
-            + "%.1f transactions/s, about %d KiB a connection (both ends)",
+            + "%.1f transactions/s, about %d KiB per connection (both ends)",
         connections,
         size,
         latency.getTotalCount() / (double) SECONDS,
         latency.getValueAtPercentile(50) / 1000.0,
         latency.getValueAtPercentile(99) / 1000.0,
         refused.get(),
-        changes / (double) SECONDS,
+        transactions / (double) SECONDS,
         heap / connections / 1024);
   }
 
@@ -191,43 +191,43 @@
 
   private static void publishUntil(
       Connection connection,
-      long until,
+      long deadlineNanos,
       int window,
       int size,
       Histogram latency,
       AtomicLong refused) {
     try {
-      Channel ch = connection.createChannel();
-      ch.confirmSelect();
-      Semaphore room = new Semaphore(window);
+      Channel channel = connection.createChannel();
+      channel.confirmSelect();
+      Semaphore permits = new Semaphore(window);
       NavigableMap<Long, Long> sent = new ConcurrentSkipListMap<>();
-      ch.addConfirmListener(
-          (tag, multiple) -> answered(sent, tag, multiple, room, latency),
+      channel.addConfirmListener(
+          (tag, multiple) -> onConfirmed(sent, tag, multiple, permits, latency),
           (tag, multiple) -> {
             refused.incrementAndGet();
-            // As a client does that is refused: it comes back a little later.
+            // Backs off as a refused client does.
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(50));
-            answered(sent, tag, multiple, room, null);
+            onConfirmed(sent, tag, multiple, permits, null);
           });
       byte[] body = body(size);
       String prefix =
           Long.toHexString(System.identityHashCode(connection)) + "-" + System.nanoTime() + "-";
-      for (long number = 0; System.nanoTime() < until; number++) {
-        if (!room.tryAcquire(200, TimeUnit.MILLISECONDS)) {
+      for (long number = 0; System.nanoTime() < deadlineNanos; number++) {
+        if (!permits.tryAcquire(200, TimeUnit.MILLISECONDS)) {
           number--;
           continue;
         }
-        sent.put(ch.getNextPublishSeqNo(), System.nanoTime());
+        sent.put(channel.getNextPublishSeqNo(), System.nanoTime());
         AMQP.BasicProperties properties =
             new AMQP.BasicProperties.Builder().messageId(prefix + number).deliveryMode(2).build();
-        ch.basicPublish("", "work", properties, body);
+        channel.basicPublish("", "work", properties, body);
       }
     } catch (Exception exception) {
       throw new IllegalStateException(exception);
     }
   }
 
-  /** Text like a publishing tool's, of which about half is different each time. */
+  /** Returns text of which about half varies, so that it compresses like typical messages. */
   private static byte[] body(int size) {
     StringBuilder text = new StringBuilder();
     Random random = new Random(size);
@@ -238,52 +238,55 @@
     return text.substring(0, size).getBytes(StandardCharsets.US_ASCII);
   }
 
-  private static void answered(
+  private static void onConfirmed(
       NavigableMap<Long, Long> sent,
       long tag,
       boolean multiple,
-      Semaphore room,
+      Semaphore permits,
       Histogram latency) {
-    NavigableMap<Long, Long> some =
+    NavigableMap<Long, Long> confirmed =
         multiple ? sent.headMap(tag, true) : sent.subMap(tag, true, tag, true);
-    for (Map.Entry<Long, Long> e = some.pollFirstEntry(); e != null; e = some.pollFirstEntry()) {
-      room.release();
+    for (Map.Entry<Long, Long> entry = confirmed.pollFirstEntry();
+        entry != null;
+        entry = confirmed.pollFirstEntry()) {
+      permits.release();
       if (latency != null) {
-        latency.recordValue(TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - e.getValue()));
+        latency.recordValue(TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - entry.getValue()));
       }
     }
   }
 
-  /** Takes for a while what waits, acknowledging each. */
+  /** Consumes queued messages for a while, acknowledging each. */
   private String deliver(int prefetch) throws Exception {
-    AtomicLong taken = new AtomicLong();
+    AtomicLong deliveries = new AtomicLong();
     Connection connection = connect();
-    Channel ch = connection.createChannel();
-    ch.basicQos(prefetch);
-    ch.basicConsume(
+    Channel channel = connection.createChannel();
+    channel.basicQos(prefetch);
+    channel.basicConsume(
         "work",
         false,
-        new DefaultConsumer(ch) {
+        new DefaultConsumer(channel) {
           @Override
           public void handleDelivery(
               String tag, Envelope envelope, AMQP.BasicProperties properties, byte[] body)
               throws IOException {
-            taken.incrementAndGet();
-            ch.basicAck(envelope.getDeliveryTag(), false);
+            deliveries.incrementAndGet();
+            channel.basicAck(envelope.getDeliveryTag(), false);
           }
         });
     Thread.sleep(TimeUnit.SECONDS.toMillis(SECONDS));
     connection.abort();
     return String.format(
-        "prefetch %d: %.0f deliveries/s", prefetch, taken.get() / (double) SECONDS);
+        "prefetch %d: %.0f deliveries/s", prefetch, deliveries.get() / (double) SECONDS);
   }
 
-  /** Jobs over HTTP, so many at a time, for as long as messages were published. */
-  private String submitNatively(int atOnce) throws Exception {
+  /** Submits jobs over HTTP with a number of concurrent requests. */
+  private String submitOverHttp(int concurrency) throws Exception {
     EventLoop loop = new EventLoop();
     Root root = new Root();
     HttpClient http =
-        new HttpClient(root, loop, Addresses.parse("127.0.0.1:" + node.port()), atOnce, atOnce * 2);
+        new HttpClient(
+            root, loop, Addresses.parse("127.0.0.1:" + node.port()), concurrency, concurrency * 2);
     Histogram latency = new Histogram(TimeUnit.SECONDS.toMicros(60), 3);
     long[] next = {System.currentTimeMillis() * 1000};
     MessageBody job =
@@ -304,15 +307,15 @@
             .with(Wire.ESTIMATE_S, 60.0)
             .with(Wire.CHECKPOINT_INTERVAL_S, 0.0)
             .with(Wire.CHECKPOINT_WRITE_S, 0.0);
-    for (int i = 0; i < atOnce; i++) {
+    for (int i = 0; i < concurrency; i++) {
       submitNext(http, loop, next, job, latency);
     }
     loop.schedule(TimeSpan.seconds(SECONDS), root, loop::pause);
     loop.run();
     root.cancel();
     return String.format(
-        "native HTTP, %d at once: %.0f accepted/s, p50 %.1f ms, p99 %.1f ms",
-        atOnce,
+        "native HTTP, %d concurrent requests: %.0f accepted/s, p50 %.1f ms, p99 %.1f ms",
+        concurrency,
         latency.getTotalCount() / (double) SECONDS,
         latency.getValueAtPercentile(50) / 1000.0,
         latency.getValueAtPercentile(99) / 1000.0);
@@ -320,7 +323,7 @@
 
   private static void submitNext(
       HttpClient http, EventLoop loop, long[] next, MessageBody job, Histogram latency) {
-    long at = System.nanoTime();
+    long sentNanos = System.nanoTime();
     byte[] body = MessagePackCodec.encode(job.with(Wire.ID, JobId.PREFIX + next[0]++));
     http.call(
         "POST",
@@ -329,39 +332,39 @@
         TimeSpan.seconds(10),
         answer -> {
           if (answer.status() == 201) {
-            latency.recordValue(TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - at));
+            latency.recordValue(TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - sentNanos));
           }
           submitNext(http, loop, next, job, latency);
         });
   }
 
-  /** Fills the queue, ends the leader, and waits for the next one's first delivery. */
-  private String failOver(int waiting) throws Exception {
+  /** Fills the queue, stops the leader, and waits for the first delivery by the next leader. */
+  private String failOver(int messages) throws Exception {
     Connection connection = connect();
-    Channel ch = connection.createChannel();
-    ch.confirmSelect();
-    for (int i = 0; i < waiting; i++) {
+    Channel channel = connection.createChannel();
+    channel.confirmSelect();
+    for (int i = 0; i < messages; i++) {
       AMQP.BasicProperties properties =
           new AMQP.BasicProperties.Builder().messageId("t-" + i).build();
-      ch.basicPublish("", "work", properties, ("page " + i).getBytes(StandardCharsets.UTF_8));
+      channel.basicPublish("", "work", properties, ("page " + i).getBytes(StandardCharsets.UTF_8));
     }
-    ch.waitForConfirmsOrDie(600_000);
-    Channel holds = connection.createChannel();
-    holds.basicQos(2000);
-    holds.basicConsume("work", false, new DefaultConsumer(holds));
+    channel.waitForConfirmsOrDie(600_000);
+    Channel holdingChannel = connection.createChannel();
+    holdingChannel.basicQos(2000);
+    holdingChannel.basicConsume("work", false, new DefaultConsumer(holdingChannel));
     Thread.sleep(3000);
     nodeLoop.stop();
     Thread.sleep(200);
-    long ended = System.nanoTime();
+    long stoppedNanos = System.nanoTime();
     startNode("next");
-    long leads = System.nanoTime();
+    long servingNanos = System.nanoTime();
     Connection next = connect();
-    Channel then = next.createChannel();
+    Channel nextChannel = next.createChannel();
     CountDownLatch first = new CountDownLatch(1);
-    then.basicConsume(
+    nextChannel.basicConsume(
         "work",
         false,
-        new DefaultConsumer(then) {
+        new DefaultConsumer(nextChannel) {
           @Override
           public void handleDelivery(
               String tag, Envelope envelope, AMQP.BasicProperties properties, byte[] body) {
@@ -372,43 +375,44 @@
     long now = System.nanoTime();
     next.abort();
     return String.format(
-        "%d waiting, 2,000 of them out: served %.2f s after the end (lease 5 s), "
-            + "first delivery %.0f ms after that",
-        waiting, (leads - ended) / 1e9, (now - leads) / 1e6);
+        "%d messages, 2,000 unacknowledged: serving %.2f s after the leader stopped (lease 5 s), "
+            + "first delivery %.0f ms later",
+        messages, (servingNanos - stoppedNanos) / 1e9, (now - servingNanos) / 1e6);
   }
 
-  private static AmqpBenchmark started(double writes) throws Exception {
-    AmqpBenchmark load = new AmqpBenchmark(writes);
-    load.startOutside();
-    load.startNode("node-0");
-    return load;
+  private static AmqpBenchmark startBenchmark(double writesPerSecond) throws Exception {
+    AmqpBenchmark benchmark = new AmqpBenchmark(writesPerSecond);
+    benchmark.startEnvironment();
+    benchmark.startNode("node-0");
+    return benchmark;
   }
 
   /** Runs the benchmark. */
   public static void main(String[] args) throws Exception {
-    double[] budgets =
+    double[] writeRates =
         args.length == 0 ? new double[] {25, 1000} : new double[] {Double.parseDouble(args[0])};
-    for (double writes : budgets) {
-      System.out.println("state service: " + writes + " changes a second, of which one node half");
+    for (double writesPerSecond : writeRates) {
+      System.out.println(
+          "store limit: " + writesPerSecond + " writes/s, half of them for one node");
       for (int connections : new int[] {1, 100, 1000}) {
         for (int size : new int[] {100, 1024, 16 * 1024}) {
           if (connections == 1) {
-            AmqpBenchmark quiet = started(writes);
-            System.out.println("one at a time: " + quiet.publish(1, size, 1));
-            quiet.end();
+            AmqpBenchmark sequential = startBenchmark(writesPerSecond);
+            System.out.println("one at a time: " + sequential.publish(1, size, 1));
+            sequential.stop();
           }
-          AmqpBenchmark load = started(writes);
-          System.out.println(load.publish(connections, size, WINDOW));
+          AmqpBenchmark benchmark = startBenchmark(writesPerSecond);
+          System.out.println(benchmark.publish(connections, size, WINDOW));
           if (connections == 1) {
-            System.out.println("      " + load.deliver(size == 100 ? 2000 : 200));
+            System.out.println("      " + benchmark.deliver(size == 100 ? 2000 : 200));
           }
-          load.end();
+          benchmark.stop();
         }
       }
-      AmqpBenchmark load = started(writes);
-      System.out.println(load.submitNatively(16));
-      System.out.println(load.failOver(10_000));
-      load.end();
+      AmqpBenchmark benchmark = startBenchmark(writesPerSecond);
+      System.out.println(benchmark.submitOverHttp(16));
+      System.out.println(benchmark.failOver(10_000));
+      benchmark.stop();
     }
     System.exit(0);
   }
--- a/src/test/java/io/saltflow/controller/ControllerNodeTest.java
+++ b/src/test/java/io/saltflow/controller/ControllerNodeTest.java
@@ -30,7 +30,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** One node on loopback before emulators: what users are answered, in order and in an outage. */
+/**
+ * Guards against wrong answers of a single node in normal operation, outages, restarts and process
+ * pauses.
+ */
 public class ControllerNodeTest {
   private static final byte[] NO_BODY = new byte[0];
 
@@ -43,33 +46,33 @@
   private static final KeyValueLimits LIMITS = new KeyValueLimits(1000, 1000, 8, 8);
 
   private final Root root = new Root();
-  private EmulatedKeyValueStore state;
+  private EmulatedKeyValueStore store;
 
-  /** The next transaction that puts this key is carried out, but its answer never comes. */
+  /** Key whose next put is executed but never answered. */
   private String loseAnswerFor;
 
-  /** The next transaction that puts this key gets no answer and is carried out later. */
-  private String holdBack;
+  /** Key whose next put is not answered and executed later, by {@link #delayedWrite}. */
+  private String delayWriteOf;
 
-  private Runnable late;
+  private Runnable delayedWrite;
 
-  /** The key-value store serves everything but what a new leader reads first. */
-  private boolean unread;
+  /** Whether the store refuses the reads by which a new leader starts. */
+  private boolean leaderReadsRefused;
 
-  /** The same, and only lists of the live jobs. */
-  private boolean unlisted;
+  /** Whether the store refuses to list live jobs. */
+  private boolean liveListsRefused;
 
-  /** How far this process's clocks are ahead of the machine's. */
-  private long aheadMs;
+  /** Offset of both clocks of the node, in milliseconds. */
+  private long clockOffsetMs;
 
-  /** The same of the time of day alone. */
-  private long dayAheadMs;
+  /** Additional offset of the node's wall clock, in milliseconds. */
+  private long wallClockOffsetMs;
 
-  /** The cloud does not say which types of machines there are. */
-  private boolean cloudAway;
+  /** Whether the cloud refuses to list machine types. */
+  private boolean machineTypesRefused;
 
   private EventLoop loop;
-  private PlatformSettings config;
+  private PlatformSettings settings;
   private ControllerNode node;
   private HttpClient user;
   private int status;
@@ -80,52 +83,54 @@
   void start() throws IOException, ConfigException {
     loop =
         new EventLoop(
-            () -> System.nanoTime() + aheadMs * 1_000_000,
-            () -> System.currentTimeMillis() + aheadMs + dayAheadMs);
-    EmulatedEnvironment around = new EmulatedEnvironment(loop, LIMITS);
-    state = around.store;
-    String at = around.serve(loop, forgetful(around.handler()));
-    config = PlatformSettings.parse(PlatformSettingsTest.SETTINGS.replace("10.9.9.9:1", at));
-    node = new ControllerNode(loop, config, OperatorSettings.defaults(), 1);
+            () -> System.nanoTime() + clockOffsetMs * 1_000_000,
+            () -> System.currentTimeMillis() + clockOffsetMs + wallClockOffsetMs);
+    EmulatedEnvironment environment = new EmulatedEnvironment(loop, LIMITS);
+    store = environment.store;
+    String address = environment.serve(loop, injectFaults(environment.handler()));
+    settings = PlatformSettings.parse(PlatformSettingsTest.SETTINGS.replace("10.9.9.9:1", address));
+    node = new ControllerNode(loop, settings, OperatorSettings.defaults(), 1);
     node.start();
     user = new HttpClient(root, loop, Addresses.parse("127.0.0.1:" + node.port()), 4, 16);
     call("GET", "/healthz", NO_BODY);
     assertEquals(200, status);
     for (int i = 0; i < 200 && submit("req-000001", "red") == 503; i++) {
-      // The machine types are not known in the first moments.
-      pass(20);
+      // The machine types are not known yet.
+      runFor(20);
     }
     assertEquals(201, status);
   }
 
   /**
-   * One answer of the key-value store may be lost: that to the transaction, not that to a watch
-   * which waits meanwhile.
+   * Injects store faults. Only the answer to the transaction is lost, not that to a watch that is
+   * open at the same time.
    */
-  private HttpServer.Handler forgetful(HttpServer.Handler outside) {
-    return (method, target, sent, answer) -> {
+  private HttpServer.Handler injectFaults(HttpServer.Handler delegate) {
+    return (method, target, request, answer) -> {
       boolean refused =
-          (cloudAway && target.startsWith(Wire.PATH_TYPES))
-              || (unread && target.contains("prefix=fleet"))
-              || (unlisted && target.contains("prefix=live/&"));
+          (machineTypesRefused && target.startsWith(Wire.PATH_TYPES))
+              || (leaderReadsRefused && target.contains("prefix=fleet"))
+              || (liveListsRefused && target.contains("prefix=live/&"));
       if (refused) {
         answer.accept(HttpResponse.empty(503));
         return;
       }
-      if (holdBack != null && target.equals(Wire.PATH_TRANSACTION) && puts(sent, holdBack)) {
-        holdBack = null;
-        late = () -> outside.handle(method, target, sent, reply -> {});
+      if (delayWriteOf != null
+          && target.equals(Wire.PATH_TRANSACTION)
+          && puts(request, delayWriteOf)) {
+        delayWriteOf = null;
+        delayedWrite = () -> delegate.handle(method, target, request, reply -> {});
         return;
       }
       String key = loseAnswerFor;
-      boolean watched =
-          target.equals(Wire.PATH_TRANSACTION) && key != null && state.value(key) == null;
-      outside.handle(
+      boolean answerMayBeLost =
+          target.equals(Wire.PATH_TRANSACTION) && key != null && store.value(key) == null;
+      delegate.handle(
           method,
           target,
-          sent,
+          request,
           reply -> {
-            if (watched && state.value(key) != null) {
+            if (answerMayBeLost && store.value(key) != null) {
               loseAnswerFor = null;
             } else {
               answer.accept(reply);
@@ -134,32 +139,32 @@
     };
   }
 
-  private static boolean puts(byte[] txn, String key) {
+  private static boolean puts(byte[] transaction, String key) {
     try {
-      return MessagePackCodec.decode(txn).maps(Wire.WRITES).stream()
-          .anyMatch(w -> key.equals(w.get(Wire.PUT)));
+      return MessagePackCodec.decode(transaction).maps(Wire.WRITES).stream()
+          .anyMatch(write -> key.equals(write.get(Wire.PUT)));
     } catch (InvalidMessageException exception) {
       throw new IllegalStateException(exception);
     }
   }
 
-  private void pass(long ms) throws IOException {
+  private void runFor(long ms) throws IOException {
     loop.schedule(TimeSpan.millis(ms), root, loop::pause);
     loop.run();
   }
 
   @AfterEach
-  void end() {
+  void cancelRoutines() {
     node.cancel();
     root.cancel();
   }
 
-  private int call(String method, String path, byte[] sent) throws IOException {
+  private int call(String method, String path, byte[] request) throws IOException {
     status = -1;
     user.call(
         method,
         path,
-        sent,
+        request,
         TimeSpan.seconds(10),
         answer -> {
           status = answer.status();
@@ -175,16 +180,16 @@
     return status;
   }
 
-  private int submit(String id, String crew) throws IOException {
-    return call("POST", "/submissions", MessagePackCodec.encode(submission(id, crew)));
+  private int submit(String id, String team) throws IOException {
+    return call("POST", "/submissions", MessagePackCodec.encode(submission(id, team)));
   }
 
-  /** The body of a submission. */
-  public static MessageBody submission(String id, String crew) {
+  /** Returns the body of a submission. */
+  public static MessageBody submission(String id, String team) {
     return MessageBody.of()
         .with("id", id)
         .with("lane", "c")
-        .with("crew", crew)
+        .with("crew", team)
         .with("shape", "array")
         .with("urgency", "normal")
         .with("shards", 2)
@@ -202,9 +207,9 @@
   }
 
   @Test
-  void aJobsStatesAsItsUserSeesThem() throws IOException {
-    assertEquals(200, submit("req-000001", "red"), "known already");
-    assertEquals(200, submit("req-000001", "nobody"), "known ids are not judged again");
+  void jobStatusFollowsSubmissionAndCancellation() throws IOException {
+    assertEquals(200, submit("req-000001", "red"), "known job");
+    assertEquals(200, submit("req-000001", "nobody"), "known job is not validated again");
     assertEquals(200, call("GET", "/submissions/req-000001", NO_BODY));
     assertEquals("pending", body.get("phase"));
     assertEquals(404, call("GET", "/submissions/req-000009", NO_BODY));
@@ -213,38 +218,41 @@
     assertEquals("cancelled", body.get("phase"));
     assertEquals(200, call("POST", "/submissions/req-000001/withdraw", NO_BODY));
     assertEquals(200, submit("req-000001", "red"));
-    assertEquals("cancelled", body.get("phase"), "it never comes back");
-    assertTrue(state.value("over/req-000001") != null);
-    assertTrue(state.value("live/req-000001") == null);
+    assertEquals("cancelled", body.get("phase"), "cancelled job stays cancelled");
+    assertTrue(store.value("over/req-000001") != null);
+    assertTrue(store.value("live/req-000001") == null);
   }
 
   @Test
-  void whatCannotBeTakenIsRefusedWithItsReason() throws IOException {
+  void invalidSubmissionIsRefusedWithReason() throws IOException {
     assertEquals(422, submit("req-000002", "nobody"));
     assertNotNull(body.get("error"));
     assertEquals(400, call("POST", "/submissions", new byte[] {1, 2, 3}));
-    MessageBody big = submission("req-000003", "red").with("cores", 9.0);
-    assertEquals(422, call("POST", "/submissions", MessagePackCodec.encode(big)));
+    MessageBody tooLarge = submission("req-000003", "red").with("cores", 9.0);
+    assertEquals(422, call("POST", "/submissions", MessagePackCodec.encode(tooLarge)));
     assertRefusedFor("cores, gpus, ramGb");
-    MessageBody odd = submission("req-000015", "red").with("rigs", List.of("sledge"));
-    assertEquals(422, call("POST", "/submissions", MessagePackCodec.encode(odd)));
+    MessageBody unknownType = submission("req-000015", "red").with("rigs", List.of("sledge"));
+    assertEquals(422, call("POST", "/submissions", MessagePackCodec.encode(unknownType)));
     assertRefusedFor("rigs");
     MessageBody gang = submission("req-000004", "red").with("shape", "gang");
     assertEquals(400, call("POST", "/submissions", MessagePackCodec.encode(gang)));
-    MessageBody crowd = submission("req-000010", "red").with("shape", "daemon").with("shards", 21);
+    MessageBody tooManyTasks =
+        submission("req-000010", "red").with("shape", "daemon").with("shards", 21);
     assertEquals(
-        422, call("POST", "/submissions", MessagePackCodec.encode(crowd)), "42 of 40 cores");
-    MessageBody nowhere = submission("req-000011", "red").with("yard", "moon");
-    assertEquals(422, call("POST", "/submissions", MessagePackCodec.encode(nowhere)));
+        422,
+        call("POST", "/submissions", MessagePackCodec.encode(tooManyTasks)),
+        "42 cores exceed the limit of 40");
+    MessageBody unknownZone = submission("req-000011", "red").with("yard", "moon");
+    assertEquals(422, call("POST", "/submissions", MessagePackCodec.encode(unknownZone)));
     assertRefusedFor("yard");
-    MessageBody past = submission("req-000012", "red").with("dueS", -1.0);
-    assertEquals(400, call("POST", "/submissions", MessagePackCodec.encode(past)));
+    MessageBody pastDeadline = submission("req-000012", "red").with("dueS", -1.0);
+    assertEquals(400, call("POST", "/submissions", MessagePackCodec.encode(pastDeadline)));
     assertEquals("dueS: out of range", body.get("error"));
-    byte[] whole = MessagePackCodec.encode(submission("req-000013", "red"));
-    assertEquals(400, call("POST", "/submissions", Arrays.copyOf(whole, whole.length - 1)));
+    byte[] complete = MessagePackCodec.encode(submission("req-000013", "red"));
+    assertEquals(400, call("POST", "/submissions", Arrays.copyOf(complete, complete.length - 1)));
     assertEquals(413, call("POST", "/submissions", new byte[64 * 1024 + 1]));
-    MessageBody wordy = submission("req-000014", "red").with("bundle", "x".repeat(9000));
-    assertEquals(400, call("POST", "/submissions", MessagePackCodec.encode(wordy)));
+    MessageBody tooLong = submission("req-000014", "red").with("bundle", "x".repeat(9000));
+    assertEquals(400, call("POST", "/submissions", MessagePackCodec.encode(tooLong)));
     assertEquals(405, call("GET", "/submissions", NO_BODY));
     assertEquals(404, call("GET", "/nothing", NO_BODY));
   }
@@ -255,7 +263,7 @@
   }
 
   @Test
-  void aPipelineAsItsUserSeesIt() throws IOException {
+  void dependenciesAreValidatedAndCancellationCascades() throws IOException {
     assertEquals(201, submitAwaiting("req-000002", List.of("req-000001")));
     assertEquals("pending", body.get("phase"));
     assertEquals(422, submitAwaiting("req-000003", List.of("req-000002", "req-000009")));
@@ -263,94 +271,103 @@
     assertEquals(404, call("GET", "/submissions/req-000003", NO_BODY));
     assertEquals(400, submitAwaiting("req-000003", List.of("req-000003")));
     assertEquals("awaits: the job itself", body.get("error"));
-    assertEquals(200, submitAwaiting("req-000002", List.of("req-000009")), "known already");
-    assertEquals(200, submitAwaiting("req-000002", List.of("req-000002")), "whatever it says");
+    assertEquals(200, submitAwaiting("req-000002", List.of("req-000009")), "known job");
+    assertEquals(
+        200,
+        submitAwaiting("req-000002", List.of("req-000002")),
+        "known job is not validated again");
     MessageBody service = submission("req-000004", "red").with("shape", "daemon");
-    byte[] waits = MessagePackCodec.encode(service.with("awaits", List.of("req-000001")));
-    assertEquals(201, call("POST", "/submissions", waits), "a service waits as any job");
+    byte[] dependentService =
+        MessagePackCodec.encode(service.with("awaits", List.of("req-000001")));
+    assertEquals(
+        201, call("POST", "/submissions", dependentService), "a service may have dependencies");
 
     assertEquals(200, call("POST", "/submissions/req-000001/withdraw", NO_BODY));
     assertEquals(201, submitAwaiting("req-000005", List.of("req-000001")));
     assertEquals("cancelled", body.get("phase"));
     assertEquals(200, submitAwaiting("req-000005", List.of("req-000001")));
     assertEquals("cancelled", body.get("phase"));
-    assertEquals(201, submitAwaiting("req-000006", List.of("req-000005")), "through another");
+    assertEquals(201, submitAwaiting("req-000006", List.of("req-000005")), "transitive dependency");
     assertEquals("cancelled", body.get("phase"));
-    state.setDown(true, loop.now());
-    assertEquals(503, submitAwaiting("req-000007", List.of("req-000009")), "no 422 by guess");
+    store.setDown(true, loop.now());
+    assertEquals(
+        503,
+        submitAwaiting("req-000007", List.of("req-000009")),
+        "unknown dependency cannot be confirmed");
   }
 
   private void assertRefusedFor(String fields) {
     assertTrue(body.get("error").toString().startsWith(fields + ": "), body.toString());
   }
 
-  /** Each field that must be there is named when it is not. */
+  /** Guards against an error that does not name the missing field. */
   @Test
-  void aFieldThatIsMissingIsNamed() throws IOException {
-    MessageBody whole = submission("req-000016", "red");
-    for (String field : whole.fields().keySet()) {
-      MessageBody torn = submission("req-000016", "red");
-      torn.fields().remove(field);
-      assertEquals(400, call("POST", "/submissions", MessagePackCodec.encode(torn)), field);
+  void missingFieldIsNamedInError() throws IOException {
+    MessageBody complete = submission("req-000016", "red");
+    for (String field : complete.fields().keySet()) {
+      MessageBody incomplete = submission("req-000016", "red");
+      incomplete.fields().remove(field);
+      assertEquals(400, call("POST", "/submissions", MessagePackCodec.encode(incomplete)), field);
       assertRefusedFor(field);
     }
     assertEquals(404, call("GET", "/submissions/req-000016", NO_BODY));
   }
 
-  /** Whatever a repeated submission of a known job says, it is told where the job stands. */
+  /** Guards against refusing a repeated submission of a known job because of its content. */
   @Test
-  void aKnownJobIsNotJudgedAgain() throws IOException {
-    MessageBody wordy = submission("req-000001", "red").with("bundle", "x".repeat(9000));
-    MessageBody torn = submission("req-000001", "red").with("cores", "many");
+  void knownJobIsNotValidatedAgain() throws IOException {
+    MessageBody tooLong = submission("req-000001", "red").with("bundle", "x".repeat(9000));
+    MessageBody incomplete = submission("req-000001", "red").with("cores", "many");
     MessageBody huge = submission("req-000001", "red").with("cores", 900.0);
     MessageBody service = submission("req-000001", "red").with("lane", "service/x");
-    for (MessageBody odd : List.of(wordy, torn, huge, service)) {
-      assertEquals(200, call("POST", "/submissions", MessagePackCodec.encode(odd)), odd.toString());
+    for (MessageBody variant : List.of(tooLong, incomplete, huge, service)) {
+      assertEquals(
+          200, call("POST", "/submissions", MessagePackCodec.encode(variant)), variant.toString());
     }
     assertEquals(200, call("POST", "/submissions/req-000001/withdraw", NO_BODY));
     restart(1);
     user = new HttpClient(root, loop, Addresses.parse("127.0.0.1:" + node.port()), 4, 16);
-    for (MessageBody odd : List.of(wordy, torn, huge, service)) {
-      assertEquals(200, call("POST", "/submissions", MessagePackCodec.encode(odd)), odd.toString());
+    for (MessageBody variant : List.of(tooLong, incomplete, huge, service)) {
+      assertEquals(
+          200, call("POST", "/submissions", MessagePackCodec.encode(variant)), variant.toString());
       assertEquals("cancelled", body.get("phase"));
     }
   }
 
   /**
-   * The machine types are on record, so that controllers which all start anew while the cloud can't
-   * be asked still judge submissions.
+   * Guards against controllers that cannot validate submissions if all restart while the cloud is
+   * unavailable.
    */
   @Test
-  void theTypesAreRecorded() throws IOException {
-    for (int i = 0; i < 200 && state.value("types") == null; i++) {
-      pass(20);
+  void machineTypesAreRecorded() throws IOException {
+    for (int i = 0; i < 200 && store.value("types") == null; i++) {
+      runFor(20);
     }
-    assertNotNull(state.value("types"));
+    assertNotNull(store.value("types"));
   }
 
   /**
-   * A cancellation may have been confirmed right before an outage that is longer than the time
-   * within which what depends on it is to be called cancelled.
+   * Guards against reporting a job as live after an outage if its dependency was cancelled before.
    */
   @Test
-  void afterALongOutageNoJobIsReportedLiveBeforeTheRecordsAreChecked() throws IOException {
+  void jobIsNotReportedLiveAfterOutageUntilRecordsAreChecked() throws IOException {
     assertEquals(201, submitAwaiting("req-000002", List.of("req-000001")));
     assertEquals(200, call("GET", "/submissions/req-000002", NO_BODY));
-    state.setDown(true, loop.now());
-    unlisted = true;
-    aheadMs += 60_000;
-    pass(100);
-    state.setDown(false, loop.now());
-    boolean withheld = false;
+    store.setDown(true, loop.now());
+    liveListsRefused = true;
+    clockOffsetMs += 60_000;
+    runFor(100);
+    store.setDown(false, loop.now());
+    boolean barrierSeen = false;
     for (int i = 0; i < 20; i++) {
       assertEquals(503, call("GET", "/submissions/req-000002", NO_BODY));
-      withheld |= "whether it depends on a cancelled job can't be told now".equals(error());
-      pass(50);
+      barrierSeen |= "whether it depends on a cancelled job can't be told now".equals(error());
+      runFor(50);
     }
-    assertTrue(withheld);
-    unlisted = false;
+    assertTrue(barrierSeen);
+    liveListsRefused = false;
     for (int i = 0; i < 200 && call("GET", "/submissions/req-000002", NO_BODY) == 503; i++) {
-      pass(20);
+      runFor(20);
     }
     assertEquals(200, status);
     assertEquals("pending", body.get("phase"));
@@ -361,25 +378,24 @@
   }
 
   /**
-   * All controllers start anew while the cloud can't be asked: with the types on record they judge
-   * as ever, and without them they say when to come back.
+   * Guards against wrong validation after a restart while the cloud is unavailable: without
+   * recorded types, submissions are answered with 503.
    */
   @Test
-  void whileTheCloudCannotBeAskedTheRecordedTypesAreJudgedBy()
-      throws IOException, InvalidMessageException {
-    for (int i = 0; i < 200 && state.value("types") == null; i++) {
-      pass(20);
+  void recordedTypesAreUsedWhileCloudIsUnavailable() throws IOException, InvalidMessageException {
+    for (int i = 0; i < 200 && store.value("types") == null; i++) {
+      runFor(20);
     }
-    cloudAway = true;
+    machineTypesRefused = true;
     restart(1);
     user = new HttpClient(root, loop, Addresses.parse("127.0.0.1:" + node.port()), 4, 16);
     for (int i = 0; i < 200 && submit("req-000017", "red") == 503; i++) {
-      pass(20);
+      runFor(20);
     }
-    assertEquals(201, status, "nothing is to be had now, but it fits");
-    MessageBody nowhere = submission("req-000018", "red").with("yard", "moon");
-    assertEquals(422, call("POST", "/submissions", MessagePackCodec.encode(nowhere)));
-    state.commit(
+    assertEquals(201, status, "accepted by the recorded types");
+    MessageBody unknownZone = submission("req-000018", "red").with("yard", "moon");
+    assertEquals(422, call("POST", "/submissions", MessagePackCodec.encode(unknownZone)));
+    store.commit(
         MessagePackCodec.decode(
             MessagePackCodec.encode(
                 MessageBody.of()
@@ -387,79 +403,80 @@
                     .with(Wire.WRITES, List.of(MessageBody.of().with(Wire.DELETE, "types"))))));
     restart(2);
     user = new HttpClient(root, loop, Addresses.parse("127.0.0.1:" + node.port()), 4, 16);
-    pass(200);
-    for (MessageBody odd : List.of(nowhere, submission("req-000019", "red"))) {
-      assertEquals(503, call("POST", "/submissions", MessagePackCodec.encode(odd)));
+    runFor(200);
+    for (MessageBody variant : List.of(unknownZone, submission("req-000019", "red"))) {
+      assertEquals(503, call("POST", "/submissions", MessagePackCodec.encode(variant)));
       assertEquals(1, retryAfterS);
     }
-    assertEquals(200, submit("req-000017", "red"), "known");
+    assertEquals(200, submit("req-000017", "red"), "known job");
   }
 
   @Test
-  void inAnOutageNothingUnknownIsAnswered() throws IOException {
+  void unknownStateIsNotReportedDuringOutage() throws IOException {
     assertEquals(200, call("POST", "/submissions/req-000001/withdraw", NO_BODY));
     assertEquals(201, submit("req-000005", "red"));
-    state.setDown(true, loop.now());
+    store.setDown(true, loop.now());
     assertEquals(503, submit("req-000006", "red"));
-    assertEquals(503, submit("req-000005", "nobody"), "neither 200 nor 422 can be told");
+    assertEquals(503, submit("req-000005", "nobody"), "neither 200 nor 422 is certain");
     assertEquals(400, call("POST", "/submissions", new byte[] {1, 2, 3}));
     assertEquals(400, submit("no id", "red"));
     assertEquals(503, call("POST", "/submissions/req-000005/withdraw", NO_BODY));
     assertEquals(503, call("POST", "/submissions/req-000007/withdraw", NO_BODY));
     assertEquals(503, call("GET", "/submissions/req-000005", NO_BODY));
-    assertEquals(503, call("GET", "/submissions/req-000007", NO_BODY), "404 would be a guess");
-    assertEquals(200, call("GET", "/submissions/req-000001", NO_BODY), "an end never changes");
+    assertEquals(503, call("GET", "/submissions/req-000007", NO_BODY), "404 is not certain");
+    assertEquals(
+        200, call("GET", "/submissions/req-000001", NO_BODY), "a final state never changes");
     assertEquals("cancelled", body.get("phase"));
-    state.setDown(false, loop.now());
+    store.setDown(false, loop.now());
     while (submit("req-000006", "red") == 503) {
-      assertTrue(state.size() < 100);
+      assertTrue(store.size() < 100);
     }
     assertEquals(201, status);
   }
 
   /**
-   * The leader's process ended and is back before its lease is over: nobody else can lead until
-   * then, so it takes its own old key over at once. Its lease is far longer than this test.
+   * Guards against a restarted leader that waits for its former lease, here longer than the test,
+   * instead of taking over its own leader key.
    */
   @Test
-  void aRestartedLeaderDoesNotWaitForItsOwnDeadLease() throws IOException {
-    Object dead = leaderOtherThan(null, 200);
-    for (int again = 1; again <= 2; again++) {
-      restart(again);
-      dead = leaderOtherThan(dead, 200);
-      assertNotNull(dead);
-      assertEquals(again + 1L, state.value("lead").data().get("term"), "a term of its own");
+  void restartedLeaderTakesOverItsOwnKey() throws IOException {
+    Object formerNonce = awaitOtherLeader(null, 200);
+    for (int restartNumber = 1; restartNumber <= 2; restartNumber++) {
+      restart(restartNumber);
+      formerNonce = awaitOtherLeader(formerNonce, 200);
+      assertNotNull(formerNonce);
+      assertEquals(restartNumber + 1L, store.value("lead").data().get("term"), "new term");
     }
-    // One that ends again and again leaves leadership to others, who wait for its lease.
+    // A process that keeps failing does not take over its key, so that other nodes can lead.
     restart(3);
-    assertNull(leaderOtherThan(dead, 20));
-    // One that ended after leading for a minute did not end again and again.
-    dayAheadMs += 60_000;
+    assertNull(awaitOtherLeader(formerNonce, 20));
+    // A process that led for a minute before it failed may take over its key.
+    wallClockOffsetMs += 60_000;
     restart(4);
-    assertNotNull(leaderOtherThan(dead, 200));
+    assertNotNull(awaitOtherLeader(formerNonce, 200));
   }
 
   /**
-   * An answer renews the worker's lease, and whoever has not read the jobs does not know which of
-   * its tasks were cancelled. Its report waits here for a moment.
+   * Guards against renewing a worker's lease before the leader has read the records and knows which
+   * tasks were cancelled. The heartbeat is held until then.
    */
   @Test
-  void aLeaderThatHasReadNothingAnswersNoHeartbeat() throws IOException {
-    Object dead = leaderOtherThan(null, 200);
-    unread = true;
+  void heartbeatIsNotAnsweredBeforeRecordsAreRead() throws IOException {
+    Object formerNonce = awaitOtherLeader(null, 200);
+    leaderReadsRefused = true;
     restart(1);
-    assertNotNull(leaderOtherThan(dead, 200));
+    assertNotNull(awaitOtherLeader(formerNonce, 200));
     user = new HttpClient(root, loop, Addresses.parse("127.0.0.1:" + node.port()), 4, 16);
-    byte[] report = MessagePackCodec.encode(heartbeat(1));
-    assertEquals(503, call("POST", "/checkin", report));
-    assertEquals(400, call("POST", "/checkin", Arrays.copyOf(report, 40)), "as ever");
+    byte[] heartbeat = MessagePackCodec.encode(heartbeat(1));
+    assertEquals(503, call("POST", "/checkin", heartbeat));
+    assertEquals(400, call("POST", "/checkin", Arrays.copyOf(heartbeat, 40)), "invalid heartbeat");
     assertEquals(405, call("GET", "/checkin", NO_BODY));
-    loop.schedule(TimeSpan.millis(200), root, () -> unread = false);
-    assertEquals(200, call("POST", "/checkin", report));
+    loop.schedule(TimeSpan.millis(200), root, () -> leaderReadsRefused = false);
+    assertEquals(200, call("POST", "/checkin", heartbeat));
     assertEquals(2L, body.get("baton"));
   }
 
-  static MessageBody heartbeat(long token) {
+  static MessageBody heartbeat(long fencingToken) {
     return MessageBody.of()
         .with("host", "vm-1")
         .with("addr", "10.1.0.9:9000")
@@ -468,88 +485,89 @@
         .with("loaners", true)
         .with("shift", 1L)
         .with("tick", 1L)
-        .with("baton", token)
+        .with("baton", fencingToken)
         .with("shards", List.of());
   }
 
   /**
-   * An attempt to acquire leadership got no answer, the same controller has tried anew since, and
-   * then the first is executed: it leads once, in the term that it knows to be its own.
+   * Guards against a second term if an attempt to acquire leadership is executed only after the
+   * controller has retried it successfully.
    */
   @Test
-  void aDelayedLeadershipClaimChangesNothing() throws IOException {
-    Object dead = leaderOtherThan(null, 200);
-    holdBack = "lead";
+  void delayedLeadershipWriteHasNoEffect() throws IOException {
+    Object formerNonce = awaitOtherLeader(null, 200);
+    delayWriteOf = "lead";
     restart(1);
-    assertNotNull(leaderOtherThan(dead, 300));
-    KeyValueStore.Value lead = state.value("lead");
-    long term = (Long) state.value("term").data().get("term");
-    late.run();
-    pass(200);
-    assertEquals(lead.modRevision(), state.value("lead").modRevision());
-    assertEquals(term, state.value("term").data().get("term"));
+    assertNotNull(awaitOtherLeader(formerNonce, 300));
+    KeyValueStore.Value leaderKey = store.value("lead");
+    long term = (Long) store.value("term").data().get("term");
+    delayedWrite.run();
+    runFor(200);
+    assertEquals(leaderKey.modRevision(), store.value("lead").modRevision());
+    assertEquals(term, store.value("term").data().get("term"));
     user = new HttpClient(root, loop, Addresses.parse("127.0.0.1:" + node.port()), 4, 16);
     assertEquals(200, call("POST", "/checkin", MessagePackCodec.encode(heartbeat(term))));
     assertEquals(term, body.get("baton"));
   }
 
-  /** What an operator said later stays, whatever becomes of an act that got no answer. */
+  /** Guards against a delayed write that replaces a later override by an operator. */
   @Test
-  void anOperatorsDelayedOverrideDoesNotReplaceALaterOne() throws IOException {
+  void delayedOverrideDoesNotReplaceLaterOne() throws IOException {
     byte[] front = MessagePackCodec.encode(MessageBody.of().with("lane", "front"));
-    holdBack = "plan/order/req-000001";
+    delayWriteOf = "plan/order/req-000001";
     assertEquals(503, call("POST", "/queue/req-000001", front));
     assertEquals(200, call("POST", "/queue/req-000001", front));
-    KeyValueStore.Value said = state.value("plan/order/req-000001");
-    late.run();
-    assertEquals(said.modRevision(), state.value("plan/order/req-000001").modRevision());
+    KeyValueStore.Value recordedOverride = store.value("plan/order/req-000001");
+    delayedWrite.run();
+    assertEquals(
+        recordedOverride.modRevision(), store.value("plan/order/req-000001").modRevision());
   }
 
   private void restart(long seed) throws IOException {
     node.cancel();
-    node = new ControllerNode(loop, config, OperatorSettings.defaults(), 1 + seed);
+    node = new ControllerNode(loop, settings, OperatorSettings.defaults(), 1 + seed);
     node.start();
   }
 
-  private Object leaderOtherThan(Object nonce, int looks) throws IOException {
-    for (int i = 0; i < looks; i++) {
-      KeyValueStore.Value lead = state.value("lead");
-      if (lead != null && !lead.data().get("nonce").equals(nonce)) {
-        return lead.data().get("nonce");
+  private Object awaitOtherLeader(Object nonce, int maxChecks) throws IOException {
+    for (int i = 0; i < maxChecks; i++) {
+      KeyValueStore.Value leaderKey = store.value("lead");
+      if (leaderKey != null && !leaderKey.data().get("nonce").equals(nonce)) {
+        return leaderKey.data().get("nonce");
       }
-      pass(20);
+      runFor(20);
     }
     return null;
   }
 
   /**
-   * Users who asked during a process pause have given up; they are refused at once, not served in
-   * order. It is healthy, and serves who asks after that.
+   * Guards against serving requests queued during a process pause, whose senders have timed out,
+   * before current ones.
    */
   @Test
-  void afterAProcessPauseQueuedRequestsAreRefused() throws IOException {
+  void requestsQueuedDuringProcessPauseAreRefused() throws IOException {
     assertEquals(200, call("GET", "/submissions/req-000001", NO_BODY));
-    aheadMs += 6_000;
+    clockOffsetMs += 6_000;
     assertEquals(503, call("GET", "/submissions/req-000001", NO_BODY));
     assertEquals("it came while this controller stood still", body.get("error"));
     assertEquals(200, call("GET", "/healthz", NO_BODY));
     for (int i = 0; i < 200 && call("GET", "/submissions/req-000001", NO_BODY) == 503; i++) {
-      pass(20);
+      runFor(20);
     }
     assertEquals(200, status);
   }
 
   /**
-   * The write was carried out though its answer was lost: the user must not hear otherwise. Where
-   * the machine stalls for longer than the try leaves over, the user hears 503 and asks again.
+   * Guards against reporting a write as failed if only its answer was lost. On a stalled machine
+   * the user may get 503 and retry.
    */
   @Test
-  void lostAnswerOfAWriteIsCleared() throws IOException {
+  void writeWithLostAnswerIsConfirmed() throws IOException {
     loseAnswerFor = "live/req-000008";
     for (int i = 0; i < 50 && submit("req-000008", "red") == 503; i++) {
-      assertNotNull(state.value("live/req-000008"), "only an answer was lost");
+      assertNotNull(store.value("live/req-000008"), "write was executed");
     }
-    assertEquals(200, status, "known, by the first of these tries");
+    assertEquals(200, status, "known since the first attempt");
     assertEquals("pending", body.get("phase"));
   }
 }
--- a/src/test/java/io/saltflow/controller/ControllerRestartTest.java
+++ b/src/test/java/io/saltflow/controller/ControllerRestartTest.java
@@ -29,8 +29,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A real controller on loopback that is killed and started again at once, on the same ports and
- * with connections open to the one before. Only the key-value store and the cloud are emulated.
+ * Guards against a controller process that does not serve immediately after it was killed and
+ * restarted on the same ports with connections still open. Only the key-value store and the cloud
+ * are emulated.
  */
 class ControllerRestartTest {
   private static final byte[] NO_BODY = new byte[0];
@@ -42,39 +43,40 @@
     }
   }
 
-  @TempDir Path folder;
+  @TempDir Path directory;
   private final Root root = new Root();
-  private final List<Process> started = new ArrayList<>();
+  private final List<Process> processes = new ArrayList<>();
   private EventLoop loop;
-  private EmulatedEnvironment outside;
+  private EmulatedEnvironment environment;
   private Path settings;
-  private InetSocketAddress users;
-  private HttpClient user;
+  private InetSocketAddress userAddress;
+  private HttpClient userClient;
   private int status;
 
   @BeforeEach
   void start() throws IOException {
     loop = new EventLoop();
-    outside = new EmulatedEnvironment(loop, new KeyValueLimits(1000, 1000, 8, 8));
-    String at = outside.serve(loop, outside.handler());
-    users = FreePorts.address();
+    environment = new EmulatedEnvironment(loop, new KeyValueLimits(1000, 1000, 8, 8));
+    String address = environment.serve(loop, environment.handler());
+    userAddress = FreePorts.address();
     settings =
         Files.writeString(
-            folder.resolve("node.toml"),
+            directory.resolve("node.toml"),
             PlatformSettingsTest.SETTINGS
-                .replace("10.9.9.9:1", at)
-                .replaceAll("serve_on = \"[^\"]*\"", "serve_on = \"" + Addresses.text(users) + '"')
+                .replace("10.9.9.9:1", address)
+                .replaceAll(
+                    "serve_on = \"[^\"]*\"", "serve_on = \"" + Addresses.text(userAddress) + '"')
                 .replaceAll(
                     "mesh_addr = \"[^\"]*\"",
                     "mesh_addr = \"" + Addresses.text(FreePorts.address()) + '"'));
-    user = new HttpClient(root, loop, users, 4, 16);
+    userClient = new HttpClient(root, loop, userAddress, 4, 16);
   }
 
   @AfterEach
-  void end() {
-    started.forEach(p -> p.destroyForcibly().onExit().join());
+  void stopProcesses() {
+    processes.forEach(process -> process.destroyForcibly().onExit().join());
     root.cancel();
-    outside.cancel();
+    environment.cancel();
   }
 
   private Process startController() throws IOException {
@@ -90,16 +92,19 @@
                 "--config",
                 settings.toString())
             .redirectErrorStream(true)
-            .redirectOutput(new File(folder.toFile(), "log-" + started.size()))
+            .redirectOutput(new File(directory.toFile(), "log-" + processes.size()))
             .start();
-    started.add(process);
+    processes.add(process);
     return process;
   }
 
-  /** Asks until the answer is none of those that say "not now"; 0 when nobody answers. */
-  private int ask(String method, String path, byte[] body) throws IOException {
+  /**
+   * Repeats a request until it is answered with another status than 503; returns 0 without an
+   * answer.
+   */
+  private int callUntilServed(String method, String path, byte[] body) throws IOException {
     for (int i = 0; i < 600; i++) {
-      once(method, path, body);
+      call(method, path, body);
       if (status != 0 && status != 503) {
         return status;
       }
@@ -109,63 +114,67 @@
     return status;
   }
 
-  private static byte[] job(int number) {
+  private static byte[] job(int jobNumber) {
     return MessagePackCodec.encode(
-        ControllerNodeTest.submission(String.format("req-%06d", number), "red"));
+        ControllerNodeTest.submission(String.format("req-%06d", jobNumber), "red"));
   }
 
   @Test
-  void eachRestartServesAtOnceWithItsOwnNonceAndTerm() throws Exception {
+  void restartedControllerServesImmediatelyWithNewNonceAndTerm() throws Exception {
     Set<Object> nonces = new HashSet<>();
     Object term = 0L;
-    for (int number = 1; number <= STARTS; number++) {
+    for (int processNumber = 1; processNumber <= STARTS; processNumber++) {
       Process process = startController();
-      assertEquals(201, ask("POST", "/submissions", job(number)));
-      for (int known = 1; known <= number; known++) {
-        String path = String.format("/submissions/req-%06d", known);
-        assertEquals(200, ask("GET", path, NO_BODY), "accepted by process " + known);
+      assertEquals(201, callUntilServed("POST", "/submissions", job(processNumber)));
+      for (int jobNumber = 1; jobNumber <= processNumber; jobNumber++) {
+        String path = String.format("/submissions/req-%06d", jobNumber);
+        assertEquals(
+            200, callUntilServed("GET", path, NO_BODY), "accepted by process " + jobNumber);
       }
-      KeyValueStore.Value lead = awaitNewLeader(nonces);
-      assertTrue(nonces.add(lead.data().get("nonce")), "a nonce of its own");
-      assertNotEquals(term, lead.data().get("term"));
-      term = lead.data().get("term");
+      KeyValueStore.Value leaderKey = awaitNewLeader(nonces);
+      assertTrue(nonces.add(leaderKey.data().get("nonce")), "nonce must be unique");
+      assertNotEquals(term, leaderKey.data().get("term"));
+      term = leaderKey.data().get("term");
       assertTrue(process.isAlive());
       process.destroyForcibly().onExit().join();
     }
     assertEquals(STARTS, nonces.size());
   }
 
-  /** The leader's key once it is none of an earlier process. */
+  /** Returns the leader key once it is written by a new process. */
   private KeyValueStore.Value awaitNewLeader(Set<Object> earlierNonces) throws IOException {
     for (int i = 0; i < 1500; i++) {
-      KeyValueStore.Value lead = outside.store.value("lead");
-      if (lead != null && !earlierNonces.contains(lead.data().get("nonce"))) {
-        return lead;
+      KeyValueStore.Value leaderKey = environment.store.value("lead");
+      if (leaderKey != null && !earlierNonces.contains(leaderKey.data().get("nonce"))) {
+        return leaderKey;
       }
       loop.schedule(TimeSpan.millis(20), root, loop::pause);
       loop.run();
     }
-    throw new AssertionError("nobody leads");
+    throw new AssertionError("no new leader");
   }
 
-  /** A controller that starts during an outage answers at once, and serves after it by itself. */
+  /**
+   * Guards against a controller that fails, or stays unavailable, if it starts during a store
+   * outage.
+   */
   @Test
-  void aControllerStartedDuringAnOutageAnswersAndWaits() throws Exception {
-    outside.store.setDown(true, loop.now());
+  void controllerStartedDuringOutageAnswers503ThenServes() throws Exception {
+    environment.store.setDown(true, loop.now());
     startController();
-    for (int i = 0; i < 600 && once("POST", "/submissions", job(1)) == 0; i++) {
+    for (int i = 0; i < 600 && call("POST", "/submissions", job(1)) == 0; i++) {
       loop.schedule(TimeSpan.millis(20), root, loop::pause);
       loop.run();
     }
     assertEquals(503, status);
-    outside.store.setDown(false, loop.now());
-    assertEquals(201, ask("POST", "/submissions", job(1)));
-    assertTrue(started.get(0).isAlive());
+    environment.store.setDown(false, loop.now());
+    assertEquals(201, callUntilServed("POST", "/submissions", job(1)));
+    assertTrue(processes.get(0).isAlive());
   }
 
-  private int once(String method, String path, byte[] body) throws IOException {
+  private int call(String method, String path, byte[] body) throws IOException {
     status = -1;
-    user.call(
+    userClient.call(
         method,
         path,
         body,
--- a/src/test/java/io/saltflow/controller/EarlyFailoverTest.java
+++ b/src/test/java/io/saltflow/controller/EarlyFailoverTest.java
@@ -31,7 +31,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two controllers and some workers on loopback; the leader's lease is longer than the test. */
+/**
+ * Guards against failover that waits for the leader's lease, here longer than the test, or that
+ * replaces a live leader.
+ */
 class EarlyFailoverTest {
   private static final class Root extends Routine {
     Root() {
@@ -39,155 +42,167 @@
     }
   }
 
-  @TempDir Path folder;
+  @TempDir Path directory;
   private final Root root = new Root();
-  private final List<Integer> answers = new ArrayList<>();
+  private final List<Integer> statuses = new ArrayList<>();
   private EventLoop loop;
-  private EmulatedEnvironment outside;
-  private String state;
+  private EmulatedEnvironment environment;
+  private String environmentAddress;
   private OperatorSettings settings;
-  private InetSocketAddress[] mesh;
+  private InetSocketAddress[] meshAddresses;
   private int lastSeed;
-  private ControllerNode one;
-  private ControllerNode other;
+  private ControllerNode first;
+  private ControllerNode second;
 
   @BeforeEach
-  void start() throws IOException, ConfigException {
+  void startNodes() throws IOException, ConfigException {
     loop = new EventLoop();
-    outside = new EmulatedEnvironment(loop, new KeyValueLimits(1000, 1000, 8, 8));
-    state = outside.serve(loop, outside.handler());
+    environment = new EmulatedEnvironment(loop, new KeyValueLimits(1000, 1000, 8, 8));
+    environmentAddress = environment.serve(loop, environment.handler());
     settings =
         OperatorSettings.read(
-            Files.writeString(folder.resolve("ops.json"), "{\"leaderLeaseS\": 60}"));
-    mesh = new InetSocketAddress[] {FreePorts.address(), FreePorts.address()};
-    one = node("node-a", 0);
-    runUntil(() -> one.ready());
-    other = node("node-b", 1);
-    // Beats have gone both ways.
-    run(1500);
+            Files.writeString(directory.resolve("ops.json"), "{\"leaderLeaseS\": 60}"));
+    meshAddresses = new InetSocketAddress[] {FreePorts.address(), FreePorts.address()};
+    first = startNode("node-a", 0);
+    runUntil(() -> first.ready());
+    second = startNode("node-b", 1);
+    // Wait until heartbeats were exchanged in both directions.
+    runFor(1500);
   }
 
   @AfterEach
-  void end() {
-    one.cancel();
-    other.cancel();
+  void cancelRoutines() {
+    first.cancel();
+    second.cancel();
     root.cancel();
-    outside.cancel();
+    environment.cancel();
   }
 
-  private ControllerNode node(String name, int place) throws IOException, ConfigException {
-    PlatformSettings config =
+  private ControllerNode startNode(String name, int index) throws IOException, ConfigException {
+    PlatformSettings platformSettings =
         PlatformSettings.parse(
             PlatformSettingsTest.SETTINGS
-                .replace("10.9.9.9:1", state)
+                .replace("10.9.9.9:1", environmentAddress)
                 .replace("node-0", name)
                 .replaceAll(
-                    "mesh_addr = \"[^\"]*\"", "mesh_addr = \"" + Addresses.text(mesh[place]) + '"')
+                    "mesh_addr = \"[^\"]*\"",
+                    "mesh_addr = \"" + Addresses.text(meshAddresses[index]) + '"')
                 .replace(
                     "[endpoints]",
                     "[[siblings]]\nhost_name = \""
-                        + (place == 0 ? "node-b" : "node-a")
+                        + (index == 0 ? "node-b" : "node-a")
                         + "\"\nzone = \"a\"\naddr = \""
-                        + Addresses.text(mesh[1 - place])
+                        + Addresses.text(meshAddresses[1 - index])
                         + "\"\n[endpoints]"));
-    ControllerNode node = new ControllerNode(loop, config, settings, ++lastSeed);
+    ControllerNode node = new ControllerNode(loop, platformSettings, settings, ++lastSeed);
     node.start();
     return node;
   }
 
-  private void run(long ms) throws IOException {
+  private void runFor(long ms) throws IOException {
     loop.schedule(TimeSpan.millis(ms), root, loop::pause);
     loop.run();
   }
 
-  private void runUntil(BooleanSupplier reached) throws IOException {
-    for (int i = 0; i < 1000 && !reached.getAsBoolean(); i++) {
-      run(10);
+  private void runUntil(BooleanSupplier condition) throws IOException {
+    for (int i = 0; i < 1000 && !condition.getAsBoolean(); i++) {
+      runFor(10);
     }
-    assertTrue(reached.getAsBoolean());
+    assertTrue(condition.getAsBoolean());
   }
 
   private Object leaderHost() {
-    KeyValueStore.Value lead = outside.store.value("lead");
+    KeyValueStore.Value lead = environment.store.value("lead");
     return lead == null ? null : lead.data().get("host");
   }
 
-  /** A worker that has seen this token reports to a controller. */
-  private void sendHeartbeat(ControllerNode to, int worker, long token) {
-    HttpClient http = new HttpClient(root, loop, Addresses.parse("127.0.0.1:" + to.port()), 1, 4);
+  /** Sends the heartbeat of a worker that has seen a fencing token to a controller. */
+  private void sendHeartbeat(ControllerNode node, int worker, long fencingToken) {
+    HttpClient client =
+        new HttpClient(root, loop, Addresses.parse("127.0.0.1:" + node.port()), 1, 4);
     byte[] body =
-        MessagePackCodec.encode(ControllerNodeTest.heartbeat(token).with("host", "vm-" + worker));
-    http.call("POST", "/checkin", body, TimeSpan.seconds(4), a -> answers.add(a.status()));
+        MessagePackCodec.encode(
+            ControllerNodeTest.heartbeat(fencingToken).with("host", "vm-" + worker));
+    client.call(
+        "POST", "/checkin", body, TimeSpan.seconds(4), answer -> statuses.add(answer.status()));
   }
 
   @Test
-  void leadershipAndWorkersFailOverBeforeTheLeaseExpires() throws IOException {
+  void leadershipAndWorkersFailOverBeforeLeaseExpiry() throws IOException {
     assertEquals("node-a", leaderHost());
-    long term = (Long) outside.store.value("lead").data().get("term");
-    one.cancel();
-    run(600);
-    sendHeartbeat(other, 1, term);
-    run(50);
-    assertEquals("node-a", leaderHost(), "one worker is no sign");
-    sendHeartbeat(other, 2, term);
+    long term = (Long) environment.store.value("lead").data().get("term");
+    first.cancel();
+    runFor(600);
+    sendHeartbeat(second, 1, term);
+    runFor(50);
+    assertEquals("node-a", leaderHost(), "one worker is not enough evidence");
+    sendHeartbeat(second, 2, term);
     runUntil(() -> "node-b".equals(leaderHost()));
-    assertEquals(term + 1, outside.store.value("lead").data().get("term"));
-    runUntil(() -> answers.size() == 2);
-    assertEquals(List.of(200, 200), answers, "they waited here and were served by the new leader");
+    assertEquals(term + 1, environment.store.value("lead").data().get("term"));
+    runUntil(() -> statuses.size() == 2);
+    assertEquals(List.of(200, 200), statuses, "held heartbeats are answered by the new leader");
   }
 
-  /** A holder of a former build would not notice; its lease is waited for. */
+  /**
+   * Guards against replacing a leader of an older version, which would not notice it before its
+   * lease expires.
+   */
   @Test
-  void aHolderThatDoesNotWatchItsKeyIsNotSuperseded() throws IOException, InvalidMessageException {
-    long term = (Long) outside.store.value("lead").data().get("term");
-    one.cancel();
+  void leaderThatDoesNotWatchItsKeyIsNotReplacedEarly()
+      throws IOException, InvalidMessageException {
+    long term = (Long) environment.store.value("lead").data().get("term");
+    first.cancel();
     MessageBody key = MessageBody.of().with("host", "node-a").with("term", term).with("nonce", "n");
-    put("lead", key);
-    run(600);
-    sendHeartbeat(other, 1, term);
-    sendHeartbeat(other, 2, term);
-    runUntil(() -> answers.size() == 2);
-    assertEquals(List.of(421, 421), answers);
+    putRecord("lead", key);
+    runFor(600);
+    sendHeartbeat(second, 1, term);
+    sendHeartbeat(second, 2, term);
+    runUntil(() -> statuses.size() == 2);
+    assertEquals(List.of(421, 421), statuses);
     assertEquals("node-a", leaderHost());
   }
 
-  private void put(String where, MessageBody data) throws InvalidMessageException {
-    MessageBody write = MessageBody.of().with("put", where).with("data", data);
-    MessageBody txn = MessageBody.of().with("guards", List.of()).with("writes", List.of(write));
-    outside.store.commit(MessagePackCodec.decode(MessagePackCodec.encode(txn)));
+  private void putRecord(String key, MessageBody data) throws InvalidMessageException {
+    MessageBody write = MessageBody.of().with("put", key).with("data", data);
+    MessageBody transaction =
+        MessageBody.of().with("guards", List.of()).with("writes", List.of(write));
+    environment.store.commit(MessagePackCodec.decode(MessagePackCodec.encode(transaction)));
   }
 
-  /** Connections between controllers are cut, and new machines come: the leader stays. */
+  /**
+   * Guards against failover if peer connections are cut and only new workers contact other nodes.
+   */
   @Test
-  void aLeaderThatItsWorkersStillReachStays() throws IOException, ConfigException {
-    one.cancel();
-    // The same host is back at once, as the leader of its own key. Its port is free once the event
-    // loop, which both processes share here, has turned.
-    run(5);
-    one = node("node-a", 0);
-    runUntil(() -> one.ready());
+  void leaderReachedByItsWorkersIsNotReplaced() throws IOException, ConfigException {
+    first.cancel();
+    // The same host restarts at once and takes over its own leader key. Its port is free only after
+    // one iteration of
+    // the shared event loop.
+    runFor(5);
+    first = startNode("node-a", 0);
+    runUntil(() -> first.ready());
     assertEquals("node-a", leaderHost());
-    Object term = outside.store.value("lead").data().get("term");
-    run(1200);
+    Object term = environment.store.value("lead").data().get("term");
+    runFor(1200);
     for (int worker = 1; worker <= 5; worker++) {
-      sendHeartbeat(other, worker, 0);
+      sendHeartbeat(second, worker, 0);
     }
-    runUntil(() -> answers.size() == 5);
-    assertEquals(List.of(421, 421, 421, 421, 421), answers);
-    assertEquals(term, outside.store.value("lead").data().get("term"));
+    runUntil(() -> statuses.size() == 5);
+    assertEquals(List.of(421, 421, 421, 421, 421), statuses);
+    assertEquals(term, environment.store.value("lead").data().get("term"));
     assertNotNull(leaderHost());
   }
 
-  /** A leader whose key was replaced sees it by itself, though its own lease is renewed. */
+  /** Guards against a leader that keeps leading after its key was replaced. */
   @Test
-  void aSupersededLeaderStepsDown() throws IOException, InvalidMessageException {
-    one.cancel();
-    run(600);
-    long term = (Long) outside.store.value("lead").data().get("term");
-    sendHeartbeat(other, 1, term);
-    sendHeartbeat(other, 2, term);
-    runUntil(() -> "node-b".equals(leaderHost()) && other.ready());
-    put("lead", MessageBody.of().with("host", "node-x").with("term", 99L));
-    runUntil(() -> !other.ready());
+  void leaderStepsDownWhenItsKeyIsReplaced() throws IOException, InvalidMessageException {
+    first.cancel();
+    runFor(600);
+    long term = (Long) environment.store.value("lead").data().get("term");
+    sendHeartbeat(second, 1, term);
+    sendHeartbeat(second, 2, term);
+    runUntil(() -> "node-b".equals(leaderHost()) && second.ready());
+    putRecord("lead", MessageBody.of().with("host", "node-x").with("term", 99L));
+    runUntil(() -> !second.ready());
   }
 }
--- a/src/test/java/io/saltflow/controller/JobDependenciesTest.java
+++ b/src/test/java/io/saltflow/controller/JobDependenciesTest.java
@@ -33,12 +33,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Pipelines on one node before a key-value store of four writes a transaction, with one worker:
- * answers to the leader's writes that are lost, writes that come late, and a failover.
+ * Guards against wrong execution or cancellation of dependent jobs when answers to the leader's
+ * writes are lost, writes are delayed, or the leader fails over. Transactions are limited to four
+ * operations.
  */
 class JobDependenciesTest {
   private static final byte[] NO_BODY = new byte[0];
-  private static final int TXN_OPS = 4;
+  private static final int MAX_TRANSACTION_OPERATIONS = 4;
   private static final int TIMEOUT_MS = 20_000;
 
   private static final class Root extends Routine {
@@ -48,50 +49,51 @@
   }
 
   private final Root root = new Root();
-  private EmulatedKeyValueStore state;
+  private EmulatedKeyValueStore store;
   private EventLoop loop;
-  private PlatformSettings config;
+  private PlatformSettings settings;
   private ControllerNode node;
   private HttpClient user;
   private HttpClient workers;
   private int status;
   private MessageBody body;
 
-  /** The next transaction that puts this key is carried out, but its answer never comes. */
+  /** Key whose next put is executed but never answered. */
   private String loseAnswerFor;
 
-  /** The next transaction that puts this key gets no answer and is carried out later. */
-  private String holdBack;
+  /** Key whose next put is not answered and executed later, by {@link #delayedWrite}. */
+  private String delayWriteOf;
 
-  private Runnable late;
+  private Runnable delayedWrite;
 
-  /** The worker's tasks, with their phase; those it was told to launch, in order. */
+  /** Tasks that the worker reports, by name. */
   private final Map<String, MessageBody> tasks = new LinkedHashMap<>();
 
   private final List<String> launched = new ArrayList<>();
-  private long tick;
-  private long token;
+  private long heartbeatNumber;
+  private long fencingToken;
 
-  /** Whether tasks that run come to their end. */
-  private boolean ends;
+  /** Whether running tasks complete. */
+  private boolean tasksComplete;
 
   @BeforeEach
   void start() throws IOException, ConfigException {
     loop = new EventLoop();
-    EmulatedEnvironment around =
-        new EmulatedEnvironment(loop, new KeyValueLimits(1000, 1000, 8, TXN_OPS));
-    state = around.store;
-    String at = around.serve(loop, forgetful(around.handler()));
-    config =
+    EmulatedEnvironment environment =
+        new EmulatedEnvironment(
+            loop, new KeyValueLimits(1000, 1000, 8, MAX_TRANSACTION_OPERATIONS));
+    store = environment.store;
+    String address = environment.serve(loop, dropAnswers(environment.handler()));
+    settings =
         PlatformSettings.parse(
             PlatformSettingsTest.SETTINGS
-                .replace("10.9.9.9:1", at)
-                .replace("txn_ops = 8", "txn_ops = " + TXN_OPS));
-    node = new ControllerNode(loop, config, OperatorSettings.defaults(), 1);
+                .replace("10.9.9.9:1", address)
+                .replace("txn_ops = 8", "txn_ops = " + MAX_TRANSACTION_OPERATIONS));
+    node = new ControllerNode(loop, settings, OperatorSettings.defaults(), 1);
     node.start();
     connect();
     for (int i = 0; i < 200 && submit(1) == 503; i++) {
-      pass(20);
+      runFor(20);
     }
     assertEquals(201, status);
   }
@@ -102,46 +104,47 @@
   }
 
   @AfterEach
-  void end() {
+  void cancelRoutines() {
     node.cancel();
     root.cancel();
   }
 
-  private HttpServer.Handler forgetful(HttpServer.Handler outside) {
-    return (method, target, sent, answer) -> {
-      boolean txn = target.equals(Wire.PATH_TRANSACTION);
-      if (txn && holdBack != null && puts(sent, holdBack)) {
-        holdBack = null;
-        late = () -> outside.handle(method, target, sent, reply -> {});
-      } else if (txn && loseAnswerFor != null && puts(sent, loseAnswerFor)) {
+  private HttpServer.Handler dropAnswers(HttpServer.Handler delegate) {
+    return (method, target, request, answer) -> {
+      boolean transaction = target.equals(Wire.PATH_TRANSACTION);
+      if (transaction && delayWriteOf != null && puts(request, delayWriteOf)) {
+        delayWriteOf = null;
+        delayedWrite = () -> delegate.handle(method, target, request, reply -> {});
+      } else if (transaction && loseAnswerFor != null && puts(request, loseAnswerFor)) {
         loseAnswerFor = null;
-        outside.handle(method, target, sent, reply -> {});
+        delegate.handle(method, target, request, reply -> {});
       } else {
-        outside.handle(method, target, sent, answer);
+        delegate.handle(method, target, request, answer);
       }
     };
   }
 
-  private static boolean puts(byte[] txn, String key) {
+  private static boolean puts(byte[] transaction, String key) {
     try {
-      return MessagePackCodec.decode(txn).maps(Wire.WRITES).stream()
-          .anyMatch(w -> key.equals(w.get(Wire.PUT)));
+      return MessagePackCodec.decode(transaction).maps(Wire.WRITES).stream()
+          .anyMatch(write -> key.equals(write.get(Wire.PUT)));
     } catch (InvalidMessageException exception) {
       throw new IllegalStateException(exception);
     }
   }
 
-  private void pass(long ms) throws IOException {
+  private void runFor(long ms) throws IOException {
     loop.schedule(TimeSpan.millis(ms), root, loop::pause);
     loop.run();
   }
 
-  private int call(HttpClient client, String method, String path, byte[] sent) throws IOException {
+  private int call(HttpClient client, String method, String path, byte[] request)
+      throws IOException {
     status = -1;
     client.call(
         method,
         path,
-        sent,
+        request,
         TimeSpan.seconds(5),
         answer -> {
           status = answer.status();
@@ -160,19 +163,19 @@
     return String.format("req-%06d", number);
   }
 
-  private int submit(int number, int... needs) throws IOException {
+  private int submit(int number, int... dependencies) throws IOException {
     MessageBody job = ControllerNodeTest.submission(id(number), "red").with("shards", 1);
     List<String> names = new ArrayList<>();
-    for (int need : needs) {
-      names.add(id(need));
+    for (int dependency : dependencies) {
+      names.add(id(dependency));
     }
-    MessageBody sent = names.isEmpty() ? job : job.with(Wire.DEPENDENCIES, names);
-    return call(user, "POST", "/submissions", MessagePackCodec.encode(sent));
+    MessageBody request = names.isEmpty() ? job : job.with(Wire.DEPENDENCIES, names);
+    return call(user, "POST", "/submissions", MessagePackCodec.encode(request));
   }
 
-  private void accepted(int number, int... needs) throws IOException {
-    for (int i = 0; i < 50 && submit(number, needs) == 503; i++) {
-      pass(50);
+  private void submitUntilAccepted(int number, int... dependencies) throws IOException {
+    for (int i = 0; i < 50 && submit(number, dependencies) == 503; i++) {
+      runFor(50);
     }
     assertTrue(status == 201 || status == 200, id(number) + ": " + status);
   }
@@ -182,38 +185,38 @@
       if (call(user, "POST", "/submissions/" + id(number) + "/withdraw", NO_BODY) == 200) {
         return;
       }
-      pass(50);
+      runFor(50);
     }
     assertEquals(200, status);
   }
 
-  private String ended(int number) {
-    KeyValueStore.Value end = state.value("over/" + id(number));
+  private String finalPhase(int number) {
+    KeyValueStore.Value end = store.value("over/" + id(number));
     return end == null ? null : (String) end.data().get("phase");
   }
 
-  /** The worker reports, and does what it is told. */
-  private void report() throws IOException {
+  /** Sends a worker heartbeat and executes the commands in the answer. */
+  private void sendHeartbeat() throws IOException {
     List<MessageBody> list = new ArrayList<>();
     tasks.forEach((name, task) -> list.add(task));
-    MessageBody report =
-        ControllerNodeTest.heartbeat(token)
-            .with("tick", ++tick)
+    MessageBody heartbeat =
+        ControllerNodeTest.heartbeat(fencingToken)
+            .with("tick", ++heartbeatNumber)
             .with("shards", list.stream().map(MessageBody::fields).toList());
-    if (call(workers, "POST", "/checkin", MessagePackCodec.encode(report)) != 200) {
+    if (call(workers, "POST", "/checkin", MessagePackCodec.encode(heartbeat)) != 200) {
       return;
     }
     try {
-      token = body.integer("baton");
-      for (MessageBody order : body.maps("orders")) {
-        obey(order.text("verb"), order.text("shard"), order.get("try"));
+      fencingToken = body.integer("baton");
+      for (MessageBody command : body.maps("orders")) {
+        execute(command.text("verb"), command.text("shard"), command.get("try"));
       }
     } catch (InvalidMessageException exception) {
       throw new IllegalStateException(exception);
     }
   }
 
-  private void obey(String verb, String name, Object attempt) {
+  private void execute(String verb, String name, Object attempt) {
     switch (verb) {
       case "launch" -> {
         launched.add(name);
@@ -221,7 +224,7 @@
             name,
             MessageBody.of().with("shard", name).with("try", attempt).with("phase", "running"));
       }
-      case "halt" -> tasks.computeIfPresent(name, (number, t) -> exited(t, "stopped"));
+      case "halt" -> tasks.computeIfPresent(name, (number, task) -> exited(task, "stopped"));
       default -> tasks.remove(name);
     }
   }
@@ -234,93 +237,93 @@
         .with("cause", cause);
   }
 
-  private void work(BooleanSupplier until) throws IOException {
-    for (int ms = 0; ms < TIMEOUT_MS && !until.getAsBoolean(); ms += 100) {
-      report();
-      if (ends) {
-        tasks.replaceAll((number, t) -> "running".equals(t.get("phase")) ? exited(t, "done") : t);
+  private void runWorkerUntil(BooleanSupplier condition) throws IOException {
+    for (int ms = 0; ms < TIMEOUT_MS && !condition.getAsBoolean(); ms += 100) {
+      sendHeartbeat();
+      if (tasksComplete) {
+        tasks.replaceAll(
+            (number, task) -> "running".equals(task.get("phase")) ? exited(task, "done") : task);
       }
-      pass(100);
+      runFor(100);
     }
-    assertTrue(until.getAsBoolean(), "launched " + launched);
+    assertTrue(condition.getAsBoolean(), "launched " + launched);
   }
 
   @Test
-  void aChainRunsInOrderThoughAnAnswerToAnEndIsLost() throws IOException {
-    accepted(2, 1);
-    accepted(3, 2);
-    work(() -> launched.contains(id(1) + "/0"));
+  void dependencyChainRunsInOrderWhenCompletionAnswerIsLost() throws IOException {
+    submitUntilAccepted(2, 1);
+    submitUntilAccepted(3, 2);
+    runWorkerUntil(() -> launched.contains(id(1) + "/0"));
     assertEquals(List.of(id(1) + "/0"), launched);
     loseAnswerFor = "over/" + id(1);
-    ends = true;
-    work(() -> ended(3) != null);
+    tasksComplete = true;
+    runWorkerUntil(() -> finalPhase(3) != null);
     assertEquals(List.of(id(1) + "/0", id(2) + "/0", id(3) + "/0"), launched);
-    assertEquals("DONE", ended(3));
-    assertTrue(state.value("over/" + id(1)).data().get("endedAt") instanceof Long);
+    assertEquals("DONE", finalPhase(3));
+    assertTrue(store.value("over/" + id(1)).data().get("endedAt") instanceof Long);
   }
 
   /**
-   * A job's last task is done and its end is on its way when its user cancels it and is told so.
-   * The leader's write is refused then, and what it finds recorded is no end by being done: what
-   * needs the job is cancelled and must not start.
+   * Guards against launching a dependent job if the cancellation of its dependency is recorded
+   * while the leader's write of the completion is in flight.
    */
   @Test
-  void aCancellationThatOvertakesAnEndIsNotTakenForIt() throws IOException {
-    accepted(2, 1);
-    work(() -> !tasks.isEmpty());
-    holdBack = "over/" + id(1);
-    ends = true;
-    work(() -> late != null);
+  void dependentJobIsCancelledWhenCancellationPrecedesCompletion() throws IOException {
+    submitUntilAccepted(2, 1);
+    runWorkerUntil(() -> !tasks.isEmpty());
+    delayWriteOf = "over/" + id(1);
+    tasksComplete = true;
+    runWorkerUntil(() -> delayedWrite != null);
     cancel(1);
     assertEquals("cancelled", body.get("phase"));
-    late.run();
-    work(() -> ended(2) != null);
-    assertEquals("CANCELLED", ended(2));
+    delayedWrite.run();
+    runWorkerUntil(() -> finalPhase(2) != null);
+    assertEquals("CANCELLED", finalPhase(2));
     assertFalse(launched.contains(id(2) + "/0"));
   }
 
-  /** Four writes a transaction; an answer that is lost and a write that comes late. */
+  /** Guards against an incomplete cascade if an answer is lost and a write is delayed. */
   @Test
-  void aPipelineIsCancelledAsAWhole() throws IOException {
-    accepted(2, 1);
+  void cancellationCascadesThroughWholePipeline() throws IOException {
+    submitUntilAccepted(2, 1);
     for (int i = 3; i <= 20; i++) {
-      accepted(i, i % 2 == 0 ? i - 1 : 1);
+      submitUntilAccepted(i, i % 2 == 0 ? i - 1 : 1);
     }
     loseAnswerFor = "over/" + id(4);
-    holdBack = "over/" + id(9);
+    delayWriteOf = "over/" + id(9);
     cancel(1);
-    work(() -> ended(20) != null && ended(9) != null);
-    late.run();
+    runWorkerUntil(() -> finalPhase(20) != null && finalPhase(9) != null);
+    delayedWrite.run();
     for (int i = 1; i <= 20; i++) {
-      assertEquals("CANCELLED", ended(i), id(i));
-      assertNull(state.value("live/" + id(i)));
+      assertEquals("CANCELLED", finalPhase(i), id(i));
+      assertNull(store.value("live/" + id(i)));
       assertEquals(200, call(user, "GET", "/submissions/" + id(i), NO_BODY));
       assertEquals("cancelled", body.get("phase"));
     }
     assertTrue(launched.stream().allMatch(name -> name.startsWith(id(1))), "" + launched);
   }
 
-  /** The leader ends before it has recorded anything of what follows from a cancellation. */
+  /** Guards against losing a cascade if the leader fails right after a cancellation. */
   @Test
-  void aNewLeaderContinuesACascade() throws IOException {
-    accepted(2, 1);
-    accepted(3, 2);
-    accepted(4, 3);
-    state.setDown(true, loop.now());
+  void cascadeContinuesAfterFailover() throws IOException {
+    submitUntilAccepted(2, 1);
+    submitUntilAccepted(3, 2);
+    submitUntilAccepted(4, 3);
+    store.setDown(true, loop.now());
     node.cancel();
-    state.setDown(false, loop.now());
-    // As another node would have written it.
-    node = new ControllerNode(loop, config, OperatorSettings.defaults(), 2);
+    store.setDown(false, loop.now());
+    // The cancellation is recorded by another node, as it would be in a cluster.
+    node = new ControllerNode(loop, settings, OperatorSettings.defaults(), 2);
     node.start();
     connect();
     cancel(1);
     node.cancel();
-    node = new ControllerNode(loop, config, OperatorSettings.defaults(), 3);
+    node = new ControllerNode(loop, settings, OperatorSettings.defaults(), 3);
     node.start();
     connect();
-    work(() -> ended(4) != null);
+    runWorkerUntil(() -> finalPhase(4) != null);
     for (int i = 1; i <= 4; i++) {
-      assertEquals("CANCELLED", ended(i), id(i));
+      assertEquals("CANCELLED", finalPhase(i), id(i));
     }
   }
 }
--- a/src/test/java/io/saltflow/controller/LostWriteAnswersTest.java
+++ b/src/test/java/io/saltflow/controller/LostWriteAnswersTest.java
@@ -32,9 +32,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A leader's writes that are executed at once while only their answers are lost: acquiring
- * leadership, the ledger, launch intents, and a job's end. Each is told apart from another's write,
- * and counts once.
+ * Guards against repeating a leader's write, or taking it for another controller's, if the write is
+ * executed but its answer is lost. Covers leadership, the machine ledger, progress and job
+ * completion.
  */
 class LostWriteAnswersTest {
   private static final String JOB = "req-000001";
@@ -48,59 +48,59 @@
 
   private final Root root = new Root();
 
-  /** Of transactions that put a key that begins so, so many more answers are lost. */
+  /** Number of answers still to be lost, by the prefix of the keys that a transaction puts. */
   private final Map<String, Integer> answersToLose = new HashMap<>();
 
-  private final Map<String, Integer> lost = new HashMap<>();
+  private final Map<String, Integer> lostAnswers = new HashMap<>();
 
-  /** The machine's tasks as it reports them. */
+  /** Tasks that the worker reports, by name. */
   private final Map<String, MessageBody> tasks = new LinkedHashMap<>();
 
   private final List<String> launched = new ArrayList<>();
   private EventLoop loop;
-  private EmulatedKeyValueStore state;
+  private EmulatedKeyValueStore store;
   private ControllerNode node;
   private HttpClient client;
-  private long token;
-  private long tick;
+  private long fencingToken;
+  private long heartbeatNumber;
   private int status;
   private MessageBody body;
 
   @BeforeEach
-  void start() throws IOException {
+  void createLoop() throws IOException {
     loop = new EventLoop();
   }
 
   @AfterEach
-  void end() {
+  void cancelRoutines() {
     node.cancel();
     root.cancel();
   }
 
   private void startNode() throws IOException, ConfigException {
-    EmulatedEnvironment around =
+    EmulatedEnvironment environment =
         new EmulatedEnvironment(loop, new KeyValueLimits(1000, 1000, 8, 8));
-    state = around.store;
-    String at = around.serve(loop, losing(around.handler()));
-    PlatformSettings config =
-        PlatformSettings.parse(PlatformSettingsTest.SETTINGS.replace("10.9.9.9:1", at));
-    node = new ControllerNode(loop, config, OperatorSettings.defaults(), 1);
+    store = environment.store;
+    String address = environment.serve(loop, loseAnswers(environment.handler()));
+    PlatformSettings settings =
+        PlatformSettings.parse(PlatformSettingsTest.SETTINGS.replace("10.9.9.9:1", address));
+    node = new ControllerNode(loop, settings, OperatorSettings.defaults(), 1);
     node.start();
     client = new HttpClient(root, loop, Addresses.parse("127.0.0.1:" + node.port()), 4, 16);
   }
 
-  private HttpServer.Handler losing(HttpServer.Handler outside) {
-    return (method, target, sent, answer) -> {
-      String prefix = target.equals(Wire.PATH_TRANSACTION) ? prefixToLose(sent) : null;
-      outside.handle(
+  private HttpServer.Handler loseAnswers(HttpServer.Handler delegate) {
+    return (method, target, request, answer) -> {
+      String prefix = target.equals(Wire.PATH_TRANSACTION) ? prefixToLose(request) : null;
+      delegate.handle(
           method,
           target,
-          sent,
+          request,
           reply -> {
-            boolean loses = prefix != null && reply.status() == 200;
-            if (loses) {
+            boolean loseAnswer = prefix != null && reply.status() == 200;
+            if (loseAnswer) {
               answersToLose.merge(prefix, -1, Integer::sum);
-              lost.merge(prefix, 1, Integer::sum);
+              lostAnswers.merge(prefix, 1, Integer::sum);
             } else {
               answer.accept(reply);
             }
@@ -108,9 +108,9 @@
     };
   }
 
-  private String prefixToLose(byte[] txn) {
+  private String prefixToLose(byte[] transaction) {
     try {
-      for (MessageBody write : MessagePackCodec.decode(txn).maps(Wire.WRITES)) {
+      for (MessageBody write : MessagePackCodec.decode(transaction).maps(Wire.WRITES)) {
         for (Map.Entry<String, Integer> entry : answersToLose.entrySet()) {
           if (entry.getValue() > 0
               && write.get(Wire.PUT) instanceof String key
@@ -125,12 +125,12 @@
     }
   }
 
-  private int call(String method, String path, byte[] sent) throws IOException {
+  private int call(String method, String path, byte[] request) throws IOException {
     status = -1;
     client.call(
         method,
         path,
-        sent,
+        request,
         TimeSpan.seconds(10),
         answer -> {
           status = answer.status();
@@ -145,33 +145,33 @@
     return status;
   }
 
-  private void pass(long ms) throws IOException {
+  private void runFor(long ms) throws IOException {
     loop.schedule(TimeSpan.millis(ms), root, loop::pause);
     loop.run();
   }
 
-  /** The machine reports once, and does what it is told: what it launches ends at once. */
-  private void checkIn() throws IOException, InvalidMessageException {
-    MessageBody report =
-        ControllerNodeTest.heartbeat(token)
-            .with("tick", ++tick)
+  /** Sends one worker heartbeat and executes the commands; launched tasks complete immediately. */
+  private void sendHeartbeat() throws IOException, InvalidMessageException {
+    MessageBody heartbeat =
+        ControllerNodeTest.heartbeat(fencingToken)
+            .with("tick", ++heartbeatNumber)
             .with("shards", List.copyOf(tasks.values()));
-    if (call("POST", "/checkin", MessagePackCodec.encode(report)) != 200) {
+    if (call("POST", "/checkin", MessagePackCodec.encode(heartbeat)) != 200) {
       return;
     }
-    token = body.integer("baton");
-    for (MessageBody order : body.maps("orders")) {
-      String task = order.text("shard");
-      if (order.text("verb").equals("launch") && !tasks.containsKey(task)) {
+    fencingToken = body.integer("baton");
+    for (MessageBody command : body.maps("orders")) {
+      String task = command.text("shard");
+      if (command.text("verb").equals("launch") && !tasks.containsKey(task)) {
         launched.add(task);
         tasks.put(
             task,
             MessageBody.of()
                 .with("shard", task)
-                .with("try", order.integer("try"))
+                .with("try", command.integer("try"))
                 .with("phase", "exited")
                 .with("cause", "done"));
-      } else if (order.text("verb").equals("clear")) {
+      } else if (command.text("verb").equals("clear")) {
         tasks.remove(task);
       }
     }
@@ -179,7 +179,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"lead", "fleet/", "progress/", "over/", "lead fleet/ progress/ over/"})
-  void aWriteWhoseAnswerAloneIsLostCountsOnce(String prefixes)
+  void writeWithLostAnswerTakesEffectOnce(String prefixes)
       throws IOException, ConfigException, InvalidMessageException {
     for (String prefix : prefixes.split(" ")) {
       answersToLose.put(prefix, prefix.equals("lead") ? 1 : 2);
@@ -187,27 +187,28 @@
     startNode();
     byte[] job = MessagePackCodec.encode(ControllerNodeTest.submission(JOB, "red"));
     for (int i = 0; i < MAX_POLLS && call("POST", "/submissions", job) != 201; i++) {
-      pass(20);
+      runFor(20);
     }
     assertEquals(201, status);
-    for (int i = 0; i < MAX_POLLS && state.value("over/" + JOB) == null; i++) {
-      checkIn();
-      pass(50);
+    for (int i = 0; i < MAX_POLLS && store.value("over/" + JOB) == null; i++) {
+      sendHeartbeat();
+      runFor(50);
     }
-    // It goes on for a while: a lost answer is noticed after a try's time only.
+    // A lost answer is noticed only after the request timeout.
     for (int i = 0; i < 60; i++) {
-      checkIn();
-      pass(50);
+      sendHeartbeat();
+      runFor(50);
     }
     for (String prefix : prefixes.split(" ")) {
-      assertTrue(lost.getOrDefault(prefix, 0) > 0, "an answer was lost: " + prefix);
+      assertTrue(
+          lostAnswers.getOrDefault(prefix, 0) > 0, "no answer was lost for prefix " + prefix);
     }
-    assertNotNull(state.value("over/" + JOB));
+    assertNotNull(store.value("over/" + JOB));
     assertEquals(200, call("GET", "/submissions/" + JOB, new byte[0]));
     assertEquals("done", body.get("phase"));
     assertEquals(List.of(JOB + "/0", JOB + "/1"), launched.stream().sorted().toList());
-    assertEquals(Map.of(), tasks, "results are cleared when they are recorded");
-    assertEquals(1L, state.value("term").data().get("term"), "one claim, one term");
-    assertEquals(1L, token);
+    assertEquals(Map.of(), tasks, "recorded results are cleared");
+    assertEquals(1L, store.value("term").data().get("term"), "leadership is acquired once");
+    assertEquals(1L, fencingToken);
   }
 }
--- a/src/test/java/io/saltflow/controller/LoweredStoreLimitsTest.java
+++ b/src/test/java/io/saltflow/controller/LoweredStoreLimitsTest.java
@@ -48,18 +48,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The key-value store takes smaller values and transactions all of a sudden. A controller that had
- * read its limits once wrote what was refused for ever: no job was unpacked, marked or ended any
- * more, and nothing said so.
+ * Guards against a controller that keeps sending refused writes after the key-value store has
+ * lowered its limits on values and transactions, so that no job is unpacked or completed.
  */
 class LoweredStoreLimitsTest {
-  private static final KeyValueLimits BEFORE = new KeyValueLimits(2000, 400, 8, 8);
-  private static final int WAITING = 180;
-  private static final int ENDING = 10;
+  private static final KeyValueLimits INITIAL_LIMITS = new KeyValueLimits(2000, 400, 8, 8);
+  private static final int WAITING_JOBS = 180;
+  private static final int DONE_JOBS = 10;
   private static final int BATCHES = 3;
   private static final int JOBS_PER_BATCH = 15;
-  private static final int TASKS = 300;
-  private static final int LATER = 30;
+  private static final int TASKS_PER_JOB = 300;
+  private static final int NEW_JOBS = 30;
 
   private static final class Root extends Routine {
     Root() {
@@ -68,52 +67,52 @@
   }
 
   private final Root root = new Root();
-  private final Root machines = new Root();
-  private final Map<String, Integer> answers = new TreeMap<>();
-  private final Map<String, BitSet> doneBefore = new LinkedHashMap<>();
-  private KeyValueLimits after = new KeyValueLimits(2000, 400, 2, 4);
-  private String next = "";
+  private final Root machinesRoot = new Root();
+  private final Map<String, Integer> submissionStatuses = new TreeMap<>();
+  private final Map<String, BitSet> doneByJob = new LinkedHashMap<>();
+  private KeyValueLimits loweredLimits = new KeyValueLimits(2000, 400, 2, 4);
+  private String futureLimits = "";
 
-  /** The largest value, and the most changes of a transaction, that were asked for. */
-  private int largest;
+  /** Largest value that was written, in bytes. */
+  private int largestValueBytes;
 
-  private int mostChanges;
+  private int mostWrites;
   private EventLoop loop;
   private EmulatedKeyValueStore store;
-  private PlatformSettings config;
+  private PlatformSettings settings;
   private ControllerNode node;
-  private int served;
+  private int storeRequests;
 
-  /** The key-value store's limits are lowered before its answer of this number. */
-  private int lowerAt = Integer.MAX_VALUE;
+  /** Number of the store request before which the limits are lowered. */
+  private int lowerAtRequest = Integer.MAX_VALUE;
 
   private void start() throws IOException, ConfigException, InvalidMessageException {
     loop = new EventLoop();
-    store = new EmulatedKeyValueStore(BEFORE, steps -> {}, loop.now());
-    KeyValueServer state =
+    store = new EmulatedKeyValueStore(INITIAL_LIMITS, steps -> {}, loop.now());
+    KeyValueServer storeServer =
         new KeyValueServer(root, loop, store.core(), () -> store.flush(loop.now()));
-    InetSocketAddress at = FreePorts.address();
-    ObjectStore depot = new ObjectStore(new JobDescriptions(this::record)::spec);
+    InetSocketAddress controllerAddress = FreePorts.address();
+    ObjectStore objectStore = new ObjectStore(new JobDescriptions(this::record)::spec);
     MachineType type =
         new MachineType(
             "box", new Resources(8, 0, 32), 10, 1, 0.5, TimeSpan.millis(300), List.of("a"));
-    EmulatedCloud rented =
+    EmulatedCloud emulatedCloud =
         new EmulatedCloud(List.of(type), 8, 100, TimeSpan.seconds(1), "vm-", loop.now());
-    EmulatedWorker.Timing rhythm =
+    EmulatedWorker.Timing timing =
         new EmulatedWorker.Timing(TimeSpan.millis(500), TimeSpan.seconds(20));
     CloudServer cloud =
         new CloudServer(
-            machines,
+            machinesRoot,
             loop,
-            rented,
-            (parent, each) ->
+            emulatedCloud,
+            (parent, machine) ->
                 new EmulatedWorker(
                     parent,
                     loop,
-                    each,
-                    List.of(at),
-                    rhythm,
-                    depot,
+                    machine,
+                    List.of(controllerAddress),
+                    timing,
+                    objectStore,
                     ThreadLocalRandom.current()::nextLong));
     HttpServer server =
         new HttpServer(
@@ -126,43 +125,45 @@
                 cloud.handle(method, target, body, answer);
                 return;
               }
-              if (++served == lowerAt) {
-                lower();
+              if (++storeRequests == lowerAtRequest) {
+                lowerLimits();
               }
-              measure(target, body);
-              state.handle(method, target, body, answer);
+              measureWrites(target, body);
+              storeServer.handle(method, target, body, answer);
             });
-    String outside = "127.0.0.1:" + server.port();
-    config = settings(outside, at);
-    seed(type);
-    lead();
+    String emulatorAddress = "127.0.0.1:" + server.port();
+    settings = settings(emulatorAddress, controllerAddress);
+    storeFormerRecords(type);
+    startController();
   }
 
-  private PlatformSettings settings(String outside, InetSocketAddress at) throws ConfigException {
+  private PlatformSettings settings(String emulatorAddress, InetSocketAddress controllerAddress)
+      throws ConfigException {
     return PlatformSettings.parse(
         PlatformSettingsTest.SETTINGS
-                .replace("10.9.9.9:1", outside)
-                .replace("serve_on = \"127.0.0.1:0\"", "serve_on = \"" + Addresses.text(at) + '"')
+                .replace("10.9.9.9:1", emulatorAddress)
+                .replace(
+                    "serve_on = \"127.0.0.1:0\"",
+                    "serve_on = \"" + Addresses.text(controllerAddress) + '"')
                 .replace("write_rps = 25.0", "write_rps = 400.0")
                 .replace("rps = 100.0", "rps = 2000.0")
                 .replace("report_s = 3.0", "report_s = 0.5")
                 .replace("cpus_max = 40.0", "cpus_max = 400.0")
                 .replace("list_lag_s = 5.0", "list_lag_s = 1.0")
-            + next);
+            + futureLimits);
   }
 
-  private void measure(String target, byte[] body) {
+  private void measureWrites(String target, byte[] body) {
     if (!target.equals(Wire.PATH_TRANSACTION)) {
       return;
     }
     try {
       List<MessageBody> writes = MessagePackCodec.decode(body).maps(Wire.WRITES);
-      mostChanges = Math.max(mostChanges, writes.size());
-      for (MessageBody messageBody : writes) {
-        largest =
+      mostWrites = Math.max(mostWrites, writes.size());
+      for (MessageBody write : writes) {
+        largestValueBytes =
             Math.max(
-                largest,
-                messageBody.get("data") == null ? 0 : JsonSize.of(messageBody.map("data")));
+                largestValueBytes, write.get("data") == null ? 0 : JsonSize.of(write.map("data")));
       }
     } catch (InvalidMessageException exception) {
       throw new IllegalStateException(exception);
@@ -174,59 +175,63 @@
     return value == null ? null : value.data();
   }
 
-  private void lower() {
-    store.core().setLimits(after, loop.now());
+  private void lowerLimits() {
+    store.core().setLimits(loweredLimits, loop.now());
   }
 
-  private void lead() throws IOException {
-    node = new ControllerNode(loop, config, OperatorSettings.defaults(), 1 + served);
+  private void startController() throws IOException {
+    node = new ControllerNode(loop, settings, OperatorSettings.defaults(), 1 + storeRequests);
     node.start();
   }
 
-  /** What the leader of before left: full pages, jobs that are done, and bundles. */
-  private void seed(MachineType type) throws InvalidMessageException {
+  /**
+   * Stores the records of a former leader: full progress pages, done jobs, and submission batches.
+   */
+  private void storeFormerRecords(MachineType type) throws InvalidMessageException {
     put("types", CloudCodec.encodeTypes(List.of(type)));
     MessageBody page = MessageBody.of();
     int pages = 0;
-    for (int n = 0; n < WAITING; n++) {
+    for (int n = 0; n < WAITING_JOBS; n++) {
       String id = id(100 + n);
-      // No machine is as large.
-      put("live/" + id, recorded(id, TASKS, 100));
+      // Exceeds the memory of every machine, so the job keeps waiting.
+      put("live/" + id, jobRecord(id, TASKS_PER_JOB, 100));
       BitSet done = new BitSet();
-      for (int task = 0; task < TASKS; task += 2 + n % 3) {
+      for (int task = 0; task < TASKS_PER_JOB; task += 2 + n % 3) {
         done.set(task);
       }
-      done.clear(TASKS - 4, TASKS);
-      doneBefore.put(id, done);
-      page.with(id, text(done));
+      done.clear(TASKS_PER_JOB - 4, TASKS_PER_JOB);
+      doneByJob.put(id, done);
+      page.with(id, encodeDone(done));
       if (JsonSize.of(page) > 8000) {
         put(String.format("progress/%05d", pages++), page);
         page = MessageBody.of();
       }
     }
-    for (int n = 0; n < ENDING; n++) {
-      put("live/" + id(500 + n), recorded(id(500 + n), 4, 1));
+    for (int n = 0; n < DONE_JOBS; n++) {
+      put("live/" + id(500 + n), jobRecord(id(500 + n), 4, 1));
       page.with(id(500 + n), "4+");
     }
     put(String.format("progress/%05d", pages), page);
     for (int b = 0; b < BATCHES; b++) {
-      MessageBody bundle = MessageBody.of();
+      MessageBody batch = MessageBody.of();
       for (int n = 0; n < JOBS_PER_BATCH; n++) {
         String id = id(600 + b * JOBS_PER_BATCH + n);
-        bundle.with(id, recorded(id, 1, 1));
+        batch.with(id, jobRecord(id, 1, 1));
       }
-      put("live/~former-" + b, bundle);
+      put("live/~former-" + b, batch);
     }
   }
 
-  /** As the record has it: how many are done from the first on, and the bits of the others. */
-  private static String text(BitSet done) {
+  /**
+   * Encodes done tasks as recorded: the length of the done prefix, then a bit set of the others.
+   */
+  private static String encodeDone(BitSet done) {
     int first = done.nextClearBit(0);
     byte[] rest = done.get(first, done.length()).toByteArray();
     return first + "+" + Base64.getEncoder().withoutPadding().encodeToString(rest);
   }
 
-  private static BitSet tasks(String text) {
+  private static BitSet decodeDone(String text) {
     int plus = text.indexOf('+');
     int first = Integer.parseInt(text.substring(0, plus));
     BitSet rest = BitSet.valueOf(Base64.getDecoder().decode(text.substring(plus + 1)));
@@ -249,7 +254,7 @@
         .with("expectS", 0.2);
   }
 
-  private static MessageBody recorded(String id, int tasks, double memoryGb) {
+  private static MessageBody jobRecord(String id, int tasks, double memoryGb) {
     return MessageBody.of()
         .with("spec", job(id, tasks, memoryGb))
         .with("at", System.currentTimeMillis());
@@ -257,31 +262,34 @@
 
   private void put(String key, MessageBody value) throws InvalidMessageException {
     MessageBody write = MessageBody.of().with("put", key).with("data", value);
-    MessageBody txn = MessageBody.of().with("guards", List.of()).with("writes", List.of(write));
+    MessageBody transaction =
+        MessageBody.of().with("guards", List.of()).with("writes", List.of(write));
     assertEquals(
-        200, store.commit(MessagePackCodec.decode(MessagePackCodec.encode(txn))).status(), key);
+        200,
+        store.commit(MessagePackCodec.decode(MessagePackCodec.encode(transaction))).status(),
+        key);
   }
 
-  private void pass(long ms) throws IOException {
+  private void runFor(long ms) throws IOException {
     loop.schedule(TimeSpan.millis(ms), root, loop::pause);
     loop.run();
   }
 
-  private void runUntil(String what, BooleanSupplier reached) throws IOException {
-    for (int i = 0; i < 1500 && !reached.getAsBoolean(); i++) {
-      pass(20);
+  private void awaitCondition(String description, BooleanSupplier condition) throws IOException {
+    for (int i = 0; i < 1500 && !condition.getAsBoolean(); i++) {
+      runFor(20);
     }
-    assertTrue(reached.getAsBoolean(), what);
+    assertTrue(condition.getAsBoolean(), description);
   }
 
   @AfterEach
-  void end() {
+  void stop() {
     node.cancel();
-    machines.cancel();
+    machinesRoot.cancel();
     root.cancel();
   }
 
-  private boolean over(int from, int count) {
+  private boolean allEnded(int from, int count) {
     for (int n = from; n < from + count; n++) {
       if (store.value("over/" + id(n)) == null) {
         return false;
@@ -290,7 +298,7 @@
     return true;
   }
 
-  /** Submits these jobs all at once, each again until it is accepted. */
+  /** Submits a range of jobs concurrently, retrying each until it is accepted. */
   private void submit(int from, int count) {
     HttpClient user =
         new HttpClient(root, loop, Addresses.parse("127.0.0.1:" + node.port()), 8, 64);
@@ -307,7 +315,7 @@
         TimeSpan.seconds(5),
         answer -> {
           if (answer.status() == 200 || answer.status() == 201) {
-            answers.put(id, answer.status());
+            submissionStatuses.put(id, answer.status());
           } else {
             loop.schedule(TimeSpan.millis(200), root, () -> submit(user, id));
           }
@@ -315,104 +323,106 @@
   }
 
   private List<KeyValueStore.Value> values(String prefix) {
-    List<KeyValueStore.Value> out = new ArrayList<>();
+    List<KeyValueStore.Value> found = new ArrayList<>();
     for (int n = 0; n < 1000; n++) {
       KeyValueStore.Value value = store.value(String.format("%s%05d", prefix, n));
       if (value != null) {
-        out.add(value);
+        found.add(value);
       }
     }
-    return out;
+    return found;
   }
 
-  /** Each task that was recorded as done still is, whichever page says so. */
-  private void nothingIsLost() {
-    doneBefore.forEach(
+  /** Asserts that each task recorded as done is still recorded as done on some page. */
+  private void assertNoDoneTaskIsLost() {
+    doneByJob.forEach(
         (id, before) -> {
           BitSet missing = (BitSet) before.clone();
           for (KeyValueStore.Value page : values("progress/")) {
             if (page.data().get(id) instanceof String text) {
-              missing.andNot(tasks(text));
+              missing.andNot(decodeDone(text));
             }
           }
-          assertTrue(missing.isEmpty(), id + " lost " + missing);
+          assertTrue(missing.isEmpty(), id + " lost done tasks " + missing);
         });
   }
 
-  private boolean pagesFit() {
+  private boolean pagesFitLoweredLimits() {
     return values("progress/").stream()
-        .allMatch(page -> JsonSize.of(page.data()) <= after.maxValueKib() * 1024);
+        .allMatch(page -> JsonSize.of(page.data()) <= loweredLimits.maxValueKib() * 1024);
   }
 
-  /** All that goes on: what was left is ended and unpacked, what is new is accepted and done. */
-  private void allGoesOn() throws IOException {
-    runUntil("jobs that are done end", () -> over(500, ENDING));
-    runUntil("bundled jobs are done", () -> over(600, BATCHES * JOBS_PER_BATCH));
-    submit(800, LATER);
-    runUntil("new jobs are accepted", () -> answers.size() == LATER);
-    runUntil("new jobs are done", () -> over(800, LATER));
-    runUntil("pages are taken apart", this::pagesFit);
-    nothingIsLost();
+  /**
+   * Asserts that old jobs are completed and unpacked, and that new jobs are accepted and completed.
+   */
+  private void assertAllJobsProceed() throws IOException {
+    awaitCondition("done jobs are completed", () -> allEnded(500, DONE_JOBS));
+    awaitCondition("batched jobs are done", () -> allEnded(600, BATCHES * JOBS_PER_BATCH));
+    submit(800, NEW_JOBS);
+    awaitCondition("new jobs are accepted", () -> submissionStatuses.size() == NEW_JOBS);
+    awaitCondition("new jobs are done", () -> allEnded(800, NEW_JOBS));
+    awaitCondition("pages are split", this::pagesFitLoweredLimits);
+    assertNoDoneTaskIsLost();
     for (int b = 0; b < BATCHES; b++) {
       assertEquals(null, store.value("live/~former-" + b));
     }
   }
 
-  /** A successor finds all of it. */
-  private void failOver() throws IOException {
+  /** Starts a new leader and asserts that it finds all records. */
+  private void assertFailoverSucceeds() throws IOException {
     node.cancel();
-    pass(50);
-    answers.clear();
-    lead();
-    runUntil("another leads", node::ready);
-    submit(900, LATER);
-    runUntil("new jobs are done", () -> over(900, LATER));
-    nothingIsLost();
+    runFor(50);
+    submissionStatuses.clear();
+    startController();
+    awaitCondition("new leader is ready", node::ready);
+    submit(900, NEW_JOBS);
+    awaitCondition("new jobs are done", () -> allEnded(900, NEW_JOBS));
+    assertNoDoneTaskIsLost();
   }
 
   @Test
-  void inTheMiddleOfATerm() throws Exception {
+  void limitsLoweredDuringTermAreFollowed() throws Exception {
     start();
-    runUntil("it leads", node::ready);
-    runUntil("jobs are being done", () -> store.value("over/" + id(610)) != null);
-    lower();
-    submit(1000, LATER);
-    allGoesOn();
-    failOver();
+    awaitCondition("controller is ready", node::ready);
+    awaitCondition("first batched job is done", () -> store.value("over/" + id(610)) != null);
+    lowerLimits();
+    submit(1000, NEW_JOBS);
+    assertAllJobsProceed();
+    assertFailoverSucceeds();
   }
 
   @ParameterizedTest
   @CsvSource({"2,4", "1,2"})
-  void inAFailover(double valueKb, int operations) throws Exception {
-    after = new KeyValueLimits(2000, 400, valueKb, operations);
-    // In the midst of what a new leader reads.
-    lowerAt = 8;
+  void limitsLoweredDuringFailoverAreFollowed(double valueKb, int operations) throws Exception {
+    loweredLimits = new KeyValueLimits(2000, 400, valueKb, operations);
+    // While the new leader reads the records.
+    lowerAtRequest = 8;
     start();
-    allGoesOn();
-    failOver();
+    assertAllJobsProceed();
+    assertFailoverSucceeds();
   }
 
-  /** The new version keeps to both from its first moment, and takes apart what the old one left. */
+  /** Guards against writes above announced future limits before they take effect. */
   @Test
-  void whatIsToComeIsKeptFromTheFirstMoment() throws Exception {
-    next = "[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 300.0\n";
+  void announcedLimitsAreFollowedImmediately() throws Exception {
+    futureLimits = "[settings.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = 300.0\n";
     start();
-    allGoesOn();
-    assertTrue(largest <= 2048, "a value of " + largest);
-    assertEquals(4, mostChanges);
-    lower();
-    failOver();
+    assertAllJobsProceed();
+    assertTrue(largestValueBytes <= 2048, "largest value: " + largestValueBytes + " bytes");
+    assertEquals(4, mostWrites);
+    lowerLimits();
+    assertFailoverSucceeds();
   }
 
   @Test
-  void rightAfterAnOutage() throws Exception {
+  void limitsLoweredDuringOutageAreFollowed() throws Exception {
     start();
-    runUntil("it leads", node::ready);
+    awaitCondition("controller is ready", node::ready);
     store.setDown(true, loop.now());
-    pass(1500);
-    lower();
+    runFor(1500);
+    lowerLimits();
     store.setDown(false, loop.now());
-    allGoesOn();
-    failOver();
+    assertAllJobsProceed();
+    assertFailoverSucceeds();
   }
 }
--- a/src/test/java/io/saltflow/controller/QueueFailoverTest.java
+++ b/src/test/java/io/saltflow/controller/QueueFailoverTest.java
@@ -38,47 +38,52 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two controllers, each with its own thread: clients at the one that leads, and the other. */
+/**
+ * Guards against lost or repeated messages of AMQP clients in a store outage or a leader failover.
+ */
 class QueueFailoverTest {
   private static final long RESUME_TIMEOUT_MS = 2000;
 
-  @TempDir Path folder;
-  private final AtomicReference<Boolean> down = new AtomicReference<>(false);
-  private final List<LoopThread> running = new ArrayList<>();
-  private final Map<Integer, LoopThread> nodes = new TreeMap<>();
-  private String outside;
-  private AmqpSettings queues;
+  @TempDir Path directory;
+  private final AtomicReference<Boolean> storeDown = new AtomicReference<>(false);
+  private final List<LoopThread> loopThreads = new ArrayList<>();
+  private final Map<Integer, LoopThread> threadsByPort = new TreeMap<>();
+  private String environmentAddress;
+  private AmqpSettings amqpSettings;
 
   @BeforeEach
   void start() throws Exception {
     EventLoop loop = new EventLoop();
-    EmulatedEnvironment around = new EmulatedEnvironment(loop, new KeyValueLimits(1000, 100, 8, 8));
-    outside = around.serve(loop, around.handler());
-    // The store belongs to its loop's thread: a test only says what it wants.
+    EmulatedEnvironment environment =
+        new EmulatedEnvironment(loop, new KeyValueLimits(1000, 100, 8, 8));
+    environmentAddress = environment.serve(loop, environment.handler());
+    // The store may only be used on its loop's thread, so tests only set a flag.
     loop.scheduleRepeating(
-        TimeSpan.millis(5), around, () -> around.store.setDown(down.get(), loop.now()));
-    running.add(LoopThread.start(loop, around));
-    queues = QueueSettings.localDefaults().withListen(Addresses.parse("127.0.0.1:0"));
+        TimeSpan.millis(5),
+        environment,
+        () -> environment.store.setDown(storeDown.get(), loop.now()));
+    loopThreads.add(LoopThread.start(loop, environment));
+    amqpSettings = QueueSettings.localDefaults().withListen(Addresses.parse("127.0.0.1:0"));
   }
 
   @AfterEach
-  void end() throws InterruptedException {
-    for (LoopThread loopThread : running) {
+  void stopLoops() throws InterruptedException {
+    for (LoopThread loopThread : loopThreads) {
       loopThread.stop();
     }
   }
 
   /**
-   * A controller; the port of its AMQP front. The lease is longer than a loaded machine stalls: a
-   * leader that is deposed in mid-test closes its clients' connections.
+   * Starts a controller and returns its AMQP port. The lease must outlast stalls of a loaded
+   * machine, since a leader that loses its lease closes its clients' connections.
    */
-  private int node(String name, int leaseS) throws Exception {
-    Path ops =
-        Files.writeString(folder.resolve(name + ".json"), "{\"leaderLeaseS\": " + leaseS + "}");
-    PlatformSettings config =
+  private int startNode(String name, int leaseS) throws Exception {
+    Path settingsFile =
+        Files.writeString(directory.resolve(name + ".json"), "{\"leaderLeaseS\": " + leaseS + "}");
+    PlatformSettings platformSettings =
         PlatformSettings.parse(
             PlatformSettingsTest.SETTINGS
-                .replace("10.9.9.9:1", outside)
+                .replace("10.9.9.9:1", environmentAddress)
                 .replace("node-0", name)
                 .replace(
                     "[endpoints]",
@@ -88,15 +93,15 @@
     ControllerNode node =
         new ControllerNode(
             loop,
-            config,
-            OperatorSettings.read(ops),
-            new OptionalInterfaces(queues, false),
+            platformSettings,
+            OperatorSettings.read(settingsFile),
+            new OptionalInterfaces(amqpSettings, false),
             name.hashCode());
     node.start();
     int port = node.amqpPort();
     LoopThread thread = LoopThread.start(loop, node);
-    running.add(thread);
-    nodes.put(port, thread);
+    loopThreads.add(thread);
+    threadsByPort.put(port, thread);
     return port;
   }
 
@@ -108,10 +113,10 @@
     return factory.newConnection();
   }
 
-  /** As clients that know all nodes do: whoever serves. */
+  /** Connects to the node that accepts clients. */
   private Connection connectToLeader() throws Exception {
-    for (int tries = 0; tries < 300; tries++) {
-      for (int port : nodes.keySet()) {
+    for (int attempt = 0; attempt < 300; attempt++) {
+      for (int port : threadsByPort.keySet()) {
         try {
           return connect(port);
         } catch (IOException exception) {
@@ -119,19 +124,19 @@
         }
       }
     }
-    throw new IllegalStateException("nobody leads");
+    throw new IllegalStateException("no node accepts AMQP clients");
   }
 
-  private static void publish(Channel ch, String queue, String id) throws Exception {
+  private static void publish(Channel channel, String queue, String id) throws Exception {
     AMQP.BasicProperties properties = new AMQP.BasicProperties.Builder().messageId(id).build();
-    ch.basicPublish("", queue, properties, id.getBytes(StandardCharsets.UTF_8));
+    channel.basicPublish("", queue, properties, id.getBytes(StandardCharsets.UTF_8));
   }
 
-  private static String result(Channel ch, String queue) throws Exception {
+  private static String result(Channel channel, String queue) throws Exception {
     for (int i = 0; i < 300; i++) {
-      GetResponse got = ch.basicGet(queue, true);
-      if (got != null) {
-        return new String(got.getBody(), StandardCharsets.UTF_8);
+      GetResponse response = channel.basicGet(queue, true);
+      if (response != null) {
+        return new String(response.getBody(), StandardCharsets.UTF_8);
       }
       Thread.sleep(20);
     }
@@ -139,15 +144,16 @@
   }
 
   /**
-   * Publishes until the message is taken. The queues notice the end of an outage by a timer of
-   * their own, up to 50 ms after publishers were told of it, and refuse until then: how often
-   * depends on how fast the client is, so the time counts and not the number of refusals.
+   * Publishes until the message is confirmed or the timeout expires. The queues refuse messages for
+   * up to 50 ms after publishers were unblocked, so the number of refusals depends on the client's
+   * speed.
    */
-  private static boolean takenWithin(long timeoutMs, Channel ch, String id) throws Exception {
+  private static boolean confirmedWithin(long timeoutMs, Channel channel, String id)
+      throws Exception {
     long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
     do {
-      publish(ch, "work", id);
-      if (ch.waitForConfirms(10_000)) {
+      publish(channel, "work", id);
+      if (channel.waitForConfirms(10_000)) {
         return true;
       }
     } while (System.nanoTime() - deadline < 0);
@@ -155,75 +161,82 @@
   }
 
   /**
-   * Nothing can be recorded for a while: publishers are told, refused at once, and welcome again;
-   * what they publish again under the same id is taken once.
+   * Guards against publishers that are not notified of an outage, wait instead of being refused, or
+   * whose repeated message is enqueued twice.
    */
   @Test
-  void anOutageOfTheStateServiceRefusesAndLosesNothing() throws Exception {
-    node("only", 20);
+  void publishesAreRefusedDuringOutageWithoutLoss() throws Exception {
+    startNode("only", 20);
     Connection connection = connectToLeader();
-    Channel ch = connection.createChannel();
-    ch.confirmSelect();
-    BlockingQueue<String> told = new LinkedBlockingQueue<>();
-    connection.addBlockedListener(told::add, () -> told.add("unblocked"));
-    publish(ch, "work", "before");
-    assertTrue(ch.waitForConfirms(10_000));
-    down.set(true);
-    assertEquals("nothing can be recorded now", told.poll(20, TimeUnit.SECONDS));
+    Channel channel = connection.createChannel();
+    channel.confirmSelect();
+    BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
+    connection.addBlockedListener(notifications::add, () -> notifications.add("unblocked"));
+    publish(channel, "work", "before");
+    assertTrue(channel.waitForConfirms(10_000));
+    storeDown.set(true);
+    assertEquals("nothing can be recorded now", notifications.poll(20, TimeUnit.SECONDS));
     for (int i = 0; i < 3; i++) {
-      publish(ch, "work", "during");
-      assertFalse(ch.waitForConfirms(10_000), "refused, not held");
+      publish(channel, "work", "during");
+      assertFalse(channel.waitForConfirms(10_000), "message is refused immediately");
     }
-    down.set(false);
-    assertEquals("unblocked", told.poll(20, TimeUnit.SECONDS));
-    assertTrue(takenWithin(RESUME_TIMEOUT_MS, ch, "during"), "publishes are taken again");
-    publish(ch, "work", "during");
-    assertTrue(ch.waitForConfirms(10_000));
-    assertEquals("before", new String(ch.basicGet("work", true).getBody(), StandardCharsets.UTF_8));
-    assertEquals("during", new String(ch.basicGet("work", true).getBody(), StandardCharsets.UTF_8));
-    assertNull(ch.basicGet("work", true));
+    storeDown.set(false);
+    assertEquals("unblocked", notifications.poll(20, TimeUnit.SECONDS));
+    assertTrue(
+        confirmedWithin(RESUME_TIMEOUT_MS, channel, "during"),
+        "messages are accepted after the outage");
+    publish(channel, "work", "during");
+    assertTrue(channel.waitForConfirms(10_000));
+    assertEquals(
+        "before", new String(channel.basicGet("work", true).getBody(), StandardCharsets.UTF_8));
+    assertEquals(
+        "during", new String(channel.basicGet("work", true).getBody(), StandardCharsets.UTF_8));
+    assertNull(channel.basicGet("work", true));
     connection.abort();
   }
 
   @Test
-  void clientsFindTheNextLeaderAndNothingIsLostOrRepeated() throws Exception {
-    node("first", 5);
+  void messagesSurviveFailoverWithoutLossOrRepetition() throws Exception {
+    startNode("first", 5);
     Connection connection = connectToLeader();
-    int second = node("second", 5);
+    int second = startNode("second", 5);
     IOException redirect = assertThrows(IOException.class, () -> connect(second));
     for (int i = 0; i < 100 && !redirect.getCause().getMessage().contains("first leads"); i++) {
-      // In its first moments it may not have heard who leads.
+      // A node that has just started may not know the leader yet.
       Thread.sleep(50);
       redirect = assertThrows(IOException.class, () -> connect(second));
     }
     assertTrue(redirect.getCause().getMessage().contains("CONNECTION_FORCED - first leads"));
-    Channel ch = connection.createChannel();
-    ch.confirmSelect();
+    Channel channel = connection.createChannel();
+    channel.confirmSelect();
     for (int i = 0; i < 4; i++) {
-      publish(ch, "work", "w" + i);
-      publish(ch, "once", "o" + i);
+      publish(channel, "work", "w" + i);
+      publish(channel, "once", "o" + i);
     }
-    ch.waitForConfirmsOrDie(10_000);
-    assertEquals("w0", new String(ch.basicGet("work", false).getBody(), StandardCharsets.UTF_8));
-    assertEquals("o0", new String(ch.basicGet("once", false).getBody(), StandardCharsets.UTF_8));
-    nodes.remove(connection.getPort()).stop();
-    Connection next = connectToLeader();
-    assertEquals(second, next.getPort());
-    Channel then = next.createChannel();
-    assertTrue(result(then, "once.results").contains("\"id\":\"o0\",\"outcome\":\"unknown\""));
-    GetResponse again = then.basicGet("work", false);
-    assertEquals("w0", new String(again.getBody(), StandardCharsets.UTF_8));
-    assertTrue(again.getEnvelope().isRedeliver());
-    then.basicAck(again.getEnvelope().getDeliveryTag(), false);
+    channel.waitForConfirmsOrDie(10_000);
+    assertEquals(
+        "w0", new String(channel.basicGet("work", false).getBody(), StandardCharsets.UTF_8));
+    assertEquals(
+        "o0", new String(channel.basicGet("once", false).getBody(), StandardCharsets.UTF_8));
+    threadsByPort.remove(connection.getPort()).stop();
+    Connection nextConnection = connectToLeader();
+    assertEquals(second, nextConnection.getPort());
+    Channel nextChannel = nextConnection.createChannel();
+    assertTrue(
+        result(nextChannel, "once.results").contains("\"id\":\"o0\",\"outcome\":\"unknown\""));
+    GetResponse redelivered = nextChannel.basicGet("work", false);
+    assertEquals("w0", new String(redelivered.getBody(), StandardCharsets.UTF_8));
+    assertTrue(redelivered.getEnvelope().isRedeliver());
+    nextChannel.basicAck(redelivered.getEnvelope().getDeliveryTag(), false);
     assertEquals(
-        "{\"id\":\"w0\",\"outcome\":\"done\",\"attempts\":2}", result(then, "work.results"));
-    then.confirmSelect();
-    publish(then, "once", "o0");
-    then.waitForConfirmsOrDie(10_000);
+        "{\"id\":\"w0\",\"outcome\":\"done\",\"attempts\":2}", result(nextChannel, "work.results"));
+    nextChannel.confirmSelect();
+    publish(nextChannel, "once", "o0");
+    nextChannel.waitForConfirmsOrDie(10_000);
     assertEquals(
         "o1",
-        new String(then.basicGet("once", true).getBody(), StandardCharsets.UTF_8),
-        "not o0 again");
-    next.abort();
+        new String(nextChannel.basicGet("once", true).getBody(), StandardCharsets.UTF_8),
+        "o0 is not delivered again");
+    nextConnection.abort();
   }
 }
