--- a/src/test/java/io/saltflow/api/UserApiLoadTest.java
+++ b/src/test/java/io/saltflow/api/UserApiLoadTest.java
@@ -103,10 +103,12 @@
     clockMs += 60_000;
   }
 
-  private void startNodes(double rps, double writeRps, int txnOps) {
+  private void startNodes(double rps, double writeRps, int maxTransactionOperations) {
     store =
         new EmulatedKeyValueStore(
-            new KeyValueLimits(rps, writeRps, 16, txnOps), steps -> {}, loop.now());
+            new KeyValueLimits(rps, writeRps, 16, maxTransactionOperations),
+            steps -> {},
+            loop.now());
     storeServer = new KeyValueServer(root, loop, store.core(), () -> store.flush(loop.now()));
     MachineType type =
         new MachineType(
@@ -120,7 +122,7 @@
               this::send,
               rps * 0.45,
               writeRps * 0.5,
-              new StoreLimits(txnOps, 16, writeRps));
+              new StoreLimits(maxTransactionOperations, 16, writeRps));
       JobRepository jobs = new JobRepository(root, loop, client, "node-" + number, LaneRules.NONE);
       nodes.add(
           new UserApi(
@@ -171,7 +173,7 @@
                 method, target, body, r -> schedule(networkDelayMs, () -> answer.accept(r))));
   }
 
-  // ---- Users
+  // Users
 
   private void addUser(int number) {
     unacceptedJobs++;
--- a/src/test/java/io/saltflow/api/UserApiSimulation.java
+++ b/src/test/java/io/saltflow/api/UserApiSimulation.java
@@ -90,7 +90,7 @@
    *
    * @param lostAnswers requests that are executed but never answered
    * @param delayedRequests requests that time out and are executed later
-   * @param refusals requests that are refused with 503
+   * @param refusals requests that are refused with 503 while those of other nodes are served
    * @param earlyTicks clock ticks that pass although other steps are possible
    */
   record Faults(int lostAnswers, int delayedRequests, int refusals, int earlyTicks) {}
@@ -254,7 +254,7 @@
     }
   }
 
-  // ---- Initial state
+  // Initial state
 
   private void createAcceptedJobs() {
     List<Job> known = new ArrayList<>();
@@ -331,7 +331,7 @@
     return ControllerNodeTest.submission(id(number).text(), "red");
   }
 
-  // ---- The network
+  // Network
 
   private void send(
       String method,
@@ -384,7 +384,7 @@
     }
   }
 
-  // ---- The steps
+  // Steps
 
   private void run() {
     while (true) {
@@ -516,7 +516,7 @@
     records.unpackBatches();
   }
 
-  // ---- Users
+  // Users
 
   private void sendNext(User user) {
     Action action = user.remaining.peek();
@@ -547,7 +547,7 @@
     }
   }
 
-  // ---- The records
+  // Records
 
   private boolean isInBatch(JobId id) {
     return batches().values().stream().anyMatch(batch -> batch.data().get(id.text()) != null);
--- a/src/test/java/io/saltflow/controller/EarlyFailoverTest.java
+++ b/src/test/java/io/saltflow/controller/EarlyFailoverTest.java
@@ -176,8 +176,7 @@
   void leaderReachedByItsWorkersIsNotReplaced() throws IOException, ConfigException {
     first.cancel();
     // The same host restarts at once and takes over its own leader key. Its port is free only after
-    // one iteration of
-    // the shared event loop.
+    // one iteration of the event loop, which both processes share here.
     runFor(5);
     first = startNode("node-a", 0);
     runUntil(() -> first.ready());
@@ -193,7 +192,10 @@
     assertNotNull(leaderHost());
   }
 
-  /** Guards against a leader that keeps leading after its key was replaced. */
+  /**
+   * Guards against a leader that keeps leading after its key was replaced, although its lease is
+   * renewed.
+   */
   @Test
   void leaderStepsDownWhenItsKeyIsReplaced() throws IOException, InvalidMessageException {
     first.cancel();
--- a/src/test/java/io/saltflow/controller/JobDependenciesTest.java
+++ b/src/test/java/io/saltflow/controller/JobDependenciesTest.java
@@ -83,7 +83,7 @@
         new EmulatedEnvironment(
             loop, new KeyValueLimits(1000, 1000, 8, MAX_TRANSACTION_OPERATIONS));
     store = environment.store;
-    String address = environment.serve(loop, dropAnswers(environment.handler()));
+    String address = environment.serve(loop, injectFaults(environment.handler()));
     settings =
         PlatformSettings.parse(
             PlatformSettingsTest.SETTINGS
@@ -109,13 +109,13 @@
     root.cancel();
   }
 
-  private HttpServer.Handler dropAnswers(HttpServer.Handler delegate) {
+  private HttpServer.Handler injectFaults(HttpServer.Handler delegate) {
     return (method, target, request, answer) -> {
-      boolean transaction = target.equals(Wire.PATH_TRANSACTION);
-      if (transaction && delayWriteOf != null && puts(request, delayWriteOf)) {
+      boolean isTransaction = target.equals(Wire.PATH_TRANSACTION);
+      if (isTransaction && delayWriteOf != null && puts(request, delayWriteOf)) {
         delayWriteOf = null;
         delayedWrite = () -> delegate.handle(method, target, request, reply -> {});
-      } else if (transaction && loseAnswerFor != null && puts(request, loseAnswerFor)) {
+      } else if (isTransaction && loseAnswerFor != null && puts(request, loseAnswerFor)) {
         loseAnswerFor = null;
         delegate.handle(method, target, request, reply -> {});
       } else {
--- a/src/test/java/io/saltflow/controller/LostWriteAnswersTest.java
+++ b/src/test/java/io/saltflow/controller/LostWriteAnswersTest.java
@@ -33,7 +33,7 @@
 
 /**
  * Guards against repeating a leader's write, or taking it for another controller's, if the write is
- * executed but its answer is lost. Covers leadership, the machine ledger, progress and job
+ * executed but its answer is lost. Covers leadership, the machine ledger, launch intents and job
  * completion.
  */
 class LostWriteAnswersTest {
