--- a/src/main/java/io/saltflow/kvserver/FileSystemDirectory.java
+++ b/src/main/java/io/saltflow/kvserver/FileSystemDirectory.java
@@ -16,41 +16,41 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** A directory of the file system, locked for one process at a time. */
+/** A file system directory that at most one process can open for writing at a time. */
 public final class FileSystemDirectory implements StorageDirectory, AutoCloseable {
   private static final String LOCK_FILE = "lock";
 
-  private final Path folder;
+  private final Path path;
   private final FileChannel lock;
   private final Map<String, FileChannel> openChannels = new HashMap<>();
 
-  private FileSystemDirectory(Path folder, FileChannel lock) {
-    this.folder = folder;
+  private FileSystemDirectory(Path path, FileChannel lock) {
+    this.path = path;
     this.lock = lock;
   }
 
   /**
-   * Opens and locks a directory, which is created if it does not exist.
+   * Opens and locks a directory, creating it if it does not exist.
    *
-   * @throws IOException when it can't be used, or another process has it open
+   * @throws IOException if the directory cannot be used or another process has it open
    */
-  public static FileSystemDirectory open(Path folder) throws IOException {
+  public static FileSystemDirectory open(Path path) throws IOException {
     try {
-      Files.createDirectories(folder);
+      Files.createDirectories(path);
       FileChannel lock =
           FileChannel.open(
-              folder.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+              path.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
       if (!tryLock(lock)) {
         lock.close();
-        throw new IOException(folder + ": in use by another process");
+        throw new IOException(path + ": in use by another process");
       }
-      return new FileSystemDirectory(folder, lock);
+      return new FileSystemDirectory(path, lock);
     } catch (FileSystemException exception) {
       String reason =
           exception.getReason() == null
               ? exception.getClass().getSimpleName()
               : exception.getReason();
-      throw new IOException(exception.getFile() + ": can't be used: " + reason, exception);
+      throw new IOException(exception.getFile() + ": cannot be used: " + reason, exception);
     }
   }
 
@@ -63,36 +63,36 @@
     }
   }
 
-  /** Opens an existing directory for reading, without a lock. */
-  static FileSystemDirectory openReadOnly(Path folder) throws IOException {
-    if (!Files.isDirectory(folder)) {
-      throw new IOException(folder + ": no such folder");
+  /** Opens an existing directory for reading, without locking it. */
+  static FileSystemDirectory openReadOnly(Path path) throws IOException {
+    if (!Files.isDirectory(path)) {
+      throw new IOException(path + ": no such directory");
     }
-    return new FileSystemDirectory(folder, null);
+    return new FileSystemDirectory(path, null);
   }
 
   @Override
   public List<String> fileNames() throws IOException {
-    try (Stream<Path> files = Files.list(folder)) {
+    try (Stream<Path> files = Files.list(path)) {
       return files.map(path -> path.getFileName().toString()).sorted().toList();
     }
   }
 
   @Override
   public long size(String name) throws IOException {
-    return Files.size(folder.resolve(name));
+    return Files.size(path.resolve(name));
   }
 
   @Override
   public byte[] read(String name, long offset, int maxBytes) throws IOException {
-    try (FileChannel in = FileChannel.open(folder.resolve(name), StandardOpenOption.READ)) {
+    try (FileChannel in = FileChannel.open(path.resolve(name), StandardOpenOption.READ)) {
       long available = Math.max(0, Math.min(maxBytes, in.size() - offset));
       if (available > Integer.MAX_VALUE - 16) {
-        throw new IOException(name + ": longer than can be read at once");
+        throw new IOException(name + ": file is too large to be read at once");
       }
       ByteBuffer buffer = ByteBuffer.allocate((int) available);
       while (buffer.hasRemaining() && in.read(buffer, offset + buffer.position()) >= 0) {
-        // A read may return fewer bytes than asked for.
+        // A read may return fewer bytes than requested.
       }
       return buffer.hasRemaining()
           ? java.util.Arrays.copyOf(buffer.array(), buffer.position())
@@ -104,8 +104,7 @@
     FileChannel channel = openChannels.get(name);
     if (channel == null) {
       channel =
-          FileChannel.open(
-              folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+          FileChannel.open(path.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
       channel.position(channel.size());
       openChannels.put(name, channel);
     }
@@ -144,8 +143,8 @@
     close(from);
     close(to);
     Files.move(
-        folder.resolve(from),
-        folder.resolve(to),
+        path.resolve(from),
+        path.resolve(to),
         StandardCopyOption.ATOMIC_MOVE,
         StandardCopyOption.REPLACE_EXISTING);
   }
@@ -153,12 +152,12 @@
   @Override
   public void delete(String name) throws IOException {
     close(name);
-    Files.deleteIfExists(folder.resolve(name));
+    Files.deleteIfExists(path.resolve(name));
   }
 
   @Override
   public void syncDirectory() throws IOException {
-    try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
+    try (FileChannel channel = FileChannel.open(path, StandardOpenOption.READ)) {
       channel.force(true);
     }
   }
--- a/src/main/java/io/saltflow/kvserver/KeyValueServer.java
+++ b/src/main/java/io/saltflow/kvserver/KeyValueServer.java
@@ -18,15 +18,15 @@
 import java.util.function.Consumer;
 
 /**
- * The HTTP interface of the key-value store: passes requests to the core, and holds watches until
- * there are changes. Runs on the loop's thread.
+ * The HTTP interface of the key-value store. Passes requests to the core and holds watches until
+ * there are changes or they time out. Runs on the event loop's thread.
  */
 public final class KeyValueServer extends Routine {
   private static final TimeSpan LEASE_CHECK_INTERVAL = TimeSpan.millis(50);
   private static final long MAX_WATCH_TIMEOUT_MS = 60_000;
   private static final int MAX_WATCHES = 1000;
 
-  /** A watch of the changes of a prefix after a revision. */
+  /** A watch for changes under a key prefix after a revision. */
   private record Watch(
       String prefix, long after, MonotonicTime deadline, Consumer<HttpResponse> replyTo) {}
 
@@ -55,7 +55,7 @@
         });
   }
 
-  /** Returns whether a path belongs to this interface. */
+  /** Returns whether a request target belongs to this interface. */
   public static boolean serves(String target) {
     return target.startsWith(Wire.PATH_KV)
         || target.startsWith(Wire.PATH_TRANSACTION)
@@ -66,7 +66,8 @@
   /**
    * Handles a request.
    *
-   * @param httpReplyTo receives the response, at once or when what it depends on is durable
+   * @param httpReplyTo receives the response, either immediately or once the writes that it depends
+   *     on are durable
    */
   public void handle(
       String method, String target, byte[] body, Consumer<HttpResponse> httpReplyTo) {
@@ -164,14 +165,14 @@
     }
   }
 
-  /** Rejects all watches with 503, as this node no longer serves. */
+  /** Rejects all watches with 503, because this node no longer serves requests. */
   void rejectWatches() {
     List<Watch> rejected = List.copyOf(watches);
     watches.clear();
     rejected.forEach(watch -> watch.replyTo.accept(HttpResponse.empty(503)));
   }
 
-  /** Completes the watches that have changes or timed out; none during an outage. */
+  /** Completes the watches that have changes or have timed out. Does nothing during an outage. */
   public void notifyWatches() {
     if (core.down()) {
       return;
--- a/src/main/java/io/saltflow/kvserver/LeaderForwarder.java
+++ b/src/main/java/io/saltflow/kvserver/LeaderForwarder.java
@@ -11,14 +11,14 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** Forwards clients' requests to the group's leader over HTTP. */
+/** Forwards client requests to the group's leader over HTTP. */
 final class LeaderForwarder {
-  /** Precedes the path of a forwarded request, which is not forwarded again. */
+  /** Path prefix that marks a request as forwarded, so that it is not forwarded again. */
   static final String FORWARDED_PREFIX = "/passed-on";
 
   private static final TimeSpan TIMEOUT = TimeSpan.seconds(5);
 
-  /** Longer than the longest watch. */
+  /** Exceeds the maximum timeout of a watch. */
   private static final TimeSpan WATCH_TIMEOUT = TimeSpan.seconds(65);
 
   private static final int MAX_FORWARDED = 256;
@@ -30,7 +30,7 @@
   /**
    * Creates a forwarder without members.
    *
-   * @param parent the routine that the clients' connections belong to
+   * @param parent the routine that owns the connections to the members
    */
   LeaderForwarder(Routine parent, EventLoop loop) {
     this.parent = parent;
@@ -43,9 +43,9 @@
   }
 
   /**
-   * Forwards a request to the leader; replies 503 when it is not known.
+   * Forwards a request to the leader, or replies 503 if there is no known leader.
    *
-   * @param leader the leader's name, or null
+   * @param leader the leader's name, or {@code null} if it is not known
    */
   void forward(
       String leader, String method, String target, byte[] body, Consumer<HttpResponse> replyTo) {
--- a/src/main/java/io/saltflow/kvserver/LogWriterThread.java
+++ b/src/main/java/io/saltflow/kvserver/LogWriterThread.java
@@ -14,13 +14,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs operations on the write-ahead log on a thread of its own, one at a time, so that the loop's
- * thread never waits for a disk. Only this thread uses the log.
+ * Runs operations on the write-ahead log on a dedicated thread, one at a time, so that the event
+ * loop never blocks on disk I/O. Only this thread accesses the log.
  */
 final class LogWriterThread implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(LogWriterThread.class);
 
-  /** An operation on the log. */
+  /** An operation on the log that may fail with an I/O error. */
   interface LogOperation {
     void run() throws IOException;
   }
@@ -39,15 +39,15 @@
     this.loop = loop;
   }
 
-  /** Returns whether an operation is under way. */
+  /** Returns whether an operation is in progress. */
   boolean isBusy() {
     return busy;
   }
 
   /**
-   * Runs an operation, then the callback on the loop's thread.
+   * Runs an operation on the writer thread, then the callback on the event loop's thread.
    *
-   * @param callback receives null, or why the operation failed
+   * @param callback receives {@code null} on success, or the exception that the operation threw
    */
   void run(LogOperation operation, Consumer<IOException> callback) {
     busy = true;
@@ -68,12 +68,12 @@
         });
   }
 
-  /** Appends write batches to a log, as one group. */
+  /** Appends write batches to a log as a single record. */
   static void append(WriteAheadLog log, List<WriteBatch> batches) throws IOException {
     log.append(batches.stream().map(WriteBatch::encode).toList());
   }
 
-  /** Closes a directory, so that another process may open it. */
+  /** Closes a directory so that another process may open it; a failure is only logged. */
   static void close(StorageDirectory directory) {
     if (directory instanceof AutoCloseable closeable) {
       try {
@@ -84,12 +84,12 @@
     }
   }
 
-  /** Ends the thread, after waiting up to 5 s for the operation under way. */
+  /** Stops the thread after waiting up to 5 s for the operation in progress. */
   @Override
   public void close() {
     executor.shutdown();
     try {
-      // A client may be waiting for the write that is under way.
+      // A client may be waiting for the write in progress.
       executor.awaitTermination(5, TimeUnit.SECONDS);
     } catch (InterruptedException exception) {
       Thread.currentThread().interrupt();
--- a/src/main/java/io/saltflow/kvserver/RaftStateSaver.java
+++ b/src/main/java/io/saltflow/kvserver/RaftStateSaver.java
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Saves a node's Raft state on a thread of its own, one save at a time, and retries a failed one
- * until the disk takes it. All methods run on the loop's thread.
+ * Saves a node's Raft state on a dedicated thread, one save at a time, and retries a failed save
+ * until it succeeds. All methods run on the event loop's thread.
  */
 final class RaftStateSaver implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(RaftStateSaver.class);
@@ -28,7 +28,7 @@
   /**
    * Creates a saver.
    *
-   * @param owner the routine whose cancellation ends the retries
+   * @param owner the routine whose cancellation stops the retries
    */
   RaftStateSaver(Routine owner, EventLoop loop, RaftStorage storage) {
     this.owner = owner;
@@ -37,7 +37,7 @@
     this.writer = new LogWriterThread(loop);
   }
 
-  /** Saves a state, and runs the callback once it is durable. */
+  /** Saves a state and runs the callback once it is durable. */
   void save(Ready.Save save, Runnable onSaved) {
     saving = true;
     markWritten = false;
@@ -53,8 +53,10 @@
             saving = false;
             onSaved.run();
           } else if (!owner.cancelled()) {
-            // No message that depends on the save is sent, so another member will lead meanwhile.
-            LOG.error("write to disk failed: {}", failure.getMessage());
+            // Messages that depend on the save are held back, so another member takes over
+            // meanwhile.
+            LOG.error(
+                "Raft state could not be written to disk, retrying: {}", failure.getMessage());
             scheduleProbe(save, onSaved);
           }
         });
@@ -76,12 +78,12 @@
         });
   }
 
-  /** Returns whether a save has been under way for longer than a threshold. */
+  /** Returns whether a save has been in progress for longer than a threshold. */
   boolean isStalled(TimeSpan threshold) {
     return saving && loop.now().since(savingSince).longerThan(threshold);
   }
 
-  /** Writes a durability mark, unless a write is under way or the last one was a mark. */
+  /** Writes a durability mark unless a write is in progress or the last write was a mark. */
   void writeDurabilityMark() {
     if (saving || writer.isBusy() || markWritten) {
       return;
@@ -96,7 +98,7 @@
     }
   }
 
-  /** Ends the writer's thread after the write that is under way. */
+  /** Stops the writer thread after the write in progress. */
   @Override
   public void close() {
     writer.close();
--- a/src/main/java/io/saltflow/kvserver/RaftStorage.java
+++ b/src/main/java/io/saltflow/kvserver/RaftStorage.java
@@ -12,10 +12,10 @@
 import java.util.List;
 
 /**
- * A member's persistent Raft state in a write-ahead log: an entry for each save, and a snapshot
- * that holds the Raft snapshot in chunks followed by the rest of the Raft log. A save is atomic:
- * once {@link #save} has returned it survives any crash, and after an interruption all of it or
- * none is recovered.
+ * Stores a member's Raft state in a write-ahead log: an entry for each save, and a log snapshot
+ * that holds the Raft snapshot in chunks followed by the rest of the Raft log. Saves are atomic and
+ * durable: a save survives any crash once {@link #save} has returned, and an interrupted save is
+ * recovered either completely or not at all.
  */
 final class RaftStorage implements WriteAheadLog.ReplayHandler {
   private static final int CHUNK_BYTES = 64 * 1024;
@@ -31,11 +31,11 @@
   }
 
   /**
-   * Opens the log and recovers the state, or creates it in an empty directory.
+   * Opens the log and recovers the state, or creates a log in an empty directory.
    *
    * @param members the group's initial members
-   * @param storeId the two halves of the identity of a log that is created now
-   * @throws IOException when the state can't be recovered
+   * @param storeId the two halves of the store's identity, used if a log is created
+   * @throws IOException if the state cannot be recovered
    */
   static RaftStorage open(StorageDirectory directory, List<String> members, long[] storeId)
       throws IOException {
@@ -49,12 +49,12 @@
     return durableLog.state();
   }
 
-  /** Returns what recovery found and repaired, as sentences for the operator. */
+  /** Returns messages for the operator about what recovery found and repaired. */
   List<String> recoveryNotes() {
     return log.recoveryNotes();
   }
 
-  /** Makes a save durable. After an exception the same save may be retried. */
+  /** Makes a save durable. The same save may be retried after an exception. */
   void save(Ready.Save save) throws IOException {
     if (save.snapshot().index() <= durableLog.snapshotIndex()) {
       log.append(List.of(DurableLog.encode(save)));
@@ -79,12 +79,12 @@
     out.finish();
   }
 
-  /** After a failed write, checks whether the disk accepts writes again. */
+  /** Checks whether the disk accepts writes again after a failed write. */
   void probe() throws IOException {
     log.probe();
   }
 
-  /** Records that all earlier writes are durable, for the next recovery. */
+  /** Records for the next recovery that all earlier writes are durable. */
   void writeDurabilityMark() throws IOException {
     log.writeDurabilityMark();
   }
@@ -97,7 +97,7 @@
         recoveredBytes = 0;
       } else if (recoveredBytes < recoveredSnapshot.data().length) {
         if (part.length > recoveredSnapshot.data().length - recoveredBytes) {
-          throw new InvalidMessageException("a snapshot longer than it says");
+          throw new InvalidMessageException("Raft snapshot is longer than the size in its header");
         }
         System.arraycopy(part, 0, recoveredSnapshot.data(), recoveredBytes, part.length);
         recoveredBytes += part.length;
@@ -106,14 +106,14 @@
         durableLog.apply(part);
       }
     } catch (InvalidMessageException exception) {
-      throw otherVersion(exception);
+      throw incompatibleVersion(exception);
     }
   }
 
   @Override
   public void onSnapshotEnd(long nextSequence) throws IOException {
     if (recoveredSnapshot == null || durableLog.snapshotIndex() != recoveredSnapshot.index()) {
-      throw new IOException("a group's snapshot that ends too early");
+      throw new IOException("Raft snapshot is incomplete");
     }
     recoveredSnapshot = null;
   }
@@ -123,12 +123,12 @@
     try {
       durableLog.apply(entry);
     } catch (InvalidMessageException exception) {
-      throw otherVersion(exception);
+      throw incompatibleVersion(exception);
     }
   }
 
-  private static IOException otherVersion(InvalidMessageException exception) {
+  private static IOException incompatibleVersion(InvalidMessageException exception) {
     return new IOException(
-        "a group's record of another version: " + exception.getMessage(), exception);
+        "Raft record was written by an incompatible version: " + exception.getMessage(), exception);
   }
 }
--- a/src/main/java/io/saltflow/kvserver/ReplicatedServer.java
+++ b/src/main/java/io/saltflow/kvserver/ReplicatedServer.java
@@ -30,9 +30,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One member of a group that serves the state section of PROTOCOL: the replicated store, its disk,
- * the connections to the other members, and requests that are forwarded to the leader. Everything
- * but the writes to disk runs on the loop's thread.
+ * A member of a group that serves the replicated key-value store. Connects the store to its disk,
+ * to the other members and to clients, whose requests are forwarded to the leader. Everything
+ * except disk writes runs on the event loop's thread.
  */
 public final class ReplicatedServer extends Routine {
   private static final Logger LOG = LoggerFactory.getLogger(ReplicatedServer.class);
@@ -43,28 +43,28 @@
   private static final TimeSpan DURABILITY_MARK_INTERVAL = TimeSpan.seconds(1);
   private static final int KEYS_PER_PART = 500;
 
-  /** The most bytes of waiting requests: they may become one batch, which must fit into a frame. */
-  private static final int MAX_WAITING_BYTES = 192 * 1024;
+  /** Limit on the bytes of pending requests, which may form one batch and must fit into a frame. */
+  private static final int MAX_PENDING_REQUEST_BYTES = 192 * 1024;
 
-  /** One entry a message, as an entry may be as large as a frame. */
+  /** Allows one entry per message, because an entry may be as large as a frame. */
   private static final RaftConfig RAFT_CONFIG =
       new RaftConfig(TimeSpan.seconds(1), TimeSpan.millis(100), 0.0005, 1);
 
-  /** The path of a member's status report. */
+  /** Path of a member's status report. */
   public static final String PATH_STATUS = "/group";
 
-  /** A member's addresses: for Raft messages of the other members, and for HTTP clients. */
+  /** The addresses on which a member receives Raft messages and serves HTTP clients. */
   public record NodeAddresses(InetSocketAddress peerAddress, InetSocketAddress clientAddress) {}
 
   /**
-   * The group and this member's part in it.
+   * Configuration of the group and of this member.
    *
    * @param name the group's unique name
    * @param key authenticates the members' frames
    * @param self this member's name
    * @param nodes the initial members and their addresses
    * @param limits the request limits
-   * @param snapshotBytes how many bytes of log entries trigger a snapshot
+   * @param snapshotBytes number of bytes of applied log entries that triggers a snapshot
    */
   public record Options(
       String name,
@@ -84,16 +84,16 @@
   private final Map<String, Integer> peerIndexes = new HashMap<>();
   private final LeaderForwarder forwarder;
   private KeyValueServer server;
-  private int waitingBytes;
+  private int pendingRequestBytes;
   private boolean writingSnapshot;
 
   /**
-   * Recovers this member's state from disk, and joins the group.
+   * Recovers this member's state from disk and joins the group.
    *
    * @param directory this member's data directory
-   * @param storeId random; the two halves of the identity of a log that is created now
-   * @param random returns a random number from 0 up to, not including, its argument
-   * @throws IOException when the state can't be recovered
+   * @param storeId two random halves of the store's identity, used if a log is created
+   * @param random returns a random number between 0 (inclusive) and its argument (exclusive)
+   * @throws IOException if the state cannot be recovered
    */
   public ReplicatedServer(
       Routine parent,
@@ -124,7 +124,7 @@
               loop.now());
     } catch (InvalidMessageException exception) {
       throw new IOException(
-          "the snapshot is of another version: " + exception.getMessage(), exception);
+          "snapshot was written by an incompatible version: " + exception.getMessage(), exception);
     }
     saver = new RaftStateSaver(this, loop, storage);
     forwarder = new LeaderForwarder(this, loop);
@@ -139,7 +139,7 @@
     startTimers();
   }
 
-  /** Registers the other members; returns their addresses in the order of their indexes. */
+  /** Registers the other members and returns their addresses in index order. */
   private List<InetSocketAddress> addPeers(List<String> members) {
     List<InetSocketAddress> peerAddresses = new ArrayList<>();
     for (String name : members) {
@@ -157,7 +157,8 @@
     loop.scheduleRepeating(TICK_INTERVAL, this, this::tick);
     loop.scheduleRepeating(SNAPSHOT_CHECK_INTERVAL, this, this::checkSnapshot);
     loop.scheduleRepeating(DURABILITY_MARK_INTERVAL, this, saver::writeDurabilityMark);
-    // Followers exchange nothing until the leader fails, and then need their connections at once.
+    // Followers do not communicate with each other until the leader fails, and then need their
+    // connections immediately.
     loop.scheduleRepeating(CONNECT_INTERVAL, this, mesh::connectAll);
     mesh.connectAll();
   }
@@ -202,7 +203,7 @@
       LOG.info(
           isServing ? "serving as leader, term {}" : "no longer leader, term {}",
           store.raft().term());
-      waitingBytes = 0;
+      pendingRequestBytes = 0;
       if (!isServing) {
         server.rejectWatches();
       }
@@ -214,7 +215,10 @@
     }
   }
 
-  /** Returns whether messages and ticks are dropped, as they would only pile up behind the disk. */
+  /**
+   * Returns whether a save has stalled. Messages and ticks are then dropped, because they would
+   * only queue up behind it.
+   */
   private boolean isDiskStalled() {
     return saver.isStalled(RAFT_CONFIG.electionTimeout());
   }
@@ -245,14 +249,14 @@
         store.receive(message, loop.now());
       }
     } catch (InvalidMessageException exception) {
-      LOG.warn("rejected a frame: {}", exception.getMessage());
+      LOG.warn("frame from a peer rejected: {}", exception.getMessage());
     }
   }
 
   /**
-   * Handles a client's request, forwarding it to the leader if that is another member.
+   * Handles a client's request, or forwards it to the leader if this member is not the leader.
    *
-   * @param replyTo receives the response: 503 when no leader is known
+   * @param replyTo receives the response, which is 503 if no leader is known
    */
   public void handle(String method, String target, byte[] body, Consumer<HttpResponse> replyTo) {
     boolean forwarded = target.startsWith(LeaderForwarder.FORWARDED_PREFIX);
@@ -271,16 +275,16 @@
 
   private void handleAsLeader(
       String method, String target, byte[] body, Consumer<HttpResponse> replyTo) {
-    if (waitingBytes + body.length > MAX_WAITING_BYTES) {
+    if (pendingRequestBytes + body.length > MAX_PENDING_REQUEST_BYTES) {
       replyTo.accept(HttpResponse.empty(503));
       return;
     }
     long term = store.raft().term();
-    waitingBytes += body.length;
+    pendingRequestBytes += body.length;
     Consumer<HttpResponse> releaseAndReply =
         reply -> {
           if (store.isServing() && store.raft().term() == term) {
-            waitingBytes -= body.length;
+            pendingRequestBytes -= body.length;
           }
           replyTo.accept(reply);
         };
@@ -290,7 +294,7 @@
         loop.now());
   }
 
-  /** Returns a role's name in the status report, whose values must not change. */
+  /** Returns a role's name in the status report, which is part of the wire format. */
   private static String roleInStatus(RaftNode.Role role) {
     return switch (role) {
       case FOLLOWER -> "FOLLOWER";
--- a/src/main/java/io/saltflow/kvserver/ReplicatedStore.java
+++ b/src/main/java/io/saltflow/kvserver/ReplicatedStore.java
@@ -16,17 +16,16 @@
 import java.util.Map;
 
 /**
- * The key-value store as a replicated state machine: the leader evaluates requests, proposes the
- * resulting write batches as a log entry, and every member applies the same batches in the same
- * order. A deterministic core without sockets, disk or clock; {@link Effects} carries out its
- * output.
+ * The key-value store as a replicated state machine. The leader evaluates requests and proposes the
+ * resulting write batches as a log entry; every member applies the same batches in the same order.
+ * This class is deterministic and uses no sockets, disk or clock; {@link Effects} performs its I/O.
  *
- * <p>Each request first waits until it is certain that this node was the leader when the request
- * arrived ({@link RaftNode#requestRead}), so that no deposed leader serves a read, rejects a
+ * <p>Each request first waits for confirmation that this node was the leader when the request
+ * arrived ({@link RaftNode#requestRead}), so that a deposed leader never serves a read, rejects a
  * transaction or renews a lease.
  */
 final class ReplicatedStore {
-  /** The output of the store. */
+  /** Performs the I/O of the store and receives its events. */
   interface Effects {
     /** Makes a save durable, then calls {@link ReplicatedStore#onSaved}. */
     void save(Ready.Save save);
@@ -34,20 +33,20 @@
     /** Sends a message, which may be lost. */
     void send(RaftMessage message);
 
-    /** Reports that a snapshot replaced the store: {@link ReplicatedStore#core} is a new one. */
+    /** Called after a snapshot replaced the store and {@link ReplicatedStore#core}. */
     void onStoreReplaced();
 
     /**
-     * Reports that this member begins or ends serving requests: as the leader that has applied all
-     * entries committed before.
+     * Called when this member starts or stops serving requests. Serving starts once it is the
+     * leader and has applied all entries committed in earlier terms.
      */
     void onServingChanged(boolean isServing);
 
-    /** Reports that contents changed, which may complete watches. */
+    /** Called after the contents changed, which may complete watches. */
     void onContentsChanged();
   }
 
-  /** A request that waits for its read confirmation; exactly one of the two is run. */
+  /** A request that waits for its read confirmation. Exactly one of the two callbacks is run. */
   private record PendingRequest(Runnable action, Runnable rejection) {}
 
   private final RaftNode raft;
@@ -59,23 +58,23 @@
   private long lastApplied;
   private long lastRequestId;
 
-  /** What is to be carried out once its save is durable; null: no save is under way. */
-  private Ready saving;
+  /** Raft output to process once its save is durable, or {@code null} if no save is in progress. */
+  private Ready outputBeingSaved;
 
-  private boolean running;
+  private boolean processingOutput;
   private boolean failed;
 
-  /** The term in which this node serves requests; 0: it does not. */
+  /** Term in which this node serves requests, or 0 if it does not serve. */
   private long servingTerm;
 
-  /** The index of the entry proposed last, until it is applied; 0: none. */
+  /** Index of the last proposed entry until it is applied, or 0 if there is none. */
   private long proposedIndex;
 
   /**
    * Restores the store from a node's durable state.
    *
-   * @param snapshotBytes how many bytes of applied log entries make a snapshot due
-   * @throws InvalidMessageException when the snapshot can't be decoded
+   * @param snapshotBytes number of bytes of applied log entries after which a snapshot is due
+   * @throws InvalidMessageException if the snapshot cannot be decoded
    */
   ReplicatedStore(
       RaftNode raft,
@@ -121,7 +120,7 @@
     }
   }
 
-  /** Handles a message of another member. */
+  /** Handles a message from another member. */
   void receive(RaftMessage message, MonotonicTime now) {
     if (!failed) {
       raft.receive(message, now);
@@ -129,17 +128,17 @@
     }
   }
 
-  /** Reports that the last {@link Effects#save} is durable. */
+  /** Continues after the last {@link Effects#save} has become durable. */
   void onSaved(MonotonicTime now) {
-    Ready done = saving;
-    saving = null;
+    Ready savedOutput = outputBeingSaved;
+    outputBeingSaved = null;
     raft.onSaved(now);
-    processReadyAfter(done, now);
+    processReadyAfter(savedOutput, now);
   }
 
   /**
-   * Runs an action once it is certain that this node was the leader when this was called and has
-   * applied everything committed before, or the rejection when that can't be confirmed.
+   * Runs an action once it is confirmed that this node was the leader when this method was called
+   * and has applied everything committed before. Runs the rejection if that cannot be confirmed.
    */
   void runAsLeader(Runnable action, Runnable rejection, MonotonicTime now) {
     long id = ++lastRequestId;
@@ -151,7 +150,7 @@
     processReady(now);
   }
 
-  /** Proposes the next group of write batches, unless an earlier one is not applied yet. */
+  /** Proposes the next group of write batches unless an earlier group is not yet applied. */
   void proposeNext(MonotonicTime now) {
     if (!isServing() || proposedIndex > 0) {
       return;
@@ -162,7 +161,7 @@
     }
     proposedIndex = raft.propose(StateMachineCodec.encodeCommand(batches), now);
     if (proposedIndex == 0) {
-      // Leadership is being transferred: nothing was proposed, so the batches fail.
+      // No entry was proposed because leadership is being transferred, so the batches fail.
       core.onWriteFailed();
     }
     processReady(now);
@@ -173,42 +172,42 @@
   }
 
   /**
-   * Carries out Raft's output until there is none or a save is under way. A reply may bring the
-   * next request, whose output is carried out by the loop that is running already.
+   * Processes Raft's output until there is none or a save is in progress. A reply may trigger the
+   * next request reentrantly; its output is processed by the loop that is already running.
    *
-   * @param savedReady the output whose save just became durable, or null
+   * @param savedReady the output whose save has just become durable, or {@code null}
    */
   private void processReadyAfter(Ready savedReady, MonotonicTime now) {
-    if (running || failed) {
+    if (processingOutput || failed) {
       return;
     }
-    running = true;
+    processingOutput = true;
     try {
       if (savedReady != null) {
-        carryOut(savedReady, now);
+        processOutput(savedReady, now);
       }
       updateServing(now);
-      while (saving == null) {
+      while (outputBeingSaved == null) {
         Ready ready = raft.ready();
         if (ready == null) {
           break;
         }
         if (ready.save() != null) {
-          saving = ready;
+          outputBeingSaved = ready;
           effects.save(ready.save());
         } else {
-          carryOut(ready, now);
+          processOutput(ready, now);
         }
       }
     } finally {
-      running = false;
+      processingOutput = false;
     }
   }
 
-  private void carryOut(Ready ready, MonotonicTime now) {
+  private void processOutput(Ready ready, MonotonicTime now) {
     ready.messages().forEach(effects::send);
     if (ready.installedSnapshot() != null) {
-      install(ready.installedSnapshot(), now);
+      installSnapshot(ready.installedSnapshot(), now);
     }
     boolean changed = false;
     for (LogEntry entry : ready.committedEntries()) {
@@ -227,26 +226,26 @@
     }
   }
 
-  private void install(Snapshot snapshot, MonotonicTime now) {
+  private void installSnapshot(Snapshot snapshot, MonotonicTime now) {
     try {
       restore(snapshot, now);
     } catch (InvalidMessageException exception) {
-      throw failOnUnreadable("the snapshot up to entry " + snapshot.index(), exception);
+      throw failOnUnreadable("snapshot up to entry " + snapshot.index(), exception);
     }
     effects.onStoreReplaced();
   }
 
   /**
-   * Stops this member as if its process had ended: it neither votes nor acknowledges, and the
-   * others continue without it.
+   * Stops this member as if its process had exited: it no longer votes or acknowledges entries, and
+   * the other members continue without it.
    */
-  private UnreadableStateException failOnUnreadable(String what, InvalidMessageException cause) {
+  private UnreadableStateException failOnUnreadable(String element, InvalidMessageException cause) {
     failed = true;
     core.setDown(true, MonotonicTime.LONG_AGO);
-    return new UnreadableStateException(what, cause);
+    return new UnreadableStateException(element, cause);
   }
 
-  /** Applies an entry; returns whether contents changed. */
+  /** Applies an entry and returns whether the contents changed. */
   private boolean apply(LogEntry entry, MonotonicTime now) {
     lastApplied = entry.index();
     if (entry.data() == null) {
@@ -267,7 +266,7 @@
     return true;
   }
 
-  /** Begins or ends serving requests, following the role. */
+  /** Starts or stops serving requests according to the Raft role. */
   private void updateServing(MonotonicTime now) {
     if (isServing() && (raft.role() != RaftNode.Role.LEADER || raft.term() != servingTerm)) {
       servingTerm = 0;
@@ -289,19 +288,19 @@
   }
 
   /**
-   * Takes the next part of a snapshot if one is due or being taken.
+   * Writes the next part of a snapshot if one is due or in progress.
    *
-   * @param keys the most keys of the part
+   * @param maxKeys the maximum number of keys in the part
    * @return whether more parts follow
    */
-  boolean writeSnapshotPart(int keys, MonotonicTime now) {
+  boolean writeSnapshotPart(int maxKeys, MonotonicTime now) {
     if (snapshots.isDue() && core.isIdle()) {
       snapshots.begin(core.store(), lastApplied);
     }
     if (!snapshots.isActive()) {
       return false;
     }
-    if (snapshots.encodeNext(keys)) {
+    if (snapshots.encodeNext(maxKeys)) {
       return true;
     }
     raft.compact(snapshots.index(), snapshots.data());
--- a/src/main/java/io/saltflow/kvserver/StandaloneServer.java
+++ b/src/main/java/io/saltflow/kvserver/StandaloneServer.java
@@ -16,9 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The key-value store on a single node: the core and a write-ahead log with group commit. While one
- * group is being synced the next accumulates; the parts of a snapshot are written between groups.
- * Everything but the writes to disk runs on the loop's thread.
+ * The key-value store on a single node, with a write-ahead log and group commit. While one group is
+ * being synced the next one accumulates; snapshot parts are written between groups. Everything
+ * except disk writes runs on the event loop's thread.
  */
 public final class StandaloneServer extends Routine {
   private static final Logger LOG = LoggerFactory.getLogger(StandaloneServer.class);
@@ -28,13 +28,13 @@
   private static final TimeSpan CHECK_INTERVAL = TimeSpan.millis(200);
   private static final TimeSpan RETRY_DELAY = TimeSpan.millis(500);
 
-  /** A write that takes longer stalls writes: changes are rejected at once. */
+  /** Duration of a disk write after which further changes are rejected immediately. */
   private static final TimeSpan WRITE_STALL_THRESHOLD = TimeSpan.seconds(1);
 
   /**
-   * The settings of a server.
+   * Server settings.
    *
-   * @param snapshotBytes how many bytes of log make a snapshot due
+   * @param snapshotBytes number of bytes of log records after which a snapshot is due
    */
   public record Options(KeyValueLimits limits, long snapshotBytes) {}
 
@@ -56,9 +56,9 @@
   /**
    * Recovers the store from its data directory.
    *
-   * @param directory the data directory, or null to keep contents in memory only
-   * @param storeId random; the two halves of the identity of a log that is created now
-   * @throws IOException when the contents can't be recovered
+   * @param directory the data directory, or {@code null} to keep the contents in memory only
+   * @param storeId two random halves of the store's identity, used if a log is created
+   * @throws IOException if the contents cannot be recovered
    */
   public StandaloneServer(
       Routine parent, EventLoop loop, Options options, StorageDirectory directory, long[] storeId)
@@ -91,7 +91,7 @@
     }
   }
 
-  /** Returns the handler of requests. */
+  /** Returns the HTTP request handler. */
   public KeyValueServer server() {
     return server;
   }
@@ -171,7 +171,7 @@
     }
   }
 
-  /** Detects a stalled sync, and writes a durability mark or begins a snapshot when one is due. */
+  /** Detects a stalled sync, and writes a durability mark or starts a snapshot when due. */
   private void checkPeriodically() {
     if (writeStartedAt != null
         && loop.now().since(writeStartedAt).longerThan(WRITE_STALL_THRESHOLD)) {
@@ -196,7 +196,7 @@
     }
   }
 
-  /** Begins a snapshot. No write is under way, so the store and the log match. */
+  /** Starts a snapshot. No write is in progress, so the store and the log match. */
   private void beginSnapshot() {
     bytesWrittenAtSnapshot = log.bytesWritten();
     contents = core.store().snapshot();
@@ -205,30 +205,30 @@
   }
 
   private void writeSnapshotPart() {
-    KeyValueStore.SnapshotIterator partContents = contents;
-    List<WriteBatch> batches = partContents.next(KEYS_PER_PART);
-    WriteAheadLog.SnapshotWriter partSnapshot = snapshot;
-    boolean last = batches.isEmpty();
-    if (last) {
+    KeyValueStore.SnapshotIterator iterator = contents;
+    List<WriteBatch> batches = iterator.next(KEYS_PER_PART);
+    WriteAheadLog.SnapshotWriter snapshotWriter = snapshot;
+    boolean isLast = batches.isEmpty();
+    if (isLast) {
       contents = null;
       snapshot = null;
     }
     writer.run(
         () -> {
-          if (last) {
-            partSnapshot.finish();
+          if (isLast) {
+            snapshotWriter.finish();
           } else {
-            partSnapshot.append(batches.stream().map(WriteBatch::encode).toList());
+            snapshotWriter.append(batches.stream().map(WriteBatch::encode).toList());
           }
         },
         failure -> {
           if (failure != null) {
-            // Nothing is lost: the log still holds everything.
+            // No data is lost, because the log still holds all entries.
             LOG.error("snapshot could not be written: {}", failure.getMessage());
-            partContents.close();
+            iterator.close();
             contents = null;
             snapshot = null;
-          } else if (last) {
+          } else if (isLast) {
             LOG.info("snapshot written, {} keys", core.store().size());
           }
           writeNext();
--- a/src/main/java/io/saltflow/kvserver/StateMachineCodec.java
+++ b/src/main/java/io/saltflow/kvserver/StateMachineCodec.java
@@ -11,15 +11,15 @@
 import java.util.List;
 
 /**
- * Encodes write batches as a command of the Raft log, and a store's contents as a Raft snapshot, in
- * Avro's binary encoding.
+ * Encodes write batches as a Raft log command, and a store's contents as a Raft snapshot, in Avro's
+ * binary encoding.
  */
 final class StateMachineCodec {
   private static final int MAX_BATCHES = 1 << 20;
 
   private StateMachineCodec() {}
 
-  /** Encodes a command: an array of write batches. */
+  /** Encodes write batches as a command, which is an Avro array. */
   static byte[] encodeCommand(List<WriteBatch> batches) {
     return AvroOutput.encode(
         out -> {
@@ -49,7 +49,7 @@
       }
     }
     if (!in.atEnd()) {
-      throw new InvalidMessageException("an entry with bytes behind its steps");
+      throw new InvalidMessageException("trailing bytes after the write batches of a log entry");
     }
     return batches;
   }
@@ -72,7 +72,7 @@
   }
 
   /**
-   * Restores an empty store from a snapshot; an empty snapshot leaves it empty.
+   * Restores an empty store from a snapshot. An empty snapshot leaves the store empty.
    *
    * @throws InvalidMessageException when it is malformed
    */
--- a/src/main/java/io/saltflow/kvserver/StoreMaintenance.java
+++ b/src/main/java/io/saltflow/kvserver/StoreMaintenance.java
@@ -20,19 +20,19 @@
 import java.util.Map;
 
 /**
- * Maintenance of a data directory: check, dump, snapshot, restore and repair. Only check, dump and
- * snapshot may run while a server uses the directory.
+ * Offline maintenance of a data directory: check, dump, snapshot, restore and repair. Only check,
+ * dump and snapshot may run while a server uses the directory.
  */
 public final class StoreMaintenance {
   private static final long MAX_SEGMENT_BYTES = 16 << 20;
   private static final int KEYS_PER_PART = 500;
   private static final MonotonicTime EPOCH = new MonotonicTime(0);
 
-  private final Path folder;
+  private final Path dataDirectory;
 
-  /** Works on a data directory, which is not opened yet. */
-  public StoreMaintenance(Path folder) {
-    this.folder = folder;
+  /** Creates maintenance operations for a data directory, which is not opened yet. */
+  public StoreMaintenance(Path dataDirectory) {
+    this.dataDirectory = dataDirectory;
   }
 
   private interface BatchConsumer {
@@ -58,9 +58,9 @@
     return new OpenedStore(store, log);
   }
 
-  /** Reads everything, changes nothing, and prints a summary. */
+  /** Reads the whole store without changing it, and prints a summary. */
   public void check(PrintStream out) throws IOException {
-    try (FileSystemDirectory directory = FileSystemDirectory.openReadOnly(folder)) {
+    try (FileSystemDirectory directory = FileSystemDirectory.openReadOnly(dataDirectory)) {
       OpenedStore opened = openReadOnly(directory);
       opened.log.recoveryNotes().forEach(out::println);
       out.println(
@@ -73,10 +73,10 @@
     }
   }
 
-  /** Prints all keys, a line of JSON each. */
+  /** Prints each key with its value as a line of JSON. */
   public void dump(PrintStream out) throws IOException {
     ObjectMapper json = new ObjectMapper();
-    try (FileSystemDirectory directory = FileSystemDirectory.openReadOnly(folder)) {
+    try (FileSystemDirectory directory = FileSystemDirectory.openReadOnly(dataDirectory)) {
       KeyValueStore.SnapshotIterator snapshot = openReadOnly(directory).store.snapshot();
       forEachPart(
           snapshot,
@@ -97,9 +97,9 @@
     }
   }
 
-  /** Truncates the log before what is corrupt, which is kept in files of its own. */
+  /** Truncates the log before the corruption. The removed data is kept in separate files. */
   public void repair(PrintStream out) throws IOException {
-    try (FileSystemDirectory directory = FileSystemDirectory.open(folder)) {
+    try (FileSystemDirectory directory = FileSystemDirectory.open(dataDirectory)) {
       for (int i = 0; i < 100; i++) {
         try {
           openReadOnly(directory);
@@ -110,7 +110,7 @@
           WriteAheadLogRepair.repair(directory, corruption).forEach(out::println);
         }
       }
-      throw new IOException(folder + ": could not be repaired");
+      throw new IOException(dataDirectory + ": log is still corrupt after 100 repairs");
     }
   }
 
@@ -118,9 +118,9 @@
   public void snapshot(Path file, PrintStream out) throws IOException {
     Path target = file.toAbsolutePath();
     if (Files.exists(target)) {
-      throw new IOException(file + ": is there already");
+      throw new IOException(file + ": file already exists");
     }
-    try (FileSystemDirectory directory = FileSystemDirectory.openReadOnly(folder);
+    try (FileSystemDirectory directory = FileSystemDirectory.openReadOnly(dataDirectory);
         FileSystemDirectory backupDirectory =
             FileSystemDirectory.openReadOnly(target.getParent())) {
       OpenedStore opened = openReadOnly(directory);
@@ -139,16 +139,16 @@
   /**
    * Creates a store with the contents of a backup file in an empty directory.
    *
-   * @param storeId random; the two halves of the new store's identity
+   * @param storeId two random halves of the new store's identity
    */
   public void restore(Path file, long[] storeId, PrintStream out) throws IOException {
     Path source = file.toAbsolutePath();
     KeyValueStore store = new KeyValueStore();
     try (FileSystemDirectory backupDirectory =
             FileSystemDirectory.openReadOnly(source.getParent());
-        FileSystemDirectory directory = FileSystemDirectory.open(folder)) {
+        FileSystemDirectory directory = FileSystemDirectory.open(dataDirectory)) {
       if (directory.fileNames().stream().anyMatch(name -> !name.equals("lock"))) {
-        throw new IOException(folder + ": is not empty");
+        throw new IOException(dataDirectory + ": directory is not empty");
       }
       long[] revision = new long[1];
       BackupFile.read(
@@ -160,9 +160,10 @@
             store.apply(batch, EPOCH);
           });
       store.onRestored(revision[0]);
-      // Revisions continue, so that watches of the earlier store are told to read again.
+      // Revisions continue from the backup, so that watches of the earlier store are told to
+      // reread.
       write(directory, storeId, store);
-      out.println(store.size() + " keys of revision " + revision[0] + " are in " + folder);
+      out.println(store.size() + " keys of revision " + revision[0] + " are in " + dataDirectory);
     }
   }
 
--- a/src/main/java/io/saltflow/kvserver/StoreRecovery.java
+++ b/src/main/java/io/saltflow/kvserver/StoreRecovery.java
@@ -22,10 +22,10 @@
   /**
    * Opens a log and replays it.
    *
-   * @param maxSegmentBytes the size after which the log begins another segment
-   * @param storeId the two halves of the identity of a log that is created now
+   * @param maxSegmentBytes segment size in bytes after which the log starts another segment
+   * @param storeId the two halves of the store's identity, used if a log is created
    * @param store the empty store to fill
-   * @throws IOException when the log can't be read
+   * @throws IOException if the log cannot be read
    */
   static WriteAheadLog open(
       StorageDirectory directory,
@@ -38,19 +38,20 @@
     return WriteAheadLog.open(directory, maxSegmentBytes, storeId[0], storeId[1], recovery);
   }
 
-  /** Decodes a record of the log or of a backup. */
+  /** Decodes a write batch of a log or of a backup. */
   static WriteBatch decode(byte[] bytes) throws IOException {
     try {
       return WriteBatch.decode(bytes);
     } catch (InvalidMessageException exception) {
-      throw new IOException("a record of another version: " + exception.getMessage(), exception);
+      throw new IOException(
+          "record was written by an incompatible version: " + exception.getMessage(), exception);
     }
   }
 
   @Override
   public void onSnapshotPart(byte[] part) throws IOException {
     WriteBatch batch = decode(part);
-    // Keys are in the order of their names, each with the revision of its own last change.
+    // Keys are sorted by name, so their revisions are in no particular order.
     revision = Math.max(revision, batch.revision());
     store.apply(batch, now);
   }
--- a/src/main/java/io/saltflow/kvserver/StoreSnapshotTaker.java
+++ b/src/main/java/io/saltflow/kvserver/StoreSnapshotTaker.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Takes a snapshot of the store for the Raft log, a part at a time, so that requests are served in
- * between.
+ * Takes a snapshot of the store for the Raft log one part at a time, so that requests can be served
+ * between parts.
  */
 final class StoreSnapshotTaker {
   private final long thresholdBytes;
@@ -16,15 +16,15 @@
   private long bytesSinceSnapshot;
 
   /**
-   * Creates a taker.
+   * Creates a taker without a snapshot in progress.
    *
-   * @param thresholdBytes how many bytes of applied log entries make a snapshot due
+   * @param thresholdBytes number of bytes of applied log entries after which a snapshot is due
    */
   StoreSnapshotTaker(long thresholdBytes) {
     this.thresholdBytes = thresholdBytes;
   }
 
-  /** Gives up a snapshot that is being taken, as the store was replaced. */
+  /** Abandons a snapshot in progress after the store was replaced. */
   void reset() {
     bytesSinceSnapshot = 0;
     contents = null;
@@ -35,12 +35,12 @@
     bytesSinceSnapshot += bytes;
   }
 
-  /** Returns whether a snapshot should be begun. */
+  /** Returns whether a snapshot should be started. */
   boolean isDue() {
     return contents == null && bytesSinceSnapshot > thresholdBytes;
   }
 
-  /** Begins a snapshot of a store that has applied the log up to an index. */
+  /** Starts a snapshot of a store that has applied the log up to an index. */
   void begin(KeyValueStore store, long lastApplied) {
     contents = store.snapshot();
     encoder = new StateMachineCodec.SnapshotEncoder(contents.revision());
@@ -48,12 +48,12 @@
     bytesSinceSnapshot = 0;
   }
 
-  /** Returns whether a snapshot is being taken. */
+  /** Returns whether a snapshot is in progress. */
   boolean isActive() {
     return contents != null;
   }
 
-  /** Encodes the next keys; returns false when the snapshot is complete. */
+  /** Encodes the next keys. Returns {@code false} once the snapshot is complete. */
   boolean encodeNext(int maxKeys) {
     List<WriteBatch> batches = contents.next(maxKeys);
     if (batches.isEmpty()) {
@@ -64,12 +64,12 @@
     return true;
   }
 
-  /** Returns the last log entry that the completed snapshot includes. */
+  /** Returns the index of the last log entry that the completed snapshot includes. */
   long index() {
     return index;
   }
 
-  /** Returns the completed snapshot. */
+  /** Returns the encoded snapshot once it is complete. */
   byte[] data() {
     return encoder.data();
   }
--- a/src/main/java/io/saltflow/kvserver/UnreadableStateException.java
+++ b/src/main/java/io/saltflow/kvserver/UnreadableStateException.java
@@ -1,13 +1,13 @@
 package io.saltflow.kvserver;
 
 /**
- * Signals that a committed log entry or an installed snapshot can't be decoded. The member that
- * throws it takes no further part in the group: skipping the entry would make its contents differ.
+ * Signals that a committed log entry or an installed snapshot cannot be decoded. The member stops
+ * participating in the group, because its contents would diverge if it skipped the entry.
  */
 final class UnreadableStateException extends IllegalStateException {
   private static final long serialVersionUID = 1L;
 
-  UnreadableStateException(String what, Throwable cause) {
-    super(what + " can't be read; this node takes no part now", cause);
+  UnreadableStateException(String element, Throwable cause) {
+    super(element + " cannot be decoded; this node stops participating in the group", cause);
   }
 }
--- a/src/test/java/io/saltflow/kvserver/GroupStorageForms.java
+++ b/src/test/java/io/saltflow/kvserver/GroupStorageForms.java
@@ -10,11 +10,11 @@
 import io.saltflow.protocol.MessageBody;
 import java.util.List;
 
-/** A batch of transactions as an entry of the replicated log, and the store as its snapshot. */
+/** Stored forms of a replicated log entry with write batches and of a snapshot of the store. */
 public final class GroupStorageForms {
   private static final MonotonicTime NOW = new MonotonicTime(0);
   private static final int KEYS_PER_PART = 2;
-  private static final List<WriteBatch> STEPS =
+  private static final List<WriteBatch> BATCHES =
       List.of(
           new WriteBatch(2, List.of(new Mutation.GrantLease(1, TimeSpan.seconds(5)))),
           new WriteBatch(
@@ -27,32 +27,32 @@
 
   private GroupStorageForms() {}
 
-  /** Both forms. */
+  /** Returns the log entry and the snapshot. */
   public static List<StoredForm> all() {
     KeyValueStore store = new KeyValueStore();
-    STEPS.forEach(step -> store.apply(step, NOW));
+    BATCHES.forEach(batch -> store.apply(batch, NOW));
     return List.of(
         StoredForm.current(
             "group log entry of transactions",
-            StateMachineCodec.encodeCommand(STEPS),
-            b -> StateMachineCodec.encodeCommand(StateMachineCodec.decodeCommand(b))),
+            StateMachineCodec.encodeCommand(BATCHES),
+            bytes -> StateMachineCodec.encodeCommand(StateMachineCodec.decodeCommand(bytes))),
         StoredForm.current(
-            "group snapshot of the store", snapshot(store), GroupStorageForms::readAndSnapshot));
+            "group snapshot of the store", snapshot(store), GroupStorageForms::restoreAndSnapshot));
   }
 
   private static byte[] snapshot(KeyValueStore store) {
-    KeyValueStore.SnapshotIterator copy = store.snapshot();
-    StateMachineCodec.SnapshotEncoder writer =
-        new StateMachineCodec.SnapshotEncoder(copy.revision());
-    for (List<WriteBatch> part = copy.next(KEYS_PER_PART);
+    KeyValueStore.SnapshotIterator contents = store.snapshot();
+    StateMachineCodec.SnapshotEncoder encoder =
+        new StateMachineCodec.SnapshotEncoder(contents.revision());
+    for (List<WriteBatch> part = contents.next(KEYS_PER_PART);
         !part.isEmpty();
-        part = copy.next(KEYS_PER_PART)) {
-      part.forEach(writer::add);
+        part = contents.next(KEYS_PER_PART)) {
+      part.forEach(encoder::add);
     }
-    return writer.data();
+    return encoder.data();
   }
 
-  private static byte[] readAndSnapshot(byte[] bytes) throws InvalidMessageException {
+  private static byte[] restoreAndSnapshot(byte[] bytes) throws InvalidMessageException {
     KeyValueStore store = new KeyValueStore();
     StateMachineCodec.restore(bytes, store, NOW);
     return snapshot(store);
--- a/src/test/java/io/saltflow/kvserver/RaftStorageTest.java
+++ b/src/test/java/io/saltflow/kvserver/RaftStorageTest.java
@@ -16,13 +16,13 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** A member recovers what it saved, whichever operation of its disk a crash interrupts. */
+/** Tests that saved Raft state is recovered after a crash during any disk operation. */
 class RaftStorageTest {
   private static final List<String> GROUP = List.of("a", "b", "c");
   private static final int SAVES = 25;
   private static final int CRASHES_PER_OPERATION = 3;
 
-  /** Describes a state completely. */
+  /** Returns a textual form of all fields of a state. */
   private static String describe(DurableState state) {
     StringBuilder out = new StringBuilder();
     Snapshot snapshot = state.snapshot();
@@ -47,7 +47,7 @@
     return new String(data, StandardCharsets.US_ASCII);
   }
 
-  /** A random sequence of saves: entries are appended, replaced by a later leader's, compacted. */
+  /** A random sequence of saves that append, overwrite and compact entries. */
   private static final class SaveWorkload {
     final SplittableRandom random = new SplittableRandom(5);
     final List<String> states = new ArrayList<>();
@@ -60,47 +60,47 @@
     }
 
     Ready.Save next() {
-      long last = snapshot.index() + log.size();
-      long from = last + 1;
+      long lastIndex = snapshot.index() + log.size();
+      long from = lastIndex + 1;
       if (random.nextInt(4) == 0) {
         term++;
-        // A later leader has other entries.
+        // The leader of a later term overwrites uncommitted entries.
         from -= random.nextInt(log.size() + 1);
         log.subList((int) (from - snapshot.index() - 1), log.size()).clear();
       }
-      List<LogEntry> some = new ArrayList<>();
+      List<LogEntry> entries = new ArrayList<>();
       for (int i = random.nextInt(4); i > 0; i--) {
-        long index = from + some.size();
-        some.add(
+        long index = from + entries.size();
+        entries.add(
             switch (random.nextInt(5)) {
               case 0 -> new LogEntry(index, term, null, null);
               case 1 -> new LogEntry(index, term, List.of("a", "b", "c", "d"), null);
-              default -> new LogEntry(index, term, null, ("e" + index).repeat(9).getBytes(US));
+              default -> new LogEntry(index, term, null, ("e" + index).repeat(9).getBytes(ASCII));
             });
       }
-      log.addAll(some);
+      log.addAll(entries);
       if (random.nextInt(6) == 0 && !log.isEmpty()) {
         int count = 1 + random.nextInt(log.size());
-        LogEntry upTo = log.get(count - 1);
-        byte[] bytes = "s".repeat(random.nextInt(200_000)).getBytes(US);
-        snapshot = new Snapshot(upTo.index(), upTo.term(), GROUP, bytes);
+        LogEntry lastIncluded = log.get(count - 1);
+        byte[] bytes = "s".repeat(random.nextInt(200_000)).getBytes(ASCII);
+        snapshot = new Snapshot(lastIncluded.index(), lastIncluded.term(), GROUP, bytes);
         log.subList(0, count).clear();
         from = Math.max(from, snapshot.index() + 1);
-        some = List.copyOf(log.subList((int) (from - snapshot.index() - 1), log.size()));
+        entries = List.copyOf(log.subList((int) (from - snapshot.index() - 1), log.size()));
       }
       String vote = random.nextBoolean() ? "b" : null;
       states.add(describe(new DurableState(term, vote, snapshot, List.copyOf(log))));
-      return new Ready.Save(term, vote, snapshot, from, some);
+      return new Ready.Save(term, vote, snapshot, from, entries);
     }
   }
 
-  private static final java.nio.charset.Charset US = StandardCharsets.US_ASCII;
+  private static final java.nio.charset.Charset ASCII = StandardCharsets.US_ASCII;
 
   private static String recoveredState(SimulatedDirectory directory) throws IOException {
     return describe(RaftStorage.open(directory, GROUP, new long[] {3, 4}).state());
   }
 
-  /** Returns how many saves completed before the crash, or all. */
+  /** Runs all saves and returns how many completed before the crash, if any. */
   private static int run(SimulatedDirectory directory, SaveWorkload workload) throws IOException {
     int acknowledged = 0;
     try {
@@ -116,33 +116,32 @@
   }
 
   @Test
-  void savedStateSurvivesACrashAtEveryOperation() throws IOException {
-    SimulatedDirectory whole = new SimulatedDirectory();
-    SaveWorkload undisturbed = new SaveWorkload();
-    assertEquals(SAVES, run(whole, undisturbed));
-    assertEquals(undisturbed.states.get(SAVES), recoveredState(whole));
-    int underWay = 0;
-    for (int at = 0; at < whole.operations; at++) {
+  void savedStateSurvivesCrashAtEveryOperation() throws IOException {
+    SimulatedDirectory uninterrupted = new SimulatedDirectory();
+    SaveWorkload uninterruptedWorkload = new SaveWorkload();
+    assertEquals(SAVES, run(uninterrupted, uninterruptedWorkload));
+    assertEquals(uninterruptedWorkload.states.get(SAVES), recoveredState(uninterrupted));
+    int unacknowledgedSaves = 0;
+    for (int operation = 0; operation < uninterrupted.operations; operation++) {
       for (int seed = 0; seed < CRASHES_PER_OPERATION; seed++) {
         SimulatedDirectory directory = new SimulatedDirectory();
-        directory.crashAfter = at;
+        directory.crashAfter = operation;
         SaveWorkload workload = new SaveWorkload();
         int acknowledged = run(directory, workload);
-        String then = recoveredState(directory.afterCrash(at * 31L + seed));
-        boolean next =
+        String recovered = recoveredState(directory.afterCrash(operation * 31L + seed));
+        boolean includesNextSave =
             acknowledged + 1 < workload.states.size()
-                && then.equals(workload.states.get(acknowledged + 1));
-        underWay += next ? 1 : 0;
+                && recovered.equals(workload.states.get(acknowledged + 1));
+        unacknowledgedSaves += includesNextSave ? 1 : 0;
         assertTrue(
-            next || then.equals(workload.states.get(acknowledged)), "crash at operation " + at);
+            includesNextSave || recovered.equals(workload.states.get(acknowledged)),
+            "crash at operation " + operation);
       }
     }
-    assertTrue(underWay > 0, "a save that was not answered may be there, whole");
+    assertTrue(unacknowledgedSaves > 0, "no crash left a complete but unacknowledged save");
   }
 
-  /**
-   * A full disk rejects a save, and takes it when there is space; nothing is left of the attempt.
-   */
+  /** Guards against remains of a save that failed on a full disk. */
   @Test
   void rejectedSaveCanBeRetried() throws IOException {
     SimulatedDirectory directory = new SimulatedDirectory();
--- a/src/test/java/io/saltflow/kvserver/ReplicatedServerTest.java
+++ b/src/test/java/io/saltflow/kvserver/ReplicatedServerTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A group of three members on loopback, each with its directory and ports, on one event loop. */
+/** Tests a group of three members on loopback that share an event loop. */
 class ReplicatedServerTest {
   private static final KeyValueLimits LIMITS = new KeyValueLimits(100_000, 100_000, 8, 8);
 
@@ -56,17 +56,17 @@
   }
 
   @BeforeEach
-  void start() throws IOException {
+  void startAll() throws IOException {
     for (int i = 0; i < 3; i++) {
       addresses.put(
           "n" + i, new ReplicatedServer.NodeAddresses(FreePorts.address(), FreePorts.address()));
     }
     for (String name : addresses.keySet()) {
-      begin(name, "the group's secret");
+      startNode(name, "the group's secret");
     }
   }
 
-  private void begin(String name, String secret) throws IOException {
+  private void startNode(String name, String secret) throws IOException {
     Node node = new Node();
     SplitMix64 random = new SplitMix64(name.hashCode());
     node.server =
@@ -88,20 +88,20 @@
   }
 
   @AfterEach
-  void end() {
+  void stopAll() {
     nodes.values().forEach(node -> node.root.cancel());
     root.cancel();
   }
 
-  private void runUntil(BooleanSupplier reached) throws IOException {
-    for (int i = 0; i < 3000 && !reached.getAsBoolean(); i++) {
+  private void runUntil(BooleanSupplier condition) throws IOException {
+    for (int i = 0; i < 3000 && !condition.getAsBoolean(); i++) {
       loop.schedule(TimeSpan.millis(10), root, loop::pause);
       loop.run();
     }
-    assertTrue(reached.getAsBoolean());
+    assertTrue(condition.getAsBoolean());
   }
 
-  /** Returns the member that serves, once all others know it. */
+  /** Waits until exactly one member serves and all members know a leader, and returns it. */
   private String leader() throws IOException {
     runUntil(
         () ->
@@ -112,10 +112,10 @@
         return node.getKey();
       }
     }
-    throw new IOException("nobody serves");
+    throw new IOException("no member is serving");
   }
 
-  private String ask(String node, String method, String target, MessageBody body)
+  private String request(String node, String method, String target, MessageBody body)
       throws IOException {
     HttpResponse[] reply = new HttpResponse[1];
     nodes
@@ -134,67 +134,68 @@
     return nodes.keySet().stream().filter(node -> !node.equals(leader)).findFirst().orElseThrow();
   }
 
-  /** Every member replies word for word like a standalone server. */
   @Test
-  void groupRepliesLikeAStandaloneServer() throws IOException {
-    String asked = follower(leader());
+  void groupRepliesMatchStandaloneServer() throws IOException {
+    String follower = follower(leader());
     GoldenTraces.check(
         "state-service",
         StandaloneServerTest.conversation(
-            (method, target, body) -> ask(asked, method, target, body)));
+            (method, target, body) -> request(follower, method, target, body)));
   }
 
   /**
-   * Acknowledged writes survive a failover, a restart, and a snapshot that a member lacks; a lease
-   * continues with its full time.
+   * Guards against writes and leases lost across failovers, restarts and the installation of a
+   * snapshot.
    */
   @Test
   void acknowledgedWritesSurviveFailovers() throws IOException {
     String first = leader();
     assertEquals(
-        "200 {tenancy=1}", ask(first, "POST", "/leases", MessageBody.of().with("ttlMs", 60_000L)));
-    MessageBody led = put("led", 1L).with("tenancy", 1L);
-    assertEquals("200 {epoch=2}", ask(first, "POST", "/multi", transaction(List.of(), led)));
+        "200 {tenancy=1}",
+        request(first, "POST", "/leases", MessageBody.of().with("ttlMs", 60_000L)));
+    MessageBody leasedPut = put("led", 1L).with("tenancy", 1L);
+    assertEquals(
+        "200 {epoch=2}", request(first, "POST", "/multi", transaction(List.of(), leasedPut)));
     nodes.remove(first).root.cancel();
 
     String second = leader();
     assertNotEquals(first, second);
     for (int i = 0; i < 60; i++) {
-      // More than a snapshot is taken after, so that the one that is gone can't be sent entries.
+      // Exceeds the snapshot threshold, so that the stopped member must be sent a snapshot.
       MessageBody transaction = transaction(List.of(), put("k" + i, "x".repeat(900)));
-      assertEquals("200 {epoch=" + (i + 3) + "}", ask(second, "POST", "/multi", transaction));
+      assertEquals("200 {epoch=" + (i + 3) + "}", request(second, "POST", "/multi", transaction));
     }
-    begin(first, "the group's secret");
+    startNode(first, "the group's secret");
     runUntil(() -> nodes.get(first).server.hasLeader());
     assertEquals(
-        "200 {path=led, data={x=1}, stamp=2, tenancy=1}", ask(first, "GET", "/kv/led", null));
+        "200 {path=led, data={x=1}, stamp=2, tenancy=1}", request(first, "GET", "/kv/led", null));
     nodes.remove(second).root.cancel();
 
     String third = leader();
-    assertEquals("200 {tenancy=1}", ask(third, "POST", "/leases/1/extend", null));
-    assertTrue(ask(first, "GET", "/kv/k59", null).startsWith("200"));
+    assertEquals("200 {tenancy=1}", request(third, "POST", "/leases/1/extend", null));
+    assertTrue(request(first, "GET", "/kv/k59", null).startsWith("200"));
     assertEquals(
-        "200 {epoch=63}", ask(first, "POST", "/multi", transaction(List.of(), put("n", 1L))));
-    begin(second, "the group's secret");
+        "200 {epoch=63}", request(first, "POST", "/multi", transaction(List.of(), put("n", 1L))));
+    startNode(second, "the group's secret");
     runUntil(() -> nodes.get(second).server.hasLeader());
-    assertTrue(ask(second, "GET", "/kv/n", null).startsWith("200"));
+    assertTrue(request(second, "GET", "/kv/n", null).startsWith("200"));
   }
 
-  /** A minority neither replies nor accepts writes, also beside a node with another key. */
+  /** A node with a different key must not help a minority to reach a quorum. */
   @Test
-  void minorityServesNobody() throws IOException {
+  void minorityRejectsRequests() throws IOException {
     String leader = leader();
-    List<String> gone = nodes.keySet().stream().filter(node -> !node.equals(leader)).toList();
-    for (String name : gone) {
+    List<String> stopped = nodes.keySet().stream().filter(node -> !node.equals(leader)).toList();
+    for (String name : stopped) {
       nodes.remove(name).root.cancel();
     }
-    Node alone = nodes.get(leader);
-    runUntil(() -> !alone.server.isServing());
-    begin(gone.get(0), "another group's secret");
+    Node remaining = nodes.get(leader);
+    runUntil(() -> !remaining.server.isServing());
+    startNode(stopped.get(0), "another group's secret");
     loop.schedule(TimeSpan.seconds(3), root, loop::pause);
     loop.run();
-    assertTrue(!alone.server.isServing() && !nodes.get(gone.get(0)).server.isServing());
-    assertEquals("503", ask(leader, "GET", "/kv/a", null));
-    assertEquals("503", ask(leader, "POST", "/multi", transaction(List.of(), put("a", 1L))));
+    assertTrue(!remaining.server.isServing() && !nodes.get(stopped.get(0)).server.isServing());
+    assertEquals("503", request(leader, "GET", "/kv/a", null));
+    assertEquals("503", request(leader, "POST", "/multi", transaction(List.of(), put("a", 1L))));
   }
 }
--- a/src/test/java/io/saltflow/kvserver/ReplicatedStoreTest.java
+++ b/src/test/java/io/saltflow/kvserver/ReplicatedStoreTest.java
@@ -20,7 +20,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A group of one whose saves complete at once. */
+/** Tests the replicated store in a group with a single member. */
 class ReplicatedStoreTest {
   private final List<String> events = new ArrayList<>();
   private ReplicatedStore store;
@@ -47,8 +47,8 @@
           public void onStoreReplaced() {}
 
           @Override
-          public void onServingChanged(boolean is) {
-            events.add(is ? "serves" : "does not");
+          public void onServingChanged(boolean isServing) {
+            events.add(isServing ? "serving" : "not serving");
           }
 
           @Override
@@ -59,7 +59,7 @@
   }
 
   /** Elects the node and completes its saves. */
-  private void lead() {
+  private void becomeLeader() {
     store.tick(new MonotonicTime(5000));
     while (pendingSave != null) {
       pendingSave = null;
@@ -68,29 +68,30 @@
   }
 
   /**
-   * A committed entry can't be decoded. If the node continued, its contents would silently differ
-   * from the others'.
+   * Guards against contents that silently diverge after a committed entry that cannot be decoded.
    */
   @Test
-  void nodeStopsAtAnUnreadableEntry() throws InvalidMessageException {
+  void nodeStopsAtUndecodableEntry() throws InvalidMessageException {
     store = store(List.of(new LogEntry(1, 1, null, new byte[] {9, 9, 9})));
-    UnreadableStateException exception = assertThrows(UnreadableStateException.class, this::lead);
-    assertTrue(exception.getMessage().startsWith("entry 1 can't be read"), exception.getMessage());
+    UnreadableStateException exception =
+        assertThrows(UnreadableStateException.class, this::becomeLeader);
+    assertTrue(
+        exception.getMessage().startsWith("entry 1 cannot be decoded"), exception.getMessage());
     assertFalse(store.isServing());
     store.tick(new MonotonicTime(9000));
     store.receive(
         new RaftMessage.RequestVote("b", "a", 9, 9, 9, false, true), new MonotonicTime(9000));
     store.runAsLeader(
-        () -> events.add("answered"), () -> events.add("refused"), new MonotonicTime(9000));
-    assertEquals(List.of("refused"), events);
+        () -> events.add("accepted"), () -> events.add("rejected"), new MonotonicTime(9000));
+    assertEquals(List.of("rejected"), events);
   }
 
   @Test
-  void groupOfOneServes() throws InvalidMessageException {
+  void singleMemberServesRequests() throws InvalidMessageException {
     store = store(List.of());
-    lead();
+    becomeLeader();
     store.runAsLeader(
-        () -> events.add("answered"), () -> events.add("refused"), new MonotonicTime(5001));
-    assertEquals(List.of("serves", "answered"), events);
+        () -> events.add("accepted"), () -> events.add("rejected"), new MonotonicTime(5001));
+    assertEquals(List.of("serving", "accepted"), events);
   }
 }
--- a/src/test/java/io/saltflow/kvserver/StandaloneServerBenchmark.java
+++ b/src/test/java/io/saltflow/kvserver/StandaloneServerBenchmark.java
@@ -14,9 +14,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures a standalone server without a network: transactions of one put at several concurrencies,
- * compared with plain writes and syncs of the same bytes and with a server in memory; and how long
- * recovery takes for many keys. Run by hand: {@code docs/PERFORMANCE.md} says how.
+ * Measures a standalone server without a network: the throughput and latency of single-put
+ * transactions at several concurrency levels, compared with plain file syncs and with an in-memory
+ * server, and the recovery time for up to a million keys. {@code docs/PERFORMANCE.md} describes how
+ * to run it.
  */
 public final class StandaloneServerBenchmark {
   private static final KeyValueLimits LIMITS = new KeyValueLimits(1e9, 1e9, 64, 32);
@@ -29,8 +30,8 @@
   }
 
   private final Path folder;
-  private int asked;
-  private int answered;
+  private int sent;
+  private int completed;
 
   private StandaloneServerBenchmark(Path folder) {
     this.folder = folder;
@@ -39,17 +40,17 @@
   /** Runs the benchmark. */
   public static void main(String[] args) throws Exception {
     Path folder = Files.createTempDirectory(Path.of(args.length > 0 ? args[0] : "."), "state-load");
-    StandaloneServerBenchmark load = new StandaloneServerBenchmark(folder);
-    load.syncs();
-    for (int underWay : new int[] {1, 16, 256}) {
-      load.transactions(underWay, true, 1L << 40);
-      load.transactions(underWay, false, 1L << 40);
+    StandaloneServerBenchmark benchmark = new StandaloneServerBenchmark(folder);
+    benchmark.measureSyncs();
+    for (int concurrency : new int[] {1, 16, 256}) {
+      benchmark.measureTransactions(concurrency, true, 1L << 40);
+      benchmark.measureTransactions(concurrency, false, 1L << 40);
     }
-    load.transactions(256, true, 4 << 20);
+    benchmark.measureTransactions(256, true, 4 << 20);
     for (int keys : new int[] {10_000, 100_000, 1_000_000}) {
-      load.recovery(keys, true);
+      benchmark.measureRecovery(keys, true);
     }
-    load.recovery(100_000, false);
+    benchmark.measureRecovery(100_000, false);
   }
 
   private static byte[] put(int i) {
@@ -64,25 +65,25 @@
                         .with("data", MessageBody.of().with("x", "v".repeat(100))))));
   }
 
-  /** The baseline: as many bytes as a transaction takes, written and synced one by one. */
-  private void syncs() throws IOException {
+  /** Measures the baseline: sequential writes and syncs of about the size of a transaction. */
+  private void measureSyncs() throws IOException {
     try (FileSystemDirectory disk = FileSystemDirectory.open(folder.resolve("syncs"))) {
       Histogram latencies = new Histogram(3);
-      long until = System.nanoTime() + SECONDS * 1_000_000_000L;
-      while (System.nanoTime() < until) {
-        long began = System.nanoTime();
+      long endsAt = System.nanoTime() + SECONDS * 1_000_000_000L;
+      while (System.nanoTime() < endsAt) {
+        long startedAt = System.nanoTime();
         disk.append("file", ByteBuffer.allocate(200));
         disk.sync("file");
-        latencies.recordValue((System.nanoTime() - began) / 1000);
+        latencies.recordValue((System.nanoTime() - startedAt) / 1000);
       }
       print("syncs of 200 bytes", latencies);
     }
   }
 
-  private static void print(String what, Histogram latencies) {
+  private static void print(String label, Histogram latencies) {
     System.out.printf(
         "%s: %d a second, p50 %d us, p99 %d us, most %d us%n",
-        what,
+        label,
         latencies.getTotalCount() / SECONDS,
         latencies.getValueAtPercentile(50),
         latencies.getValueAtPercentile(99),
@@ -99,38 +100,39 @@
         new long[] {1, 2});
   }
 
-  private void transactions(int underWay, boolean kept, long snapshot) throws IOException {
+  private void measureTransactions(int concurrency, boolean durable, long snapshot)
+      throws IOException {
     EventLoop loop = new EventLoop();
     Root root = new Root();
-    Path data = kept ? folder.resolve("t" + underWay + "-" + snapshot) : null;
+    Path data = durable ? folder.resolve("t" + concurrency + "-" + snapshot) : null;
     StandaloneServer server = server(root, loop, data, snapshot);
     Histogram latencies = new Histogram(3);
-    asked = 0;
-    answered = 0;
-    long until = System.nanoTime() + SECONDS * 1_000_000_000L;
+    sent = 0;
+    completed = 0;
+    long endsAt = System.nanoTime() + SECONDS * 1_000_000_000L;
     loop.schedule(TimeSpan.seconds(SECONDS), root, loop::pause);
-    ask(server, loop, root, latencies, underWay, until);
+    sendRequests(server, loop, root, latencies, concurrency, endsAt);
     loop.run();
     print(
-        underWay
-            + " under way"
-            + (kept ? "" : ", nothing kept")
+        concurrency
+            + " concurrent"
+            + (durable ? "" : ", in memory")
             + (snapshot < 1L << 40 ? ", snapshots" : ""),
         latencies);
     root.cancel();
   }
 
-  private void ask(
+  private void sendRequests(
       StandaloneServer server,
       EventLoop loop,
       Root root,
       Histogram latencies,
-      int underWay,
-      long until) {
-    // A turn of the loop asks as many as there is room for; timers stand in for the network.
-    while (asked - answered < underWay && System.nanoTime() < until) {
-      long began = System.nanoTime();
-      int key = asked++ % 5000;
+      int concurrency,
+      long endsAt) {
+    // Yields to the event loop after every 64 requests, as a server with a network would.
+    while (sent - completed < concurrency && System.nanoTime() < endsAt) {
+      long startedAt = System.nanoTime();
+      int key = sent++ % 5000;
       server
           .server()
           .handle(
@@ -138,29 +140,29 @@
               "/multi",
               put(key),
               reply -> {
-                answered++;
-                latencies.recordValue((System.nanoTime() - began) / 1000);
-                loop.post(() -> ask(server, loop, root, latencies, underWay, until));
+                completed++;
+                latencies.recordValue((System.nanoTime() - startedAt) / 1000);
+                loop.post(() -> sendRequests(server, loop, root, latencies, concurrency, endsAt));
               });
-      if (asked % 64 == 0) {
-        loop.post(() -> ask(server, loop, root, latencies, underWay, until));
+      if (sent % 64 == 0) {
+        loop.post(() -> sendRequests(server, loop, root, latencies, concurrency, endsAt));
         return;
       }
     }
   }
 
-  private void recovery(int keys, boolean snapshot) throws IOException {
+  private void measureRecovery(int keys, boolean snapshot) throws IOException {
     Path data = folder.resolve("r" + keys + snapshot);
     EventLoop loop = new EventLoop();
     Root root = new Root();
     StandaloneServer server = server(root, loop, data, snapshot ? keys * 100L : 1L << 40);
-    int[] left = {keys};
+    int[] remaining = {keys};
     for (int i = 0; i < keys; ) {
       for (int n = 0; n < 2000 && i < keys; n++, i++) {
-        server.server().handle("POST", "/multi", put(i), reply -> left[0]--);
+        server.server().handle("POST", "/multi", put(i), reply -> remaining[0]--);
       }
-      int before = left[0];
-      while (left[0] > keys - i) {
+      int before = remaining[0];
+      while (remaining[0] > keys - i) {
         loop.schedule(TimeSpan.millis(1), root, loop::pause);
         loop.run();
       }
@@ -168,16 +170,16 @@
         return;
       }
     }
-    // A snapshot that is due is looked for every 200 ms, and taken in parts.
+    // The server checks every 200 ms whether a snapshot is due, and writes it in parts.
     loop.schedule(TimeSpan.millis(snapshot ? 3000 + keys / 100 : 300), root, loop::pause);
     loop.run();
     root.cancel();
     System.gc();
     long before = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
-    Root again = new Root();
-    long began = System.nanoTime();
-    StandaloneServer reopened = server(again, loop, data, 1L << 40);
-    long ms = (System.nanoTime() - began) / 1_000_000;
+    Root reopenedRoot = new Root();
+    long startedAt = System.nanoTime();
+    StandaloneServer reopened = server(reopenedRoot, loop, data, 1L << 40);
+    long ms = (System.nanoTime() - startedAt) / 1_000_000;
     System.gc();
     long heap = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory() - before;
     long bytes = 0;
@@ -195,6 +197,6 @@
         found ? "with a snapshot" : "of log",
         ms,
         heap / keys);
-    again.cancel();
+    reopenedRoot.cancel();
   }
 }
--- a/src/test/java/io/saltflow/kvserver/StandaloneServerTest.java
+++ b/src/test/java/io/saltflow/kvserver/StandaloneServerTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The standalone server with a data directory, and compared with the emulator. */
+/** Tests the standalone server with a data directory and against the emulated store. */
 class StandaloneServerTest {
   private static final KeyValueLimits LIMITS = new KeyValueLimits(100_000, 100_000, 8, 8);
 
@@ -59,13 +59,13 @@
   }
 
   @AfterEach
-  void end() {
+  void stop() {
     if (root != null) {
       root.cancel();
     }
   }
 
-  private String ask(String method, String target, MessageBody body) throws IOException {
+  private String request(String method, String target, MessageBody body) throws IOException {
     HttpResponse[] reply = new HttpResponse[1];
     handler.handle(
         method,
@@ -99,12 +99,12 @@
     return MessageBody.of().with("put", key).with("data", MessageBody.of().with("x", value));
   }
 
-  /** Sends a request; returns the status, and the body if there is one. */
+  /** Sends a request and returns the status, followed by the body if there is one. */
   interface RequestSender {
-    String ask(String method, String target, MessageBody body) throws IOException;
+    String request(String method, String target, MessageBody body) throws IOException;
   }
 
-  /** Returns the requests of PROTOCOL's state section with their replies, as readable lines. */
+  /** Sends a fixed sequence of requests and returns them with their replies as text lines. */
   static List<String> conversation(RequestSender sender) throws IOException {
     List<String> lines = new ArrayList<>();
     MessageBody leased = put("led", 1L).with("tenancy", 1L);
@@ -149,7 +149,7 @@
       MessageBody body = (MessageBody) request[2];
       lines.add(
           "> " + request[0] + " " + request[1] + (body == null ? "" : " " + abbreviated(body)));
-      lines.add("  " + sender.ask((String) request[0], (String) request[1], body));
+      lines.add("  " + sender.request((String) request[0], (String) request[1], body));
     }
     return lines;
   }
@@ -164,24 +164,23 @@
     return text.length() > 120 ? text.substring(0, 120) + "..." : text;
   }
 
-  /** The emulator and the product give the same replies. */
   @Test
-  void emulatorAndProductReplyAlike() throws IOException {
+  void emulatorAndServerRepliesMatch() throws IOException {
     open(folder, 1 << 20);
-    List<String> product = conversation(this::ask);
-    EmulatedKeyValueStore standIn = new EmulatedKeyValueStore(LIMITS, steps -> {}, loop.now());
-    handler = new KeyValueServer(root, loop, standIn.core(), () -> standIn.flush(loop.now()));
-    assertEquals(conversation(this::ask), product);
-    GoldenTraces.check("state-service", product);
+    List<String> serverReplies = conversation(this::request);
+    EmulatedKeyValueStore emulator = new EmulatedKeyValueStore(LIMITS, batches -> {}, loop.now());
+    handler = new KeyValueServer(root, loop, emulator.core(), () -> emulator.flush(loop.now()));
+    assertEquals(conversation(this::request), serverReplies);
+    GoldenTraces.check("state-service", serverReplies);
   }
 
-  /** Concurrent writes share syncs, a snapshot is taken meanwhile, and a restart recovers all. */
+  /** Guards against writes lost with group commit, with and without a snapshot meanwhile. */
   @Test
-  void acknowledgedWritesSurviveARestartWithAndWithoutASnapshot() throws Exception {
+  void acknowledgedWritesSurviveRestartWithAndWithoutSnapshot() throws Exception {
     for (long snapshotBytes : new long[] {1 << 30, 20_000}) {
       Path data = folder.resolve("s" + snapshotBytes);
       open(data, snapshotBytes);
-      int[] answered = {0};
+      int[] completed = {0};
       for (int i = 0; i < 2000; i++) {
         MessageBody transaction = transaction(List.of(), put("k" + i % 700, (long) i));
         handler.handle(
@@ -190,20 +189,20 @@
             MessagePackCodec.encode(transaction),
             reply -> {
               assertEquals(200, reply.status());
-              if (++answered[0] % 500 == 0) {
+              if (++completed[0] % 500 == 0) {
                 loop.pause();
               }
             });
         if (i % 500 == 499) {
           loop.run();
-          // Once in a while it looks whether a snapshot is due.
+          // The server checks periodically whether a snapshot is due.
           loop.schedule(TimeSpan.millis(300), root, loop::pause);
           loop.run();
         }
       }
       assertEquals(
-          "200 {tenancy=1}", ask("POST", "/leases", MessageBody.of().with("ttlMs", 60_000L)));
-      long epoch = server.store().revision();
+          "200 {tenancy=1}", request("POST", "/leases", MessageBody.of().with("ttlMs", 60_000L)));
+      long revision = server.store().revision();
       root.cancel();
       try (var files = Files.list(data)) {
         boolean snapshot =
@@ -211,27 +210,27 @@
         assertEquals(snapshotBytes < 1 << 20, snapshot);
       }
       open(data, snapshotBytes);
-      assertEquals(epoch, server.store().revision());
+      assertEquals(revision, server.store().revision());
       assertEquals(700, server.store().size());
       assertEquals(1999L, server.store().value("k" + 1999 % 700).data().get("x"));
       assertEquals(
-          "200 {tenancy=2}", ask("POST", "/leases", MessageBody.of().with("ttlMs", 60_000L)));
+          "200 {tenancy=2}", request("POST", "/leases", MessageBody.of().with("ttlMs", 60_000L)));
       root.cancel();
     }
   }
 
-  /** The last change was a delete, so no remaining key has the revision, which must not go back. */
+  /** Guards against a revision that goes back when no remaining key has the latest revision. */
   @Test
-  void snapshotKeepsTheRevisionOfADelete() throws Exception {
+  void snapshotKeepsRevisionOfDelete() throws Exception {
     Path data = folder.resolve("gone");
     open(data, 1);
-    ask("POST", "/multi", transaction(List.of(), put("a", 1L)));
-    ask("POST", "/multi", transaction(List.of(), MessageBody.of().with("delete", "a")));
+    request("POST", "/multi", transaction(List.of(), put("a", 1L)));
+    request("POST", "/multi", transaction(List.of(), MessageBody.of().with("delete", "a")));
     awaitSnapshot(data);
     root.cancel();
     open(data, 1 << 30);
-    assertEquals("404 {epoch=3}", ask("GET", "/kv/a", null));
-    assertEquals("200 {epoch=4}", ask("POST", "/multi", transaction(List.of(), put("a", 2L))));
+    assertEquals("404 {epoch=3}", request("GET", "/kv/a", null));
+    assertEquals("200 {epoch=4}", request("POST", "/multi", transaction(List.of(), put("a", 2L))));
   }
 
   private void awaitSnapshot(Path data) throws IOException {
@@ -242,28 +241,28 @@
       loop.schedule(TimeSpan.millis(20), root, loop::pause);
       loop.run();
     }
-    throw new IOException("no snapshot of both entries was taken");
+    throw new IOException("no snapshot of both entries was written");
   }
 
-  private String output(ThrowingWork work) throws IOException {
+  private String output(PrintAction action) throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    work.run(new PrintStream(bytes, true, StandardCharsets.UTF_8));
+    action.run(new PrintStream(bytes, true, StandardCharsets.UTF_8));
     return bytes.toString(StandardCharsets.UTF_8);
   }
 
-  private interface ThrowingWork {
+  private interface PrintAction {
     void run(PrintStream out) throws IOException;
   }
 
   @Test
-  void checkDumpSnapshotRestoreAndRepair() throws Exception {
+  void maintenanceChecksDumpsBacksUpRestoresAndRepairs() throws Exception {
     Path data = folder.resolve("data");
     open(data, 1 << 30);
     for (int i = 0; i < 5; i++) {
-      ask("POST", "/multi", transaction(List.of(), put("k" + i, (long) i)));
+      request("POST", "/multi", transaction(List.of(), put("k" + i, (long) i)));
     }
-    ask("POST", "/leases", MessageBody.of().with("ttlMs", 60_000L));
-    assertThrows(IOException.class, () -> FileSystemDirectory.open(data), "one process at a time");
+    request("POST", "/leases", MessageBody.of().with("ttlMs", 60_000L));
+    assertThrows(IOException.class, () -> FileSystemDirectory.open(data), "directory opened twice");
     root.cancel();
     StoreMaintenance maintenance = new StoreMaintenance(data);
     assertEquals("5 keys, revision 6, next entry 7: in order\n", output(maintenance::check));
@@ -273,7 +272,9 @@
     Path file = folder.resolve("kept");
     output(out -> maintenance.snapshot(file, out));
     assertThrows(
-        IOException.class, () -> maintenance.snapshot(file, System.out), "it is there already");
+        IOException.class,
+        () -> maintenance.snapshot(file, System.out),
+        "backup file already exists");
     Path fresh = folder.resolve("fresh");
     output(out -> new StoreMaintenance(fresh).restore(file, new long[] {8, 9}, out));
     assertEquals(output(maintenance::dump), output(new StoreMaintenance(fresh)::dump));
@@ -281,15 +282,15 @@
         IOException.class,
         () -> new StoreMaintenance(fresh).restore(file, new long[2], System.out));
     open(fresh, 1 << 30);
-    assertEquals("200 {epoch=7}", ask("POST", "/multi", transaction(List.of(), put("n", 1L))));
+    assertEquals("200 {epoch=7}", request("POST", "/multi", transaction(List.of(), put("n", 1L))));
     assertEquals(
         "200 {tenancy=2}",
-        ask("POST", "/leases", MessageBody.of().with("ttlMs", 60_000L)),
-        "not 1");
+        request("POST", "/leases", MessageBody.of().with("ttlMs", 60_000L)),
+        "lease ID 1 reused after restore");
     root.cancel();
-    byte[] kept = Files.readAllBytes(file);
-    kept[kept.length / 2] ^= 1;
-    Files.write(folder.resolve("bad"), kept);
+    byte[] backup = Files.readAllBytes(file);
+    backup[backup.length / 2] ^= 1;
+    Files.write(folder.resolve("bad"), backup);
     IOException ioException =
         assertThrows(
             IOException.class,
@@ -302,10 +303,12 @@
     byte[] bytes = Files.readAllBytes(log);
     bytes[bytes.length / 3] ^= 1;
     Files.write(log, bytes);
-    assertThrows(IOException.class, () -> open(data, 1 << 30), "it refuses to start");
+    assertThrows(IOException.class, () -> open(data, 1 << 30), "server started with a corrupt log");
     assertThrows(IOException.class, () -> output(maintenance::check));
-    String done = output(maintenance::repair);
-    assertTrue(done.contains("is cut off at byte") && done.contains("can be opened"), done);
+    String repairOutput = output(maintenance::repair);
+    assertTrue(
+        repairOutput.contains("is cut off at byte") && repairOutput.contains("can be opened"),
+        repairOutput);
     assertTrue(output(maintenance::check).contains("in order"));
   }
 }
