--- a/src/main/java/io/saltflow/wal/CorruptFileException.java
+++ b/src/main/java/io/saltflow/wal/CorruptFileException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Signals that something that was durable can't be read: in which file, from which byte on. */
+/** Signals that durable data cannot be read, with the file and the offset of the corruption. */
 public final class CorruptFileException extends IOException {
   private final String file;
   private final long offset;
@@ -18,7 +18,7 @@
     return file;
   }
 
-  /** Returns the offset of the first byte that is not valid. */
+  /** Returns the offset of the first invalid byte. */
   public long offset() {
     return offset;
   }
--- a/src/main/java/io/saltflow/wal/FileHeader.java
+++ b/src/main/java/io/saltflow/wal/FileHeader.java
@@ -5,18 +5,18 @@
 import java.util.zip.CRC32C;
 
 /**
- * The header of each file.
+ * The header of a segment, snapshot or backup file.
  *
  * @param storeIdHigh the first half of the store's identity; files of another store are rejected
- * @param firstSequence of a segment its first entry, of a snapshot the first entry that it does not
- *     include
+ * @param firstSequence the sequence number of a segment's first entry, or of the first entry that a
+ *     snapshot does not include
  */
 record FileHeader(String kind, long storeIdHigh, long storeIdLow, long firstSequence) {
   static final int BYTES = 8 + 8 + 8 + 8 + 4;
   static final String SEGMENT = "SALTLOG1";
   static final String SNAPSHOT = "SALTSNP1";
 
-  /** Returns the salt of the checksums of the file's records. */
+  /** Returns the salt for the checksums of the file's records. */
   long salt() {
     return storeIdHigh * 31 + storeIdLow;
   }
@@ -36,7 +36,7 @@
     return (int) crc.getValue();
   }
 
-  /** Decodes a header; null: it is not valid. */
+  /** Decodes a header, or returns {@code null} if it is not valid. */
   static FileHeader decode(byte[] bytes) {
     if (bytes.length < BYTES) {
       return null;
--- a/src/main/java/io/saltflow/wal/LogRecord.java
+++ b/src/main/java/io/saltflow/wal/LogRecord.java
@@ -6,18 +6,18 @@
 import java.util.zip.CRC32C;
 
 /**
- * A record: entries that are written together, preceded by the record's length and a CRC-32C of all
- * else.
+ * A record of entries that are written together. Its encoding starts with the length and a CRC-32C
+ * over the rest of the record.
  *
- * @param durableUpTo the sequence number up to which everything was durable when it was written
- * @param firstSequence the sequence number of its first entry
+ * @param durableUpTo the last sequence number that was durable when the record was written
+ * @param firstSequence the sequence number of the first entry
  */
 record LogRecord(long durableUpTo, long firstSequence, List<byte[]> entries) {
   private static final int PREFIX_BYTES = 8;
   private static final int FIXED_BYTES = 8 + 8 + 4;
   private static final int MAX_BYTES = 64 << 20;
 
-  /** Returns the sequence number after its last entry. */
+  /** Returns the sequence number that follows the last entry. */
   long nextSequence() {
     return firstSequence + entries.size();
   }
@@ -25,7 +25,7 @@
   /**
    * Encodes the record.
    *
-   * @param salt the store's own, so that no value can contain what looks like a record
+   * @param salt specific to the store, so that no stored value can contain a valid record
    */
   ByteBuffer encode(long salt) {
     int length = size() - PREFIX_BYTES;
@@ -38,7 +38,7 @@
     return out.flip();
   }
 
-  /** Returns the checksum, which covers the length too: a flipped bit there must be detected. */
+  /** Returns the checksum. It covers the length so that bit flips in it are detected. */
   private static int crc(byte[] bytes, int offset, int length, long salt) {
     CRC32C crc = new CRC32C();
     crc.update(ByteBuffer.allocate(8).putLong(salt).flip());
@@ -47,7 +47,7 @@
     return (int) crc.getValue();
   }
 
-  /** Decodes the record at an offset; null: there is no valid record. */
+  /** Decodes the record at an offset, or returns {@code null} if there is no valid record. */
   static LogRecord decodeAt(byte[] bytes, int offset, long salt) {
     if (bytes.length - offset < PREFIX_BYTES + FIXED_BYTES) {
       return null;
--- a/src/main/java/io/saltflow/wal/LogRecovery.java
+++ b/src/main/java/io/saltflow/wal/LogRecovery.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Recovers a write-ahead log: replays its snapshot and segments, truncates a torn write, and finds
- * where the log continues.
+ * Recovers a write-ahead log: replays its snapshot and segments, truncates a torn write, and
+ * determines where the log continues.
  */
 final class LogRecovery {
   private final StorageDirectory directory;
@@ -22,7 +22,8 @@
   /**
    * Creates a recovery.
    *
-   * @param storeIdHigh with {@code storeIdLow} the identity of a log that is created now
+   * @param storeIdHigh the first half of the store's identity, used if a log is created
+   * @param storeIdLow the second half
    */
   LogRecovery(
       StorageDirectory directory,
@@ -36,9 +37,9 @@
   }
 
   /**
-   * Runs the recovery.
+   * Replays the log and repairs a torn write.
    *
-   * @throws CorruptFileException when something that was durable can't be read
+   * @throws CorruptFileException if durable data cannot be read
    */
   void run() throws IOException {
     List<String> snapshots = new ArrayList<>();
@@ -74,22 +75,22 @@
     return storeIdLow;
   }
 
-  /** Returns the salt of the records' checksums. */
+  /** Returns the salt for the records' checksums. */
   long salt() {
     return salt;
   }
 
-  /** Returns what was found and repaired, as sentences for the operator. */
+  /** Returns messages for the operator about what was found and repaired. */
   List<String> notes() {
     return List.copyOf(notes);
   }
 
-  /** Returns the segment that the log continues in; null: it needs a new one. */
+  /** Returns the segment to append to, or {@code null} if a new one is needed. */
   String segment() {
     return segment;
   }
 
-  /** Returns the size in bytes of the segment that the log continues in. */
+  /** Returns the size of the segment to append to, in bytes. */
   long segmentBytes() {
     return segmentBytes;
   }
@@ -99,7 +100,7 @@
     return nextSequence;
   }
 
-  /** Replays the latest snapshot; older ones remain if a crash came before they were deleted. */
+  /** Replays the latest snapshot. Older ones may remain after a crash that prevented deletion. */
   private FileHeader readLatestSnapshot(List<String> snapshots) throws IOException {
     String latest = snapshots.get(snapshots.size() - 1);
     FileHeader header = readHeader(latest, FileHeader.SNAPSHOT, null);
@@ -109,7 +110,7 @@
     return header;
   }
 
-  /** Returns the first segment's header; null when the only segment has a torn header. */
+  /** Returns the first segment's header, or {@code null} if it is torn in the only segment. */
   private FileHeader firstSegmentHeader(List<String> segments) throws IOException {
     if (segments.size() == 1 && isTornHeader(segments.get(0))) {
       return null;
@@ -158,7 +159,7 @@
     }
   }
 
-  /** Returns whether a file's creation was interrupted: it holds no more than a torn header. */
+  /** Returns whether the file holds only a torn header because its creation was interrupted. */
   private boolean isTornHeader(String name) throws IOException {
     return directory.size(name) <= FileHeader.BYTES
         && FileHeader.decode(directory.read(name, 0, FileHeader.BYTES)) == null;
@@ -178,7 +179,7 @@
         break;
       }
       for (byte[] entry : record.entries()) {
-        // The snapshot may include the first entries of a segment.
+        // The snapshot may already include the first entries of a segment.
         if (sequence >= nextSequence) {
           handler.onEntry(sequence, entry);
           nextSequence = sequence + 1;
@@ -191,8 +192,8 @@
       segment = name;
       segmentBytes = offset;
       if (sequence < nextSequence) {
-        // The snapshot includes the whole segment, and the next entry needs one that begins with
-        // it.
+        // The snapshot extends beyond the segment. The next entry needs a segment that starts with
+        // its sequence number.
         segment = null;
       }
     }
@@ -201,7 +202,7 @@
   /**
    * Truncates a torn write at the end of the last segment.
    *
-   * @throws CorruptFileException when a later record shows that it was durable
+   * @throws CorruptFileException if a later record shows that the invalid data was durable
    */
   private void truncateTornTail(String name, byte[] bytes, int offset, long sequence)
       throws IOException {
--- a/src/main/java/io/saltflow/wal/ReadOnlyDirectory.java
+++ b/src/main/java/io/saltflow/wal/ReadOnlyDirectory.java
@@ -4,7 +4,7 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 
-/** A view of a directory that ignores all writes, so that recovery changes nothing. */
+/** A view of a directory that ignores all writes, so that recovery leaves the files unchanged. */
 public final class ReadOnlyDirectory implements StorageDirectory {
   private final StorageDirectory directory;
 
--- a/src/main/java/io/saltflow/wal/RecordFileReader.java
+++ b/src/main/java/io/saltflow/wal/RecordFileReader.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Reads a file that {@link RecordFileWriter} wrote, with a bounded buffer. */
+/** Reads a file written by {@link RecordFileWriter} with a bounded buffer. */
 final class RecordFileReader {
   private static final int BUFFER_BYTES = 4 << 20;
 
@@ -11,7 +11,7 @@
   private final long salt;
   private byte[] buffer = new byte[0];
   private long bufferStart = FileHeader.BYTES;
-  private int at;
+  private int position;
 
   RecordFileReader(StorageDirectory directory, String name, long salt) {
     this.salt = salt;
@@ -19,16 +19,16 @@
     this.name = name;
   }
 
-  long at() {
-    return bufferStart + at;
+  long offset() {
+    return bufferStart + position;
   }
 
-  /** Returns the next record, or null when no valid one follows. */
+  /** Returns the next record, or {@code null} if no valid record follows. */
   LogRecord next() throws IOException {
-    LogRecord record = LogRecord.decodeAt(buffer, at, salt);
+    LogRecord record = LogRecord.decodeAt(buffer, position, salt);
     for (int bytesToRead = BUFFER_BYTES; record == null; bytesToRead *= 4) {
-      bufferStart += at;
-      at = 0;
+      bufferStart += position;
+      position = 0;
       buffer = directory.read(name, bufferStart, bytesToRead);
       boolean reachedEnd = buffer.length < bytesToRead;
       record = LogRecord.decodeAt(buffer, 0, salt);
@@ -36,21 +36,21 @@
         return null;
       }
     }
-    at += record.size();
+    position += record.size();
     return record;
   }
 
   /**
-   * Reads all items up to the empty record at the end.
+   * Reads all items up to the terminating empty record.
    *
-   * @throws CorruptFileException when the file is not complete
+   * @throws CorruptFileException if the file is not complete
    */
   void readAll(BackupFile.ItemConsumer consumer) throws IOException {
     long count = 0;
     while (true) {
       LogRecord record = next();
       if (record == null || record.firstSequence() != count) {
-        throw new CorruptFileException(name, at(), "a part is not whole");
+        throw new CorruptFileException(name, offset(), "a part is not whole");
       }
       if (record.entries().isEmpty()) {
         return;
--- a/src/main/java/io/saltflow/wal/RecordFileWriter.java
+++ b/src/main/java/io/saltflow/wal/RecordFileWriter.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Writes a file that {@link RecordFileReader} reads: a header, records with items, and an empty
- * record at the end.
+ * Writes a file for {@link RecordFileReader}. It consists of a header, records with items and a
+ * terminating empty record.
  */
 final class RecordFileWriter {
   private static final long SYNC_INTERVAL_BYTES = 1 << 20;
@@ -17,7 +17,7 @@
   private long count;
   private long unsyncedBytes;
 
-  /** Creates the file, replacing one that was not completed. */
+  /** Creates the file, replacing an incomplete one from an earlier attempt. */
   RecordFileWriter(StorageDirectory directory, String name, FileHeader header) throws IOException {
     this.directory = directory;
     this.name = name;
@@ -28,20 +28,20 @@
     directory.append(name, header.encode());
   }
 
-  /** Writes a record with one item or more. */
+  /** Writes the items, of which there must be at least one, as a record. */
   void append(List<byte[]> items) throws IOException {
     ByteBuffer bytes = new LogRecord(0, count, items).encode(salt);
     unsyncedBytes += bytes.remaining();
     directory.append(name, bytes);
     count += items.size();
     if (unsyncedBytes > SYNC_INTERVAL_BYTES) {
-      // A single sync at the end would stall other writes for as long as the disk takes.
+      // A single sync of the whole file at the end would stall concurrent log writes.
       directory.sync(name);
       unsyncedBytes = 0;
     }
   }
 
-  /** Completes the file; its contents, not its name, are durable once this returns. */
+  /** Completes the file. Its contents are then durable, but not its directory entry. */
   void finish() throws IOException {
     directory.append(name, new LogRecord(0, count, List.of()).encode(salt));
     directory.sync(name);
--- a/src/main/java/io/saltflow/wal/StorageDirectory.java
+++ b/src/main/java/io/saltflow/wal/StorageDirectory.java
@@ -5,20 +5,20 @@
 import java.util.List;
 
 /**
- * A directory of files with the guarantees of a disk: contents survive a crash only once the file
- * was synced, and a name only once the directory was.
+ * A directory of files with the durability guarantees of a file system: contents survive a crash
+ * only after the file was synced, and names only after the directory was synced.
  */
 public interface StorageDirectory {
-  /** Returns the names of the files, sorted. */
+  /** Returns the sorted names of the files. */
   List<String> fileNames() throws IOException;
 
   /** Returns the size of a file in bytes. */
   long size(String name) throws IOException;
 
-  /** Reads up to {@code maxBytes} bytes from an offset on. */
+  /** Reads up to {@code maxBytes} bytes starting at an offset. */
   byte[] read(String name, long offset, int maxBytes) throws IOException;
 
-  /** Appends to a file, which is created if it does not exist. */
+  /** Appends to a file, creating it if it does not exist. */
   void append(String name, ByteBuffer bytes) throws IOException;
 
   /** Makes the contents of a file durable. */
@@ -27,7 +27,7 @@
   /** Truncates a file to a size in bytes. */
   void truncate(String name, long size) throws IOException;
 
-  /** Renames a file, atomically replacing a file that has the new name. */
+  /** Renames a file, atomically replacing an existing file with the new name. */
   void rename(String from, String to) throws IOException;
 
   /** Deletes a file if it exists. */
--- a/src/main/java/io/saltflow/wal/WriteAheadLog.java
+++ b/src/main/java/io/saltflow/wal/WriteAheadLog.java
@@ -6,24 +6,23 @@
 import java.util.List;
 
 /**
- * A write-ahead log: entries with sequence numbers from 1, in segment files, and a snapshot that
- * replaces the earlier ones. Entries survive any crash once {@link #append} has returned; an
- * interrupted append is recovered as a whole or not at all, and never without the entries before
- * it. Not safe for use by several threads, except that a {@link SnapshotWriter} may be used between
- * appends.
+ * A write-ahead log. Entries are numbered from 1 and stored in segment files; a snapshot replaces
+ * earlier entries. Entries survive any crash once {@link #append} has returned. An interrupted
+ * append is recovered either completely or not at all, and never without the entries before it. Not
+ * thread-safe. A {@link SnapshotWriter} may be used between appends.
  *
- * <p>A torn write and corruption look alike: an incomplete record. Each record therefore holds the
- * sequence number up to which everything was durable when it was written. An incomplete record is a
- * torn write, and truncated, unless a later record shows that it was durable. The last record has
- * no later one, so {@link #writeDurabilityMark} is called when the log is idle.
+ * <p>Torn writes and corruption both appear as an invalid record. Each record therefore holds the
+ * last sequence number that was durable when it was written. An invalid record is treated as a torn
+ * write and truncated unless a later record shows that it was durable. No record follows the last
+ * one, so {@link #writeDurabilityMark} must be called when the log is idle.
  */
 public final class WriteAheadLog {
-  /** Receives the contents when a log is opened, the snapshot's parts first. */
+  /** Receives the contents when a log is opened, starting with the items of the snapshot. */
   public interface ReplayHandler {
     /** Receives an item of the snapshot. */
     void onSnapshotPart(byte[] part) throws IOException;
 
-    /** Reports the end of the snapshot, which replaces all entries before a sequence number. */
+    /** Called at the end of a snapshot, which replaces all entries before the sequence number. */
     void onSnapshotEnd(long nextSequence) throws IOException;
 
     /** Receives an entry. */
@@ -58,9 +57,10 @@
   /**
    * Opens a log and replays it, or creates one in an empty directory.
    *
-   * @param maxSegmentBytes the size after which another segment begins
-   * @param storeIdHigh with {@code storeIdLow} the identity of a log that is created now
-   * @throws CorruptFileException when something that was durable can't be read
+   * @param maxSegmentBytes segment size in bytes after which the log starts another segment
+   * @param storeIdHigh the first half of the store's identity, used if a log is created
+   * @param storeIdLow the second half
+   * @throws CorruptFileException if durable data cannot be read
    */
   public static WriteAheadLog open(
       StorageDirectory directory,
@@ -78,12 +78,12 @@
     return log;
   }
 
-  /** Returns what recovery found and repaired, as sentences for the operator. */
+  /** Returns messages for the operator about what recovery found and repaired. */
   public List<String> recoveryNotes() {
     return recoveryNotes;
   }
 
-  /** Returns how many bytes of records were written since the log was opened. */
+  /** Returns the number of bytes of records written since the log was opened. */
   public long bytesWritten() {
     return bytesWritten;
   }
@@ -98,12 +98,10 @@
     return new long[] {storeIdHigh, storeIdLow};
   }
 
-  // ---- Writing
-
   private void beginSegment() throws IOException {
     String name = LogFileNames.segment(nextSequence);
     if (directory.fileNames().contains(name)) {
-      // An earlier attempt failed.
+      // An earlier attempt to create the segment failed.
       directory.truncate(name, 0);
     }
     directory.append(
@@ -116,13 +114,13 @@
   }
 
   /**
-   * Appends entries as one record, which is durable once this returns.
+   * Appends entries as a single record, which is durable once this method returns.
    *
-   * @throws IOException when the write failed; none of the entries is in the log then
+   * @throws IOException if the write failed, in which case the log contains none of the entries
    */
   public void append(List<byte[]> entries) throws IOException {
     if (segmentBytes >= maxSegmentBytes && !tailUncertain) {
-      // The existence of a new segment shows that the full one is durable.
+      // Recovery infers from the new segment that the full one is durable.
       beginSegment();
     }
     write(new LogRecord(nextSequence - 1, nextSequence, entries));
@@ -130,7 +128,7 @@
     markWritten = false;
   }
 
-  /** Records that the last entries are durable, unless that is recorded already. */
+  /** Records that the last entries are durable, unless this is already recorded. */
   public void writeDurabilityMark() throws IOException {
     if (!markWritten) {
       write(new LogRecord(nextSequence - 1, nextSequence, List.of()));
@@ -148,7 +146,7 @@
       segmentBytes += length;
       bytesWritten += length;
     } catch (IOException exception) {
-      // No record may follow an incomplete one, and what a failed sync wrote is unknown.
+      // No record may follow an incomplete one, and the effect of a failed sync is unknown.
       tailUncertain = true;
       try {
         truncateUncertainTail();
@@ -168,23 +166,21 @@
   }
 
   /**
-   * After a failed write, checks whether the disk accepts writes again.
+   * Checks whether the disk accepts writes again after a failed write.
    *
-   * @throws IOException when it does not
+   * @throws IOException if it does not
    */
   public void probe() throws IOException {
     write(new LogRecord(nextSequence - 1, nextSequence, List.of()));
     markWritten = true;
   }
 
-  // ---- Snapshots
-
-  /** Begins a snapshot that replaces all entries so far; entries may be appended meanwhile. */
+  /** Starts a snapshot that replaces all entries so far. Entries may be appended meanwhile. */
   public SnapshotWriter beginSnapshot() {
     return new SnapshotWriter(nextSequence);
   }
 
-  /** Writes a snapshot, part by part. */
+  /** Writes a snapshot one part at a time. */
   public final class SnapshotWriter {
     private final long snapshotSequence;
     private final String name;
@@ -206,12 +202,12 @@
       return file;
     }
 
-    /** Writes a part, which has one item or more. */
+    /** Writes a part that consists of one or more items. */
     public void append(List<byte[]> items) throws IOException {
       file().append(items);
     }
 
-    /** Makes the complete snapshot durable, and deletes the files that it replaces. */
+    /** Makes the complete snapshot durable and deletes the files that it replaces. */
     public void finish() throws IOException {
       file().finish();
       directory.rename(name + LogFileNames.TEMPORARY_SUFFIX, name);
@@ -229,7 +225,7 @@
           segments.add(other);
         }
       }
-      // A segment is obsolete when the one after it begins within the snapshot.
+      // A segment is obsolete if the snapshot includes all entries before the next segment.
       for (int i = 0; i + 1 < segments.size(); i++) {
         if (segments.get(i + 1).compareTo(LogFileNames.segment(snapshotSequence)) <= 0) {
           directory.delete(segments.get(i));
--- a/src/main/java/io/saltflow/wal/WriteAheadLogRepair.java
+++ b/src/main/java/io/saltflow/wal/WriteAheadLogRepair.java
@@ -5,27 +5,26 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Repairs a write-ahead log that can't be opened. */
+/** Repairs a write-ahead log that cannot be opened because of corruption. */
 public final class WriteAheadLogRepair {
-  /** Begins the names of the files that keep what a repair removes. */
+  /** Name prefix of the files that keep the data removed by a repair. */
   private static final String KEPT_PREFIX = "damaged-";
 
   private WriteAheadLogRepair() {}
 
   /**
-   * Repairs a log that can't be opened by truncating it before what is corrupt. Nothing is
-   * destroyed: what is removed is kept in files whose names begin with {@code damaged-}.
+   * Truncates the log before the corruption. The removed data is kept in files whose names start
+   * with {@code damaged-}.
    *
-   * @return what was done, as sentences for the operator
-   * @throws IOException when the corrupt file is a snapshot
+   * @return messages for the operator about the actions taken
+   * @throws IOException if the corrupt file is a snapshot, which cannot be repaired
    */
   public static List<String> repair(StorageDirectory directory, CorruptFileException corruption)
       throws IOException {
     List<String> actions = new ArrayList<>();
     if (corruption.file().startsWith(LogFileNames.SNAPSHOT_PREFIX)) {
       throw new IOException(
-          corruption.file()
-              + ": a snapshot can't be repaired; restore one that was kept elsewhere");
+          corruption.file() + ": a snapshot cannot be repaired; restore a backup instead");
     }
     for (String name : directory.fileNames()) {
       if (name.startsWith(LogFileNames.SEGMENT_PREFIX) && name.compareTo(corruption.file()) > 0) {
--- a/src/main/java/io/saltflow/wal/package-info.java
+++ b/src/main/java/io/saltflow/wal/package-info.java
@@ -1,7 +1,7 @@
 /**
- * A write-ahead log on disk with checksummed records, segments and snapshots. What {@link
- * io.saltflow.wal.WriteAheadLog#append} returned for survives any crash. The file system is behind
- * {@link io.saltflow.wal.StorageDirectory}, so that tests can interrupt a write at any byte. {@code
- * docs/STATE.md} describes the format.
+ * A write-ahead log on disk with checksummed records, segments and snapshots. Entries survive any
+ * crash once {@link io.saltflow.wal.WriteAheadLog#append} has returned. {@link
+ * io.saltflow.wal.StorageDirectory} abstracts the file system, so that tests can simulate crashes
+ * and I/O errors. {@code docs/STATE.md} describes the format.
  */
 package io.saltflow.wal;
--- a/src/test/java/io/saltflow/wal/SimulatedDirectory.java
+++ b/src/test/java/io/saltflow/wal/SimulatedDirectory.java
@@ -11,8 +11,8 @@
 import java.util.TreeMap;
 
 /**
- * A directory in memory whose disk can crash: any block that was not synced may be lost, and a name
- * that was not synced may be the old one. It can be full, and its syncs can fail.
+ * An in-memory directory that simulates crashes, full disks and failed syncs. After a crash,
+ * unsynced blocks may be lost and unsynced changes of names may be undone.
  */
 public final class SimulatedDirectory implements StorageDirectory {
   private static final int BLOCK_BYTES = 64;
@@ -32,23 +32,25 @@
   private Map<String, SimulatedFile> names = new TreeMap<>();
   private Map<String, SimulatedFile> syncedFiles = new TreeMap<>();
 
-  /** After how many operations the machine crashes; negative: never. */
+  /** Number of operations after which the machine crashes, or negative for no crash. */
   public int crashAfter = -1;
 
-  /** The capacity in bytes. */
+  /** Capacity in bytes, beyond which appends fail. */
   public long capacity = Long.MAX_VALUE;
 
   /** Whether syncs fail. */
   boolean failSyncs;
 
-  /** A seeded bug: syncs of files, or of the directory, do nothing. */
+  /** Whether syncs of files have no effect, as an injected fault. */
   boolean skipSyncs;
 
+  /** Whether syncs of the directory have no effect, as an injected fault. */
   boolean skipDirectorySyncs;
 
+  /** Number of operations that changed or synced files so far. */
   public int operations;
 
-  private void operation() {
+  private void countOperation() {
     operations++;
     if (crashAfter >= 0 && operations > crashAfter) {
       throw new Crash();
@@ -75,29 +77,29 @@
 
   @Override
   public byte[] read(String name, long offset, int maxBytes) throws IOException {
-    byte[] all = file(name).content;
-    int to = (int) Math.min(all.length, offset + (long) maxBytes);
-    return offset >= all.length ? new byte[0] : Arrays.copyOfRange(all, (int) offset, to);
+    byte[] content = file(name).content;
+    int to = (int) Math.min(content.length, offset + (long) maxBytes);
+    return offset >= content.length ? new byte[0] : Arrays.copyOfRange(content, (int) offset, to);
   }
 
   @Override
   public void append(String name, ByteBuffer bytes) throws IOException {
-    operation();
+    countOperation();
     SimulatedFile file = names.computeIfAbsent(name, absent -> new SimulatedFile());
     long free = capacity - names.values().stream().mapToLong(other -> other.content.length).sum();
-    int n = (int) Math.min(bytes.remaining(), Math.max(0, free));
-    byte[] longer = Arrays.copyOf(file.content, file.content.length + n);
-    boolean all = n == bytes.remaining();
-    bytes.get(longer, file.content.length, n);
-    file.content = longer;
-    if (!all) {
+    int count = (int) Math.min(bytes.remaining(), Math.max(0, free));
+    byte[] extended = Arrays.copyOf(file.content, file.content.length + count);
+    boolean fits = count == bytes.remaining();
+    bytes.get(extended, file.content.length, count);
+    file.content = extended;
+    if (!fits) {
       throw new IOException("No space left on device");
     }
   }
 
   @Override
   public void sync(String name) throws IOException {
-    operation();
+    countOperation();
     if (failSyncs) {
       throw new IOException("Input/output error");
     }
@@ -107,40 +109,40 @@
 
   @Override
   public void truncate(String name, long size) throws IOException {
-    operation();
+    countOperation();
     SimulatedFile file = file(name);
     file.content = Arrays.copyOf(file.content, (int) size);
   }
 
   @Override
   public void rename(String from, String to) throws IOException {
-    operation();
+    countOperation();
     names.put(to, file(from));
     names.remove(from);
   }
 
   @Override
   public void delete(String name) {
-    operation();
+    countOperation();
     names.remove(name);
   }
 
   @Override
   public void syncDirectory() throws IOException {
-    operation();
+    countOperation();
     if (failSyncs) {
       throw new IOException("Input/output error");
     }
     syncedFiles = skipDirectorySyncs ? syncedFiles : new TreeMap<>(names);
   }
 
-  /** Returns what is left after a crash, by a seed. */
+  /** Returns a directory with the contents that remain after a crash, chosen by the seed. */
   public SimulatedDirectory afterCrash(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     SimulatedDirectory next = new SimulatedDirectory();
-    // Of the changes of names since the last sync all survive, or none.
-    Map<String, SimulatedFile> there = random.nextBoolean() ? names : syncedFiles;
-    there.forEach((name, file) -> next.names.put(name, contentAfterCrash(file, random)));
+    // Either all or none of the changes of names since the last sync survive.
+    Map<String, SimulatedFile> surviving = random.nextBoolean() ? names : syncedFiles;
+    surviving.forEach((name, file) -> next.names.put(name, contentAfterCrash(file, random)));
     next.syncedFiles = new TreeMap<>(next.names);
     return next;
   }
@@ -149,7 +151,7 @@
     int kind = random.nextInt(3);
     byte[] bytes = kind == 0 ? file.syncedContent : file.content.clone();
     if (kind == 2) {
-      // Blocks behind what was synced are there or not, in any order, and so is the length.
+      // Any subset of the unsynced blocks survives, and any part of the new length.
       int common = Math.min(file.syncedContent.length, file.content.length);
       for (int position = common; position < bytes.length; position++) {
         if (position % BLOCK_BYTES == 0 || position == common) {
@@ -166,7 +168,7 @@
         bytes = Arrays.copyOf(bytes, common + random.nextInt(bytes.length - common + 1));
       }
       if (file.content.length < file.syncedContent.length && random.nextBoolean()) {
-        // A cut that was not synced did not happen.
+        // An unsynced truncation may be undone.
         bytes = file.syncedContent;
       }
     }
@@ -176,8 +178,8 @@
     return out;
   }
 
-  /** Flips a bit of a file. */
-  void flip(String name, int position, int bit) {
+  /** Flips a bit of a file, both in its current and in its synced content. */
+  void flipBit(String name, int position, int bit) {
     names.get(name).content[position] ^= (byte) (1 << bit);
     names.get(name).syncedContent = names.get(name).content;
   }
--- a/src/test/java/io/saltflow/wal/WriteAheadLogTest.java
+++ b/src/test/java/io/saltflow/wal/WriteAheadLogTest.java
@@ -12,11 +12,11 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Acknowledged entries survive crashes at every operation, torn and lost blocks and full disks. */
+/** Tests that acknowledged entries survive crashes, torn writes, lost blocks and full disks. */
 class WriteAheadLogTest {
   private static final long MAX_SEGMENT_BYTES = 600;
 
-  /** The entries replayed when a log was opened, those of the snapshot first. */
+  /** Records the entries replayed from the snapshot and the segments of a log. */
   private static final class RecordedReplay implements WriteAheadLog.ReplayHandler {
     final List<String> texts = new ArrayList<>();
     private long snapshotParts;
@@ -28,13 +28,13 @@
     }
 
     @Override
-    public void onSnapshotEnd(long next) {
-      assertEquals(next - 1, snapshotParts, "a snapshot holds what came before it");
+    public void onSnapshotEnd(long nextSequence) {
+      assertEquals(nextSequence - 1, snapshotParts, "entries in the snapshot");
     }
 
     @Override
-    public void onEntry(long number, byte[] entry) {
-      assertEquals(texts.size() + 1L, number, "in order, none twice");
+    public void onEntry(long sequence, byte[] entry) {
+      assertEquals(texts.size() + 1L, sequence, "sequence number of a replayed entry");
       texts.add(new String(entry, StandardCharsets.UTF_8));
     }
   }
@@ -50,12 +50,12 @@
     return replay.texts;
   }
 
-  /** Writes until it is complete or the machine crashes. */
+  /** A deterministic sequence of writes to a log. */
   private static final class Workload {
     final List<String> attempted = new ArrayList<>();
     int acknowledged;
 
-    /** Batches of one to three entries; a mark, a snapshot, a restart now and then. */
+    /** Appends batches of entries, with regular durability marks and snapshots. */
     void run(StorageDirectory directory, int batches) throws IOException {
       SplittableRandom random = new SplittableRandom(9);
       WriteAheadLog log = open(directory, new RecordedReplay());
@@ -86,13 +86,13 @@
     }
   }
 
-  /** After any crash all acknowledged entries are there, perhaps the last append, nothing else. */
+  /** Guards against acknowledged entries that are lost and entries that were never appended. */
   @Test
-  void acknowledgedEntriesSurviveACrashAtEveryOperation() throws IOException {
-    SimulatedDirectory whole = new SimulatedDirectory();
-    new Workload().run(whole, 40);
+  void acknowledgedEntriesSurviveCrashAtEveryOperation() throws IOException {
+    SimulatedDirectory uninterrupted = new SimulatedDirectory();
+    new Workload().run(uninterrupted, 40);
     int runs = 0;
-    for (int position = 0; position <= whole.operations; position++) {
+    for (int position = 0; position <= uninterrupted.operations; position++) {
       for (int seed = 0; seed < 12; seed++) {
         SimulatedDirectory directory = new SimulatedDirectory();
         directory.crashAfter = position;
@@ -100,21 +100,20 @@
         try {
           workload.run(directory, 40);
         } catch (SimulatedDirectory.Crash exception) {
-          // As it was meant.
+          // The simulated crash ends the workload.
         }
         SimulatedDirectory after = directory.afterCrash(seed);
         List<String> found = read(after);
-        String which = "crash after " + position + ", seed " + seed;
-        assertTrue(found.size() >= workload.acknowledged, which + ": lost " + found.size());
-        assertEquals(workload.attempted.subList(0, found.size()), found, which);
-        assertEquals(found, read(after), which + ": opened twice");
+        String crash = "crash after " + position + ", seed " + seed;
+        assertTrue(found.size() >= workload.acknowledged, crash + ": recovered " + found.size());
+        assertEquals(workload.attempted.subList(0, found.size()), found, crash);
+        assertEquals(found, read(after), crash + ": opened twice");
         runs++;
       }
     }
     assertTrue(runs > 1500, "runs: " + runs);
   }
 
-  /** Crashes during the recovery from a crash. */
   @Test
   void acknowledgedEntriesSurviveCrashesDuringRecovery() throws IOException {
     for (int seed = 0; seed < 200; seed++) {
@@ -124,7 +123,7 @@
       try {
         workload.run(directory, 40);
       } catch (SimulatedDirectory.Crash exception) {
-        // As it was meant.
+        // The simulated crash ends the workload.
       }
       SimulatedDirectory after = directory.afterCrash(seed);
       for (int position = 0; position < 8; position++) {
@@ -144,8 +143,8 @@
   }
 
   /**
-   * One bit anywhere: it is found, and either refused as damage, or, when nothing says that the
-   * last record was durable, taken for a torn end; never is anything else read than was written.
+   * Guards against silent corruption: a flipped bit is rejected as corruption, or truncated as a
+   * torn write if no later record shows that the data was durable.
    */
   @Test
   void everyFlippedBitIsDetected() throws IOException {
@@ -153,26 +152,28 @@
     Workload workload = new Workload();
     workload.run(directory, 24);
     open(directory, new RecordedReplay()).writeDurabilityMark();
-    int refused = 0;
-    int cut = 0;
+    int rejected = 0;
+    int truncated = 0;
     for (String name : directory.fileNames()) {
       for (int position = 0; position < directory.size(name); position++) {
         SimulatedDirectory flipped = directory.copy();
-        flipped.flip(name, position, position % 8);
+        flipped.flipBit(name, position, position % 8);
         try {
           List<String> found = read(flipped);
           assertEquals(workload.attempted.subList(0, found.size()), found, name + " " + position);
           assertTrue(
               found.size() >= workload.acknowledged - 3,
               name + " " + position + ": " + found.size());
-          cut++;
+          truncated++;
         } catch (CorruptFileException exception) {
           assertEquals(name, exception.file());
-          refused++;
+          rejected++;
         }
       }
     }
-    assertTrue(refused > 5 * cut, refused + " refused, " + cut + " taken for a torn end");
+    assertTrue(
+        rejected > 5 * truncated,
+        rejected + " rejected, " + truncated + " truncated as torn writes");
   }
 
   @Test
@@ -181,45 +182,47 @@
     Workload workload = new Workload();
     workload.run(directory, 8);
     String first = directory.fileNames().get(0);
-    directory.flip(first, 60, 3);
+    directory.flipBit(first, 60, 3);
     CorruptFileException corruption =
         assertThrows(CorruptFileException.class, () -> read(directory));
     assertTrue(
         corruption.getMessage().startsWith(first + ": damaged at byte 36: entry 1 is not"),
         "" + corruption);
-    List<String> done = WriteAheadLogRepair.repair(directory, corruption);
-    assertTrue(done.get(done.size() - 1).contains(first + " is cut off at byte 36"), "" + done);
-    assertEquals(List.of(), read(directory), "what came before the damage: nothing here");
-    assertTrue(directory.fileNames().contains("damaged-" + first), "and nothing was destroyed");
+    List<String> actions = WriteAheadLogRepair.repair(directory, corruption);
+    assertTrue(
+        actions.get(actions.size() - 1).contains(first + " is cut off at byte 36"), "" + actions);
+    assertEquals(List.of(), read(directory), "entries before the corruption");
+    assertTrue(
+        directory.fileNames().contains("damaged-" + first), "corrupt file kept by the repair");
   }
 
   @Test
-  void fileOfAnotherStoreIsRejected() throws IOException {
+  void fileOfOtherStoreIsRejected() throws IOException {
     SimulatedDirectory one = new SimulatedDirectory();
     new Workload().run(one, 8);
     SimulatedDirectory other = new SimulatedDirectory();
     WriteAheadLog.open(other, MAX_SEGMENT_BYTES, 1, 2, new RecordedReplay());
-    String last = one.fileNames().get(one.fileNames().size() - 1);
-    String theirs = other.fileNames().get(0);
-    byte[] foreign = other.read(theirs, 0, 99);
+    String lastFile = one.fileNames().get(one.fileNames().size() - 1);
+    String otherSegment = other.fileNames().get(0);
+    byte[] foreign = other.read(otherSegment, 0, 99);
     one.truncate(one.fileNames().get(0), 0);
     one.append(one.fileNames().get(0), java.nio.ByteBuffer.wrap(foreign));
-    assertFalse(last.equals(one.fileNames().get(0)));
+    assertFalse(lastFile.equals(one.fileNames().get(0)));
     CorruptFileException corruption = assertThrows(CorruptFileException.class, () -> read(one));
     assertTrue(corruption.getMessage().contains("another store's"), corruption.getMessage());
   }
 
-  /** A rejected write leaves nothing; the next one follows the last acknowledged entry. */
+  /** Guards against partial entries left behind by a write that failed on a full disk. */
   @Test
-  void fullDiskRejectsWritesUntilThereIsSpace() throws IOException {
+  void writesAreRejectedWhileDiskIsFull() throws IOException {
     SimulatedDirectory directory = new SimulatedDirectory();
     WriteAheadLog log = open(directory, new RecordedReplay());
     log.append(List.of("one".getBytes(StandardCharsets.UTF_8)));
     byte[] two = "two".repeat(9).getBytes(StandardCharsets.UTF_8);
-    for (int room = 0; room < 40; room++) {
-      directory.capacity = directory.size(directory.fileNames().get(0)) + room;
+    for (int freeBytes = 0; freeBytes < 40; freeBytes++) {
+      directory.capacity = directory.size(directory.fileNames().get(0)) + freeBytes;
       assertThrows(IOException.class, () -> log.append(List.of(two)));
-      assertEquals(List.of("one"), read(directory.copy()), "room for " + room + " bytes of it");
+      assertEquals(List.of("one"), read(directory.copy()), freeBytes + " bytes free");
     }
     directory.capacity = Long.MAX_VALUE;
     log.probe();
@@ -227,9 +230,9 @@
     assertEquals(List.of("one", "three"), read(directory.copy()));
   }
 
-  /** What a failed sync left is unknown, so it is truncated before anything else is written. */
+  /** Guards against an entry that reappears after its sync failed. */
   @Test
-  void failedSyncIsTruncatedBeforeTheNextWrite() throws IOException {
+  void entryIsTruncatedAfterFailedSync() throws IOException {
     SimulatedDirectory directory = new SimulatedDirectory();
     WriteAheadLog log = open(directory, new RecordedReplay());
     log.append(List.of("one".getBytes(StandardCharsets.UTF_8)));
@@ -244,29 +247,31 @@
     }
   }
 
-  /** The crash tests detect a disk, or a log, that skips syncs. */
+  /** Guards against crash tests that pass even if syncs are skipped. */
   @Test
   void skippedSyncsAreDetected() throws IOException {
-    for (boolean names : new boolean[] {false, true}) {
-      int noticed = 0;
+    for (boolean directorySyncs : new boolean[] {false, true}) {
+      int detected = 0;
       for (int position = 5; position < 120; position++) {
         SimulatedDirectory directory = new SimulatedDirectory();
-        directory.skipSyncs = !names;
-        directory.skipDirectorySyncs = names;
+        directory.skipSyncs = !directorySyncs;
+        directory.skipDirectorySyncs = directorySyncs;
         directory.crashAfter = position;
         Workload workload = new Workload();
         try {
           workload.run(directory, 40);
         } catch (SimulatedDirectory.Crash exception) {
-          // As it was meant.
+          // The simulated crash ends the workload.
         }
         try {
-          noticed += read(directory.afterCrash(position)).size() < workload.acknowledged ? 1 : 0;
+          detected += read(directory.afterCrash(position)).size() < workload.acknowledged ? 1 : 0;
         } catch (CorruptFileException exception) {
-          noticed++;
+          detected++;
         }
       }
-      assertTrue(noticed > 20, "names " + names + ": noticed " + noticed + " of 115");
+      assertTrue(
+          detected > 20,
+          "directory syncs " + directorySyncs + ": detected " + detected + " of 115");
     }
   }
 }
