--- a/src/main/java/io/saltflow/kvserver/ReplicatedServer.java
+++ b/src/main/java/io/saltflow/kvserver/ReplicatedServer.java
@@ -43,7 +43,7 @@
   private static final TimeSpan DURABILITY_MARK_INTERVAL = TimeSpan.seconds(1);
   private static final int KEYS_PER_PART = 500;
 
-  /** Limit on the bytes of pending requests, which may form one batch and must fit into a frame. */
+  /** Limit on the bytes of pending requests: a batch of all of them must fit into a frame. */
   private static final int MAX_PENDING_REQUEST_BYTES = 192 * 1024;
 
   /** Allows one entry per message, because an entry may be as large as a frame. */
--- a/src/main/java/io/saltflow/wal/LogRecord.java
+++ b/src/main/java/io/saltflow/wal/LogRecord.java
@@ -7,7 +7,7 @@
 
 /**
  * A record of entries that are written together. Its encoding starts with the length and a CRC-32C
- * over the rest of the record.
+ * that covers the length and the contents.
  *
  * @param durableUpTo the last sequence number that was durable when the record was written
  * @param firstSequence the sequence number of the first entry
