--- a/src/main/java/io/saltflow/model/AdaptiveRateLimiter.java
+++ b/src/main/java/io/saltflow/model/AdaptiveRateLimiter.java
@@ -1,17 +1,18 @@
 package io.saltflow.model;
 
 /**
- * A token bucket whose rate adapts: it is halved when the server rejects a request as too many, and
- * grows back otherwise (additive increase, multiplicative decrease, after Chiu and Jain, 1989).
- * Clients that share one limit without knowing of each other converge to even shares.
+ * A token bucket whose rate adapts: the rate is halved when the server rejects a request because of
+ * its rate limit, and recovers linearly otherwise (additive increase, multiplicative decrease,
+ * after Chiu and Jain, 1989). Clients that share one limit without coordination converge to even
+ * shares.
  */
 public final class AdaptiveRateLimiter {
   private static final double DECREASE_FACTOR = 0.5;
 
-  /** As a fraction of the highest rate, each second. */
+  /** Increase per second, as a fraction of the maximum rate. */
   private static final double INCREASE_PER_SECOND = 0.04;
 
-  /** Rejections within this time belong to requests that were sent before the last decrease. */
+  /** Time after a decrease in which rejections are attributed to requests sent before it. */
   private static final TimeSpan DECREASE_COOLDOWN = TimeSpan.seconds(1);
 
   private final double minPerSecond;
@@ -22,8 +23,10 @@
   private MonotonicTime decreasedAt = MonotonicTime.LONG_AGO;
 
   /**
-   * @param minPerSecond requests a second that are always allowed
-   * @param maxPerSecond the highest rate in requests a second, which is also the first one
+   * Creates a limiter that starts at the maximum rate.
+   *
+   * @param minPerSecond lower bound of the rate, in requests per second
+   * @param maxPerSecond upper bound of the rate, in requests per second
    */
   public AdaptiveRateLimiter(double minPerSecond, double maxPerSecond, MonotonicTime now) {
     this.minPerSecond = Math.max(0.1, Math.min(minPerSecond, maxPerSecond));
@@ -33,7 +36,7 @@
     this.lastRefill = now;
   }
 
-  /** The server rejected a request as too many: halves the rate, once per cooldown. */
+  /** Records that the server rejected a request; halves the rate at most once per cooldown. */
   public void onRejected(MonotonicTime now) {
     refill(now);
     if (now.since(decreasedAt).longerThan(DECREASE_COOLDOWN)) {
@@ -43,7 +46,7 @@
     }
   }
 
-  /** Takes one permit if there is one. */
+  /** Takes one permit if available and returns whether it was taken. */
   public boolean tryAcquire(MonotonicTime now) {
     refill(now);
     if (tokens < 1) {
@@ -53,7 +56,7 @@
     return true;
   }
 
-  /** The current rate, in requests a second. */
+  /** Returns the current rate, in requests per second. */
   public double rate() {
     return perSecond;
   }
--- a/src/main/java/io/saltflow/model/Attempt.java
+++ b/src/main/java/io/saltflow/model/Attempt.java
@@ -1,10 +1,13 @@
 package io.saltflow.model;
 
-/** The number of one attempt at a task; unique across leaders because the term leads it. */
+/**
+ * Number of one attempt at a task. It is unique across leaders because its upper bits hold the
+ * term.
+ */
 public record Attempt(long number) {
   private static final int SEQUENCE_BITS = 32;
 
-  /** The attempt of a term and of a sequence number within it. */
+  /** Returns the attempt with a sequence number that is unique within the term. */
   public static Attempt of(Term term, long sequence) {
     return new Attempt((term.number() << SEQUENCE_BITS) | sequence);
   }
--- a/src/main/java/io/saltflow/model/JobSpec.java
+++ b/src/main/java/io/saltflow/model/JobSpec.java
@@ -3,11 +3,12 @@
 import java.util.List;
 
 /**
- * The specification of a job as its user submitted it. {@code deadline} and {@code machineTypes}
- * may be null: no deadline, any type.
+ * The specification of a job as its user submitted it.
  *
- * @param dependencies the jobs that have to be done before any task of this one starts; in a job's
- *     record those of them that were not known to be done when it was accepted
+ * @param machineTypes the machine types that the job may run on, or {@code null} for any type
+ * @param deadline the deadline, or {@code null} if there is none
+ * @param dependencies the jobs that must be done before any task of this job starts; a stored job
+ *     record lists only those that were not known to be done when the job was accepted
  */
 public record JobSpec(
     JobId id,
@@ -30,7 +31,7 @@
     TimeSpan deadline,
     List<JobId> dependencies) {
 
-  /** The same job with other dependencies. */
+  /** Returns a copy of this job with other dependencies. */
   public JobSpec awaiting(List<JobId> others) {
     return new JobSpec(
         id,
@@ -54,25 +55,25 @@
         List.copyOf(others));
   }
 
-  /** Whether the job's tasks write checkpoints. */
+  /** Returns whether the job's tasks write checkpoints. */
   public boolean checkpoints() {
     return checkpointInterval.ms() > 0;
   }
 
-  /** Whether the job may run on a machine of this type. */
+  /** Returns whether the job may run on a machine of this type. */
   public boolean allowsType(String type) {
     return machineTypes == null || machineTypes.contains(type);
   }
 
   /**
-   * Whether the machine's type, zone and kind of purchase suit the job, whatever its other tasks
-   * do.
+   * Returns whether the job may run on a machine of this type, zone and purchase option, regardless
+   * of where its other tasks run.
    */
   public boolean allows(String type, String inZone, boolean spot) {
     return allowsType(type) && (zone == null || zone.equals(inZone)) && (spotAllowed || !spot);
   }
 
-  /** The most tasks in one zone when the job must be spread. */
+  /** Returns the maximum number of tasks in one zone for a job that must be spread. */
   public int spreadLimit() {
     return (tasks + 1) / 2;
   }
--- a/src/main/java/io/saltflow/model/MachineId.java
+++ b/src/main/java/io/saltflow/model/MachineId.java
@@ -1,6 +1,6 @@
 package io.saltflow.model;
 
-/** A machine's name, given by the cloud; the order of names is the order of creation. */
+/** A machine's name, assigned by the cloud. Names sort in order of creation. */
 public record MachineId(String text) implements Comparable<MachineId> {
   @Override
   public int compareTo(MachineId other) {
--- a/src/main/java/io/saltflow/model/MachineType.java
+++ b/src/main/java/io/saltflow/model/MachineType.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A kind of machine that the cloud rents. */
+/** A machine type that the cloud offers. */
 public record MachineType(
     String name,
     Resources size,
@@ -11,7 +11,7 @@
     double spotPrice,
     TimeSpan boot,
     List<String> zones) {
-  /** The price of an hour, on demand or as a spot instance. */
+  /** Returns the hourly price, on demand or as a spot instance. */
   public double hourly(boolean spot) {
     return spot ? spotPrice : price;
   }
--- a/src/main/java/io/saltflow/model/Priority.java
+++ b/src/main/java/io/saltflow/model/Priority.java
@@ -1,13 +1,13 @@
 package io.saltflow.model;
 
-/** The priority of a job, lowest first. */
+/** Job priorities in ascending order. */
 public enum Priority {
   LOW,
   NORMAL,
   HIGH,
   CRITICAL;
 
-  /** Whether this is a higher priority than the other one. */
+  /** Returns whether this priority is higher than the other one. */
   public boolean higherThan(Priority other) {
     return compareTo(other) > 0;
   }
--- a/src/main/java/io/saltflow/model/RateLimiter.java
+++ b/src/main/java/io/saltflow/model/RateLimiter.java
@@ -1,13 +1,13 @@
 package io.saltflow.model;
 
-/** A token bucket: permits accrue at a rate up to a burst. */
+/** A token bucket: permits accrue at a fixed rate up to a maximum burst. */
 public final class RateLimiter {
   private double perSecond;
   private double burst;
   private double tokens;
   private MonotonicTime lastRefill;
 
-  /** Creates a limiter whose burst is fully available. */
+  /** Creates a limiter that starts with a full bucket. */
   public RateLimiter(double perSecond, double burst, MonotonicTime now) {
     this.perSecond = Math.max(0.1, perSecond);
     this.burst = Math.max(this.perSecond, burst);
@@ -15,7 +15,7 @@
     this.lastRefill = now;
   }
 
-  /** Changes the rate; the burst becomes one second's permits. */
+  /** Changes the rate and sets the burst to the permits of one second. */
   public void setRate(double newPerSecond, MonotonicTime now) {
     refill(now);
     perSecond = Math.max(0.1, newPerSecond);
@@ -23,7 +23,10 @@
     tokens = Math.min(tokens, burst);
   }
 
-  /** Takes the permits if they are there; more than a second's permits need only one second's. */
+  /**
+   * Takes the permits if available and returns whether they were taken. A request for more than one
+   * second's permits succeeds once one second's permits are available.
+   */
   public boolean tryAcquire(int permits, MonotonicTime now) {
     refill(now);
     if (tokens < Math.min(permits, perSecond)) {
@@ -33,19 +36,19 @@
     return true;
   }
 
-  /** Whether {@link #tryAcquire} would succeed, without taking anything. */
+  /** Returns whether {@link #tryAcquire} would succeed, without taking permits. */
   public boolean canAcquire(int permits, MonotonicTime now) {
     refill(now);
     return tokens >= Math.min(permits, perSecond);
   }
 
-  /** The number of whole permits that are available. */
+  /** Returns the number of whole permits that are available. */
   public int available(MonotonicTime now) {
     refill(now);
     return (int) Math.floor(tokens);
   }
 
-  /** Takes permits even when there are none, into a debt of at most one second. */
+  /** Takes permits unconditionally; the balance may drop to minus one second of permits. */
   public void forceAcquire(int permits, MonotonicTime now) {
     refill(now);
     tokens = Math.max(-perSecond, tokens - permits);
--- a/src/main/java/io/saltflow/model/Resources.java
+++ b/src/main/java/io/saltflow/model/Resources.java
@@ -1,33 +1,33 @@
 package io.saltflow.model;
 
-/** An amount of cores, gpus and memory. */
+/** An amount of CPU cores, GPUs and memory. */
 public record Resources(double cores, double gpus, double memoryGb) {
   public static final Resources ZERO = new Resources(0, 0, 0);
   private static final double ROUNDING_TOLERANCE = 1e-6;
 
-  /** The sum of each amount. */
+  /** Returns the sum of each amount. */
   public Resources plus(Resources other) {
     return new Resources(cores + other.cores, gpus + other.gpus, memoryGb + other.memoryGb);
   }
 
-  /** The difference of each amount, which may be negative. */
+  /** Returns the difference of each amount, which may be negative. */
   public Resources minus(Resources other) {
     return new Resources(cores - other.cores, gpus - other.gpus, memoryGb - other.memoryGb);
   }
 
-  /** Each amount times a factor. */
+  /** Returns each amount multiplied by a factor. */
   public Resources times(double factor) {
     return new Resources(cores * factor, gpus * factor, memoryGb * factor);
   }
 
-  /** Whether no amount exceeds the room, up to rounding. */
-  public boolean fitsIn(Resources room) {
-    return cores <= room.cores + ROUNDING_TOLERANCE
-        && gpus <= room.gpus + ROUNDING_TOLERANCE
-        && memoryGb <= room.memoryGb + ROUNDING_TOLERANCE;
+  /** Returns whether no amount exceeds the available one, up to rounding. */
+  public boolean fitsIn(Resources available) {
+    return cores <= available.cores + ROUNDING_TOLERANCE
+        && gpus <= available.gpus + ROUNDING_TOLERANCE
+        && memoryGb <= available.memoryGb + ROUNDING_TOLERANCE;
   }
 
-  /** The minimum of each amount. */
+  /** Returns the minimum of each amount. */
   public Resources min(Resources other) {
     return new Resources(
         Math.min(cores, other.cores),
@@ -35,17 +35,17 @@
         Math.min(memoryGb, other.memoryGb));
   }
 
-  /** How many times these resources fit into the room. */
-  public int countFittingIn(Resources room) {
+  /** Returns how many times these resources fit into the available ones. */
+  public int countFittingIn(Resources available) {
     double count = Integer.MAX_VALUE;
     if (cores > 0) {
-      count = Math.min(count, Math.floor((room.cores + ROUNDING_TOLERANCE) / cores));
+      count = Math.min(count, Math.floor((available.cores + ROUNDING_TOLERANCE) / cores));
     }
     if (gpus > 0) {
-      count = Math.min(count, Math.floor((room.gpus + ROUNDING_TOLERANCE) / gpus));
+      count = Math.min(count, Math.floor((available.gpus + ROUNDING_TOLERANCE) / gpus));
     }
     if (memoryGb > 0) {
-      count = Math.min(count, Math.floor((room.memoryGb + ROUNDING_TOLERANCE) / memoryGb));
+      count = Math.min(count, Math.floor((available.memoryGb + ROUNDING_TOLERANCE) / memoryGb));
     }
     return (int) Math.max(0, count);
   }
--- a/src/main/java/io/saltflow/model/TaskId.java
+++ b/src/main/java/io/saltflow/model/TaskId.java
@@ -2,7 +2,9 @@
 
 /** One task of a job. */
 public record TaskId(JobId job, int index) {
-  /** Parses {@code req-000412/3}; null when the text names no task. */
+  /**
+   * Parses an id such as {@code req-000412/3}; returns {@code null} if the text is not a task id.
+   */
   public static TaskId parse(String text) {
     int slash = text.indexOf('/');
     if (slash <= 0 || slash == text.length() - 1 || text.length() - slash > 8) {
--- a/src/main/java/io/saltflow/model/TimeSpan.java
+++ b/src/main/java/io/saltflow/model/TimeSpan.java
@@ -2,50 +2,50 @@
 
 /** A length of time. */
 public record TimeSpan(long ms) implements Comparable<TimeSpan> {
-  /** The monotonic clocks of two machines drift apart by at most this fraction. */
+  /** Maximum drift between the monotonic clocks of two machines, as a fraction. */
   private static final double MAX_CLOCK_DRIFT = 0.0005;
 
-  /** A span of seconds, rounded to milliseconds. */
+  /** Returns a span of seconds, rounded to milliseconds. */
   public static TimeSpan seconds(double seconds) {
     return new TimeSpan(Math.round(seconds * 1000));
   }
 
-  /** A span of milliseconds. */
+  /** Returns a span of milliseconds. */
   public static TimeSpan millis(long ms) {
     return new TimeSpan(ms);
   }
 
-  /** The length in seconds. */
+  /** Returns the length in seconds. */
   public double toSeconds() {
     return ms / 1000.0;
   }
 
-  /** The sum of two spans. */
+  /** Returns the sum of two spans. */
   public TimeSpan plus(TimeSpan other) {
     return new TimeSpan(ms + other.ms);
   }
 
-  /** The difference of two spans, which may be negative. */
+  /** Returns the difference of two spans, which may be negative. */
   public TimeSpan minus(TimeSpan other) {
     return new TimeSpan(ms - other.ms);
   }
 
-  /** The span times a factor, rounded to milliseconds. */
+  /** Returns this span multiplied by a factor, rounded to milliseconds. */
   public TimeSpan times(double factor) {
     return new TimeSpan(Math.round(ms * factor));
   }
 
-  /** The shortest span that a remote clock may measure while this one passes here. */
+  /** Returns the shortest span that a remote clock may measure while this span passes locally. */
   public TimeSpan minimumOnRemoteClock() {
     return new TimeSpan((long) Math.floor(ms * (1 - 2 * MAX_CLOCK_DRIFT)));
   }
 
-  /** How long to wait here until this span has certainly passed on a remote clock. */
+  /** Returns how long to wait locally until this span has certainly passed on a remote clock. */
   public TimeSpan maximumOnRemoteClock() {
     return new TimeSpan((long) Math.ceil(ms * (1 + 2 * MAX_CLOCK_DRIFT)));
   }
 
-  /** Whether this span is strictly longer. */
+  /** Returns whether this span is strictly longer. */
   public boolean longerThan(TimeSpan other) {
     return ms > other.ms;
   }
--- a/src/main/java/io/saltflow/model/WorkerCommand.java
+++ b/src/main/java/io/saltflow/model/WorkerCommand.java
@@ -1,19 +1,19 @@
 package io.saltflow.model;
 
-/** A command to a worker. */
+/** A command that the leader sends to a worker in response to a heartbeat. */
 public sealed interface WorkerCommand {
-  /** The task that the command is about. */
+  /** Returns the task that the command applies to. */
   TaskId task();
 
-  /** The attempt that the command is about. */
+  /** Returns the attempt that the command applies to. */
   Attempt attempt();
 
-  /** Start the attempt. */
+  /** Starts the attempt. */
   record Launch(TaskId task, Attempt attempt) implements WorkerCommand {}
 
-  /** Stop the attempt after a grace period in which it may write a checkpoint. */
+  /** Stops the attempt after a grace period in which it may write a checkpoint. */
   record Stop(TaskId task, Attempt attempt, TimeSpan grace) implements WorkerCommand {}
 
-  /** Stop listing the exited attempt in heartbeats: its result is recorded. */
+  /** Removes the exited attempt from heartbeats because its result has been recorded. */
   record Clear(TaskId task, Attempt attempt) implements WorkerCommand {}
 }
--- a/src/main/java/io/saltflow/model/WorkerHeartbeat.java
+++ b/src/main/java/io/saltflow/model/WorkerHeartbeat.java
@@ -3,8 +3,10 @@
 import java.util.List;
 
 /**
- * A worker's heartbeat with the status of its tasks. {@code preemptionNotice} is null unless the
- * cloud is about to reclaim the machine.
+ * A worker's heartbeat with the status of its tasks.
+ *
+ * @param preemptionNotice time until the cloud reclaims the machine, or {@code null} if no reclaim
+ *     is announced
  */
 public record WorkerHeartbeat(
     MachineId machine,
@@ -41,7 +43,7 @@
     OTHER
   }
 
-  /** Whether this heartbeat was made after the given one of the same machine. */
+  /** Returns whether this heartbeat was created after the given one of the same machine. */
   public boolean newerThan(long otherAgentEpoch, long otherSequence) {
     return agentEpoch > otherAgentEpoch
         || (agentEpoch == otherAgentEpoch && sequence > otherSequence);
--- a/src/main/java/io/saltflow/model/package-info.java
+++ b/src/main/java/io/saltflow/model/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The value types that all other packages use: ids, terms, revisions, times, resources and the
- * specifications of jobs, and rate limiters over them.
+ * Value types shared by all other packages (ids, terms, revisions, times, resources and job
+ * specifications) and rate limiters.
  */
 package io.saltflow.model;
