--- a/src/main/java/io/saltflow/protocol/AvroInput.java
+++ b/src/main/java/io/saltflow/protocol/AvroInput.java
@@ -8,12 +8,12 @@
 import org.apache.avro.io.DecoderFactory;
 
 /**
- * Reads Avro's binary encoding from untrusted bytes. The library allocates whatever length is
- * claimed, up to two gigabytes for five bytes (found by fuzzing); here a length is checked against
- * the message first.
+ * Reads Avro's binary encoding from untrusted bytes. The Avro library allocates any declared
+ * length, up to two gigabytes for a message of five bytes; this class first checks the length
+ * against the size of the message.
  */
 public final class AvroInput {
-  /** A read that may fail. */
+
   private interface Read<T> {
     T run() throws IOException;
   }
@@ -31,7 +31,7 @@
     try {
       return read.run();
     } catch (IOException | AvroRuntimeException | UnsupportedOperationException exception) {
-      throw new InvalidMessageException("Avro that can't be read: " + exception.getMessage());
+      throw new InvalidMessageException("malformed Avro data:  " + exception.getMessage());
     }
   }
 
@@ -50,18 +50,18 @@
     return checked(decoder::readBoolean);
   }
 
-  /** Reads the index of a union's branch. */
+  /** Reads the branch index of a union. */
   public int readUnionIndex() throws InvalidMessageException {
     return checked(decoder::readIndex);
   }
 
-  /** Reads bytes whose length is checked against the message before memory is allocated. */
+  /** Reads a byte string. Its length is checked against the message before memory is allocated. */
   public byte[] readBytes() throws InvalidMessageException {
     return checked(
         () -> {
           long length = decoder.readLong();
           if (length < 0 || length > size) {
-            throw new EOFException("a length of " + length);
+            throw new EOFException("invalid length " + length);
           }
           byte[] out = new byte[(int) length];
           decoder.readFixed(out);
@@ -69,29 +69,29 @@
         });
   }
 
-  /** Reads a string in UTF-8. */
+  /** Reads a UTF-8 string. */
   public String readString() throws InvalidMessageException {
     return new String(readBytes(), StandardCharsets.UTF_8);
   }
 
-  /** The number of items in an array's first block; 0: the array is empty. */
+  /** Returns the number of items in the first block of an array, or 0 if the array is empty. */
   public long readArrayStart(int maxItems) throws InvalidMessageException {
     return bounded(checked(decoder::readArrayStart), maxItems);
   }
 
-  /** The number of items in the next block; 0: the array has ended. */
+  /** Returns the number of items in the next block of an array, or 0 at its end. */
   public long readArrayNext(int maxItems) throws InvalidMessageException {
     return bounded(checked(decoder::arrayNext), maxItems);
   }
 
   private static long bounded(long items, int maxItems) throws InvalidMessageException {
     if (items < 0 || items > maxItems) {
-      throw new InvalidMessageException("an array of too many items");
+      throw new InvalidMessageException("array has too many items");
     }
     return items;
   }
 
-  /** Whether everything has been read. */
+  /** Returns whether all bytes have been read. */
   public boolean atEnd() throws InvalidMessageException {
     return checked(decoder::isEnd);
   }
--- a/src/main/java/io/saltflow/protocol/AvroOutput.java
+++ b/src/main/java/io/saltflow/protocol/AvroOutput.java
@@ -5,9 +5,9 @@
 import org.apache.avro.io.BinaryEncoder;
 import org.apache.avro.io.EncoderFactory;
 
-/** Writes Avro's binary encoding to memory, which can't fail. */
+/** Writes Avro's binary encoding to memory. */
 public final class AvroOutput {
-  /** Writes the content to an encoder. */
+  /** Content that can be written to an encoder. */
   public interface Content {
     /** Writes the content to an encoder. */
     void writeTo(BinaryEncoder out) throws IOException;
--- a/src/main/java/io/saltflow/protocol/CloudCodec.java
+++ b/src/main/java/io/saltflow/protocol/CloudCodec.java
@@ -7,11 +7,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Codec of the cloud's messages. */
+/** Encodes and decodes the messages of the cloud API. */
 public final class CloudCodec {
   private CloudCodec() {}
 
-  /** A machine as the cloud lists it. */
+  /** A machine in the list that the cloud returns. */
   public record ListedMachine(
       MachineId id,
       String address,
@@ -61,7 +61,7 @@
     return MessageBody.of().with(Wire.MACHINE_TYPES, list);
   }
 
-  /** Encodes a request for machines; the id makes a repeated request idempotent. */
+  /** Encodes a scale-out request; its id makes a repeated request idempotent. */
   public static MessageBody encodeScaleOut(
       String requestId, String type, String zone, boolean spot, int count) {
     return MessageBody.of()
@@ -107,18 +107,18 @@
   /** Decodes one page of the list of machines. */
   public static List<ListedMachine> decodeList(MessageBody body) throws InvalidMessageException {
     List<ListedMachine> out = new ArrayList<>();
-    for (MessageBody messageBody : body.maps(Wire.MACHINES)) {
-      String state = messageBody.textOr(Wire.STATE, "");
+    for (MessageBody machine : body.maps(Wire.MACHINES)) {
+      String state = machine.textOr(Wire.STATE, "");
       out.add(
           new ListedMachine(
-              new MachineId(messageBody.text(Wire.ID)),
-              messageBody.textOr(Wire.ADDRESS, ""),
-              messageBody.text(Wire.MACHINE_TYPE),
-              messageBody.text(Wire.ZONE),
-              messageBody.flagOr(Wire.SPOT, false),
+              new MachineId(machine.text(Wire.ID)),
+              machine.textOr(Wire.ADDRESS, ""),
+              machine.text(Wire.MACHINE_TYPE),
+              machine.text(Wire.ZONE),
+              machine.flagOr(Wire.SPOT, false),
               state.equals(Wire.MACHINE_BOOTING),
               state.equals(Wire.MACHINE_FAILED),
-              TimeSpan.seconds(messageBody.nonNegativeNumberOr(Wire.AGE_S, 0))));
+              TimeSpan.seconds(machine.nonNegativeNumberOr(Wire.AGE_S, 0))));
     }
     return out;
   }
--- a/src/main/java/io/saltflow/protocol/InvalidMessageException.java
+++ b/src/main/java/io/saltflow/protocol/InvalidMessageException.java
@@ -1,8 +1,8 @@
 package io.saltflow.protocol;
 
-/** A message that breaks the protocol; the text is fit to be sent back. */
+/** Signals that a message violates the protocol. Its text may be sent to the peer. */
 public final class InvalidMessageException extends Exception {
-  /** Creates an error whose message may be sent to the peer. */
+  /** Creates an exception whose message may be sent to the peer; it has no stack trace. */
   public InvalidMessageException(String message) {
     super(message, null, false, false);
   }
--- a/src/main/java/io/saltflow/protocol/JobCodec.java
+++ b/src/main/java/io/saltflow/protocol/JobCodec.java
@@ -8,20 +8,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Codec of job specifications. */
+/** Encodes and decodes job specifications. */
 public final class JobCodec {
   private static final int MAX_TASKS = 100_000;
   private static final int MAX_TEXT = 200;
 
   /**
-   * The most jobs that a job may depend on: with ids of 26 characters they take half of a value of
-   * 2 KiB, the smallest that a key-value store is known to allow.
+   * Maximum number of dependencies of a job. With ids of 26 characters they take half of a 2 KiB
+   * value, the smallest value limit of the supported key-value stores.
    */
   public static final int MAX_DEPENDENCIES = 32;
 
   private JobCodec() {}
 
-  /** Decodes only the id, which is looked up before anything else is validated. */
+  /** Decodes only the id, which is looked up before the other fields are validated. */
   public static JobId id(MessageBody body) throws InvalidMessageException {
     String id = body.text(Wire.ID);
     if (!JobId.valid(id)) {
@@ -30,7 +30,11 @@
     return new JobId(id);
   }
 
-  /** Decodes and validates a job; the error names the field. */
+  /**
+   * Decodes and validates a job.
+   *
+   * @throws InvalidMessageException if a field is invalid; the message names the field
+   */
   public static JobSpec decode(MessageBody body) throws InvalidMessageException {
     String shape = body.text(Wire.SHAPE);
     if (!shape.equals(Wire.SHAPE_ARRAY) && !shape.equals(Wire.SHAPE_SERVICE)) {
@@ -74,7 +78,7 @@
         decodeDependencies(body));
   }
 
-  /** Decodes the dependencies: ids of jobs, each named once, without the job itself. */
+  /** Decodes the dependencies, which must be distinct valid ids other than the id of the job. */
   private static List<JobId> decodeDependencies(MessageBody body) throws InvalidMessageException {
     if (body.get(Wire.DEPENDENCIES) == null) {
       return List.of();
@@ -110,7 +114,7 @@
     return text;
   }
 
-  /** Encodes a job; dependencies are left out where there are none, as earlier versions do. */
+  /** Encodes a job. Empty dependencies are omitted for compatibility with earlier versions. */
   public static MessageBody encode(JobSpec spec) {
     MessageBody body = encodeWithoutDependencies(spec);
     return spec.dependencies().isEmpty()
--- a/src/main/java/io/saltflow/protocol/JsonJobs.java
+++ b/src/main/java/io/saltflow/protocol/JsonJobs.java
@@ -10,7 +10,8 @@
 import java.util.TreeMap;
 
 /**
- * Reads jobs that people write: JSON with the field names of the wire, most of which have defaults.
+ * Reads jobs from JSON written by users. It uses the field names of the wire protocol, most of
+ * which have defaults.
  */
 public final class JsonJobs {
   private static final Map<String, Object> DEFAULTS = new TreeMap<>();
@@ -37,7 +38,11 @@
 
   private JsonJobs() {}
 
-  /** Reads one job or a list of jobs. The error says which one is wrong, and how. */
+  /**
+   * Reads one job or a list of jobs.
+   *
+   * @throws InvalidMessageException if a job is invalid; the message says which one and why
+   */
   public static List<MessageBody> read(String json) throws InvalidMessageException {
     JsonNode root;
     try {
@@ -68,7 +73,9 @@
     return out;
   }
 
-  /** Reads the fields of one job. An unknown field is an error, as it is likely a misspelling. */
+  /**
+   * Reads the fields of one job. Unknown fields are rejected because they are likely misspelled.
+   */
   public static MessageBody fields(JsonNode node) throws InvalidMessageException {
     if (!node.isObject()) {
       throw new InvalidMessageException("a map of fields is required");
@@ -84,7 +91,11 @@
     return body;
   }
 
-  /** Fills in defaults; a missing required field is an error. */
+  /**
+   * Returns a copy of the job with defaults for absent fields.
+   *
+   * @throws InvalidMessageException if a required field is missing
+   */
   public static MessageBody withDefaults(MessageBody job) throws InvalidMessageException {
     for (String name : REQUIRED) {
       if (job.get(name) == null) {
--- a/src/main/java/io/saltflow/protocol/JsonSize.java
+++ b/src/main/java/io/saltflow/protocol/JsonSize.java
@@ -4,11 +4,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** How many bytes a body takes as JSON without spaces: PROTOCOL's limits count that form. */
+/**
+ * Computes the size of a body as compact JSON, the form to which the protocol's size limits apply.
+ */
 public final class JsonSize {
   private JsonSize() {}
 
-  /** Bytes of a body, map, list, text, number, boolean or null. */
+  /** Returns the size in bytes of a body, map, list, string, number, boolean or null. */
   public static int of(Object value) {
     if (value instanceof MessageBody messageBody) {
       return of(messageBody.fields());
--- a/src/main/java/io/saltflow/protocol/MessageBody.java
+++ b/src/main/java/io/saltflow/protocol/MessageBody.java
@@ -9,23 +9,23 @@
 /** A MessagePack map with checked access to its fields. */
 public record MessageBody(Map<String, Object> fields) {
 
-  /** A body without fields. */
+  /** Returns a new body without fields. */
   public static MessageBody of() {
     return new MessageBody(new LinkedHashMap<>());
   }
 
-  /** Sets a field of this body and returns it. */
+  /** Sets a field and returns this body. */
   public MessageBody with(String name, Object value) {
     fields.put(name, value);
     return this;
   }
 
-  /** The value of a field; null when it is absent. */
+  /** Returns the value of a field, or {@code null} if it is absent. */
   public Object get(String name) {
     return fields.get(name);
   }
 
-  /** A required string. */
+  /** Returns a required string. */
   public String text(String name) throws InvalidMessageException {
     if (fields.get(name) instanceof String text) {
       return text;
@@ -33,12 +33,12 @@
     throw new InvalidMessageException(name + ": text is required");
   }
 
-  /** An optional string. */
+  /** Returns an optional string. */
   public String textOr(String name, String otherwise) throws InvalidMessageException {
     return fields.get(name) == null ? otherwise : text(name);
   }
 
-  /** A required number from 0 to 1e9. */
+  /** Returns a required number between 0 and 1e9. */
   public double nonNegativeNumber(String name) throws InvalidMessageException {
     double value;
     if (fields.get(name) instanceof Number number) {
@@ -52,17 +52,17 @@
     return value;
   }
 
-  /** An optional number from 0 to 1e9. */
+  /** Returns an optional number between 0 and 1e9. */
   public double nonNegativeNumberOr(String name, double otherwise) throws InvalidMessageException {
     return fields.get(name) == null ? otherwise : nonNegativeNumber(name);
   }
 
-  /** A required span in seconds. */
+  /** Returns a required span in seconds. */
   public TimeSpan seconds(String name) throws InvalidMessageException {
     return TimeSpan.seconds(nonNegativeNumber(name));
   }
 
-  /** A required integer. */
+  /** Returns a required integer. */
   public long integer(String name) throws InvalidMessageException {
     if (fields.get(name) instanceof Long number) {
       return number;
@@ -70,12 +70,12 @@
     throw new InvalidMessageException(name + ": an integer is required");
   }
 
-  /** An optional integer. */
+  /** Returns an optional integer. */
   public long integerOr(String name, long otherwise) throws InvalidMessageException {
     return fields.get(name) == null ? otherwise : integer(name);
   }
 
-  /** A required boolean. */
+  /** Returns a required boolean. */
   public boolean flag(String name) throws InvalidMessageException {
     if (fields.get(name) instanceof Boolean flag) {
       return flag;
@@ -83,12 +83,12 @@
     throw new InvalidMessageException(name + ": true or false is required");
   }
 
-  /** An optional boolean. */
+  /** Returns an optional boolean. */
   public boolean flagOr(String name, boolean otherwise) throws InvalidMessageException {
     return fields.get(name) == null ? otherwise : flag(name);
   }
 
-  /** A required list of maps. */
+  /** Returns a required list of maps. */
   public List<MessageBody> maps(String name) throws InvalidMessageException {
     List<MessageBody> out = new ArrayList<>();
     for (Object item : list(name)) {
@@ -97,7 +97,7 @@
     return out;
   }
 
-  /** A required list of strings. */
+  /** Returns a required list of strings. */
   public List<String> texts(String name) throws InvalidMessageException {
     List<String> out = new ArrayList<>();
     for (Object item : list(name)) {
@@ -109,7 +109,7 @@
     return out;
   }
 
-  /** A required map. */
+  /** Returns a required map. */
   public MessageBody map(String name) throws InvalidMessageException {
     return asMap(fields.get(name), name);
   }
--- a/src/main/java/io/saltflow/protocol/MessagePackCodec.java
+++ b/src/main/java/io/saltflow/protocol/MessagePackCodec.java
@@ -11,14 +11,16 @@
 import org.msgpack.core.MessagePackException;
 import org.msgpack.core.MessageUnpacker;
 
-/** MessagePack bodies: maps keyed by text, lists, text, numbers, booleans and null. */
+/**
+ * Encodes and decodes MessagePack bodies of maps with string keys, lists, strings, numbers,
+ * booleans and null.
+ */
 public final class MessagePackCodec {
   private static final int MAX_DEPTH = 16;
 
   /**
-   * Both are made for a message: with the library's own sizes each would take 8 and 16 KiB, at some
-   * thousand reports a second most of what is allocated. Texts that are longer than the decoder's
-   * buffer are read in pieces.
+   * Smaller buffers than the library's defaults of 8 and 16 KiB, because both are allocated for
+   * each message. Strings that are longer than the decoder's buffer are read in pieces.
    */
   private static final MessagePack.PackerConfig PACKER =
       new MessagePack.PackerConfig().withBufferSize(1024);
@@ -67,7 +69,11 @@
     }
   }
 
-  /** Decodes a body; trailing bytes, unknown types and deep nesting are errors. */
+  /**
+   * Decodes a body.
+   *
+   * @throws InvalidMessageException if the body has trailing bytes, an unknown type or deep nesting
+   */
   public static MessageBody decode(byte[] bytes) throws InvalidMessageException {
     try (MessageUnpacker unpacker = UNPACKER.newUnpacker(bytes)) {
       Object value = read(unpacker, bytes.length, 0);
@@ -123,14 +129,14 @@
     }
   }
 
-  /** Integers are below 2^64; those from 2^63 on come as the same 64 bits. */
+  /** Reads an integer below 2^64. Values from 2^63 on are returned as the same 64 bits. */
   private static Object readInteger(MessageUnpacker in) throws IOException {
     return in.getNextFormat() == MessageFormat.UINT64
         ? in.unpackBigInteger().longValue()
         : in.unpackLong();
   }
 
-  /** A count can't exceed the bytes there are: guards against a header that claims billions. */
+  /** Rejects a declared item count that exceeds the size of the message. */
   private static int checked(int count, int limit) throws InvalidMessageException {
     if (count < 0 || count > limit) {
       throw new InvalidMessageException("the body is truncated");
--- a/src/main/java/io/saltflow/protocol/PeerHeartbeat.java
+++ b/src/main/java/io/saltflow/protocol/PeerHeartbeat.java
@@ -11,14 +11,15 @@
 import org.apache.avro.io.EncoderFactory;
 
 /**
- * The heartbeat that controllers send each other, in Avro's binary encoding by the schema {@code
- * mesh.avsc}. It is written field by field: parsing the schema at start would cost a small machine
- * seconds.
+ * The heartbeat that controllers send each other, in Avro's binary encoding with the schema {@code
+ * mesh.avsc}. It is written field by field because parsing the schema takes seconds of startup time
+ * on a small machine.
  *
  * @param probesReplicas whether the sender probes services' replicas for the leader
- * @param unanswered jobs that the sender could not answer its users about
- * @param wallClockMs the sender's time of day; 0: it does not say
- * @param cancelsDependents whether the sender leads and cancels what depends on cancelled jobs
+ * @param unanswered jobs for which the sender could not answer user requests
+ * @param wallClockMs the sender's wall clock in milliseconds, or 0 if unknown
+ * @param cancelsDependents whether the sender is the leader and cancels dependents of cancelled
+ *     jobs
  */
 public record PeerHeartbeat(
     String host,
@@ -34,13 +35,13 @@
 
   private static final int MAX_UNANSWERED = 200;
 
-  /** Questions about the job have been refused for so long. */
+  /** A job for which user requests have been refused, and for how long. */
   public record UnansweredJob(JobId job, TimeSpan since) {}
 
-  /** A job's live counts. */
+  /** Numbers of done and running tasks of a job. */
   public record JobCounts(JobId job, int done, int running) {}
 
-  /** Encodes the heartbeat as one frame of the mesh. */
+  /** Encodes the heartbeat as one frame. Jobs beyond the maximum count are omitted. */
   public byte[] encode() {
     try {
       ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -78,7 +79,7 @@
     }
   }
 
-  /** Decodes a frame; fields that earlier versions lack get their defaults. */
+  /** Decodes a frame. Fields that earlier versions do not send get default values. */
   public static PeerHeartbeat decode(byte[] frame) throws InvalidMessageException {
     AvroInput in = new AvroInput(frame);
     String host = in.readString();
@@ -93,9 +94,9 @@
         jobs.add(new JobCounts(new JobId(in.readString()), in.readInt(), in.readInt()));
       }
     }
-    // Earlier versions do not say whether they probe for others: they don't.
+    // Earlier versions end here; they do not probe replicas.
     boolean probes = !in.atEnd() && in.readBoolean();
-    // Nor do they say whom they could not answer.
+    // Earlier versions do not send unanswered jobs.
     List<UnansweredJob> unanswered = new ArrayList<>();
     long unansweredItems = in.atEnd() ? 0 : in.readArrayStart(MAX_UNANSWERED);
     for (;
@@ -107,7 +108,7 @@
       }
     }
     long wallMs = in.atEnd() ? 0 : in.readLong();
-    // Versions that know no dependencies between jobs cancel nothing for them.
+    // Versions without job dependencies do not cancel dependents.
     boolean cascades = !in.atEnd() && in.readBoolean();
     return new PeerHeartbeat(
         host, term, leading, storeSilenceMs, jobs, probes, unanswered, wallMs, cascades);
--- a/src/main/java/io/saltflow/protocol/PriorityNames.java
+++ b/src/main/java/io/saltflow/protocol/PriorityNames.java
@@ -6,7 +6,7 @@
 public final class PriorityNames {
   private PriorityNames() {}
 
-  /** The name of a priority. */
+  /** Returns the name of a priority. */
   public static String of(Priority priority) {
     return switch (priority) {
       case LOW -> Wire.PRIORITY_LOW;
@@ -16,7 +16,7 @@
     };
   }
 
-  /** The priority of a name; null if there is none of that name. */
+  /** Returns the priority with this name, or {@code null} if there is none. */
   public static Priority parse(String name) {
     for (Priority priority : Priority.values()) {
       if (of(priority).equals(name)) {
--- a/src/main/java/io/saltflow/protocol/ProbeFrame.java
+++ b/src/main/java/io/saltflow/protocol/ProbeFrame.java
@@ -8,47 +8,47 @@
 import org.apache.avro.io.EncoderFactory;
 
 /**
- * Between the leader and a peer that probes for it, in Avro's binary form by the schema {@code
- * probes.avsc}. The frame begins with a length that no text has, so that it is never taken for a
- * {@link PeerHeartbeat}, which begins with one.
+ * A probe message between the leader and a peer, in Avro's binary encoding with the schema {@code
+ * probes.avsc}. It starts with a negative length, so that it cannot be mistaken for a {@link
+ * PeerHeartbeat}, which starts with the length of a string.
  */
 public sealed interface ProbeFrame {
-  /** More are asked in further frames. */
+  /** Maximum number of targets in one frame. */
   int MAX_TARGETS = 64;
 
-  /** In the place of a beat's first length. */
+  /** First value of every probe frame, where a heartbeat has a string length. */
   long FRAME_MARKER = -1;
 
-  /** An answer's time when the replica was reached and did not answer well. */
+  /** Latency value of a replica that was reached but returned an unhealthy response. */
   long UNHEALTHY = -1;
 
-  /** An answer's time when the replica could not be reached, or did not answer in time. */
+  /** Latency value of a replica that could not be reached or did not respond in time. */
   long UNREACHABLE = -2;
 
-  /** An answer's time when the probe was not made. */
+  /** Latency value of a replica that was not probed. */
   long NOT_PROBED = -3;
 
   /**
-   * Where to ask.
+   * The address to probe.
    *
-   * @param path what to get by HTTP; empty: connecting is all
+   * @param path the path of the HTTP GET request, or empty to check only that a connection opens
    */
   record ProbeTarget(String host, int port, String path) {}
 
-  /** The leader asks a peer to probe. */
+  /** The leader's request to a peer to probe targets. */
   record ProbeRequest(String to, String from, long batch, long timeoutMs, List<ProbeTarget> targets)
       implements ProbeFrame {}
 
-  /** The times until the answers came, in milliseconds and in the call's order. */
+  /** The latencies in milliseconds, or one of the negative values, in the order of the request. */
   record ProbeResponse(String to, String from, long batch, List<Long> latenciesMs)
       implements ProbeFrame {}
 
-  /** Whether a frame is one of these. */
+  /** Returns whether a frame is a probe frame. */
   static boolean is(byte[] frame) {
     return frame.length > 0 && frame[0] == 1;
   }
 
-  /** The frame's bytes. */
+  /** Encodes the frame. */
   default byte[] encode() {
     try {
       ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -92,11 +92,15 @@
     out.writeLong(batch);
   }
 
-  /** Reads a frame; what is too long or of no known kind is refused. */
+  /**
+   * Decodes a frame.
+   *
+   * @throws InvalidMessageException if the frame has too many targets or an unknown kind
+   */
   static ProbeFrame decode(byte[] frame) throws InvalidMessageException {
     AvroInput in = new AvroInput(frame);
     if (in.readLong() != FRAME_MARKER) {
-      throw new InvalidMessageException("not a probe's frame");
+      throw new InvalidMessageException("not a probe frame");
     }
     int kind = in.readUnionIndex();
     String to = in.readString();
@@ -105,7 +109,7 @@
     return switch (kind) {
       case 0 -> new ProbeRequest(to, from, batch, in.readLong(), readTargets(in));
       case 1 -> new ProbeResponse(to, from, batch, readLatencies(in));
-      default -> throw new InvalidMessageException("a probe's frame of an unknown kind");
+      default -> throw new InvalidMessageException("probe frame of unknown kind");
     };
   }
 
--- a/src/main/java/io/saltflow/protocol/Wire.java
+++ b/src/main/java/io/saltflow/protocol/Wire.java
@@ -1,9 +1,9 @@
 package io.saltflow.protocol;
 
-/** The names that the protocol uses on the wire, mapped to standard terms here and nowhere else. */
+/** Names used by the wire protocol. No other class refers to them by literal. */
 public final class Wire {
 
-  /** What the classes of services' jobs begin with; no user's job may. */
+  /** Reserved prefix of the job classes of service jobs. */
   public static final String SERVICE_CLASS = "service/";
 
   public static final String PATH_JOBS = "/submissions";
@@ -49,7 +49,7 @@
   public static final String CHECKPOINT_WRITE_S = "flushS";
   public static final String DEADLINE_S = "dueS";
 
-  /** Jobs that have to be done before any task of this one starts. */
+  /** Jobs that must be done before any task of this job starts. */
   public static final String DEPENDENCIES = "awaits";
 
   public static final String STATE = "phase";
--- a/src/main/java/io/saltflow/protocol/WorkerCodec.java
+++ b/src/main/java/io/saltflow/protocol/WorkerCodec.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Codec of workers' heartbeats and of the commands that answer them. */
+/** Encodes and decodes worker heartbeats and the commands in their responses. */
 public final class WorkerCodec {
   private WorkerCodec() {}
 
@@ -93,7 +93,7 @@
     };
   }
 
-  /** Decodes the commands of an answer. An unknown command is skipped. */
+  /** Decodes the commands in a heartbeat response. Unknown commands are skipped. */
   public static List<WorkerCommand> decodeCommands(MessageBody body)
       throws InvalidMessageException {
     List<WorkerCommand> out = new ArrayList<>();
@@ -114,7 +114,9 @@
     return out;
   }
 
-  /** An unknown state counts as running: the task is on the machine. */
+  /**
+   * Decodes a task state. An unknown state counts as running because the task is on the machine.
+   */
   private static WorkerHeartbeat.TaskState state(String text) {
     return switch (text) {
       case Wire.TASK_FETCHING -> WorkerHeartbeat.TaskState.FETCHING;
@@ -136,7 +138,7 @@
     };
   }
 
-  /** Encodes the answer to a heartbeat: the fencing token and the commands. */
+  /** Encodes the response to a heartbeat with the fencing token and the commands. */
   public static MessageBody encodeCommands(Term token, List<WorkerCommand> commands) {
     List<Object> list = new ArrayList<>(commands.size());
     for (WorkerCommand command : commands) {
@@ -145,8 +147,8 @@
               .with(Wire.VERB, verb(command))
               .with(Wire.TASK, command.task().toString())
               .with(Wire.ATTEMPT, command.attempt().number());
-      if (command instanceof WorkerCommand.Stop halt) {
-        body.with(Wire.GRACE_S, halt.grace().toSeconds());
+      if (command instanceof WorkerCommand.Stop stop) {
+        body.with(Wire.GRACE_S, stop.grace().toSeconds());
       }
       list.add(body);
     }
--- a/src/main/java/io/saltflow/protocol/package-info.java
+++ b/src/main/java/io/saltflow/protocol/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The wire protocol: field names, codecs, MessagePack and Avro. Field names on the wire appear in
- * this package and nowhere else; they are mapped here to the types of {@code model}.
+ * The wire protocol: field names and codecs for MessagePack and Avro. Wire field names appear only
+ * in this package, which maps them to the types of {@code io.saltflow.model}.
  */
 package io.saltflow.protocol;
--- a/src/test/java/io/saltflow/protocol/ThrottleTest.java
+++ b/src/test/java/io/saltflow/protocol/ThrottleTest.java
@@ -9,52 +9,54 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Several that ask as much as they may of one service, without knowing of each other. */
+/** Guards against uneven shares when several clients use one rate limit without coordination. */
 class ThrottleTest {
   @Test
-  void fiveShareWhatThereIsAndLeaveRoomForWhatMatters() {
-    List<AdaptiveRateLimiter> nodes = new ArrayList<>();
+  void fiveClientsConvergeToEvenSharesWithFewRejections() {
+    List<AdaptiveRateLimiter> limiters = new ArrayList<>();
     for (int i = 0; i < 5; i++) {
-      nodes.add(new AdaptiveRateLimiter(4.5, 45, new MonotonicTime(0)));
+      limiters.add(new AdaptiveRateLimiter(4.5, 45, new MonotonicTime(0)));
     }
     int[] served = new int[5];
-    int refusedLate = 0;
-    double room = 100;
+    int lateRejections = 0;
+    double permits = 100;
     for (long ms = 0; ms < 60_000; ms += 10) {
-      room = Math.min(100, room + 1);
+      permits = Math.min(100, permits + 1);
       for (int i = 0; i < 5; i++) {
-        int who = (int) ((i + ms / 10) % 5);
-        if (!nodes.get(who).tryAcquire(new MonotonicTime(ms))) {
+        int client = (int) ((i + ms / 10) % 5);
+        if (!limiters.get(client).tryAcquire(new MonotonicTime(ms))) {
           continue;
         }
-        if (room >= 1) {
-          room--;
-          served[who]++;
+        if (permits >= 1) {
+          permits--;
+          served[client]++;
         } else {
-          nodes.get(who).onRejected(new MonotonicTime(ms));
-          refusedLate += ms > 10_000 ? 1 : 0;
+          limiters.get(client).onRejected(new MonotonicTime(ms));
+          lateRejections += ms > 10_000 ? 1 : 0;
         }
       }
     }
-    int all = 0;
-    for (int n : served) {
-      all += n;
-      assertTrue(n > 600 && n < 1800, "half to one and a half of an even share: " + n);
+    int total = 0;
+    for (int count : served) {
+      total += count;
+      assertTrue(
+          count > 600 && count < 1800, "expected 50% to 150% of an even share, was " + count);
     }
-    assertTrue(all > 4_500, "of 6,000: " + all);
-    assertTrue(refusedLate < 500, "in 50 s 11,250 could have been asked for: " + refusedLate);
+    assertTrue(total > 4_500, "expected more than 4,500 of 6,000 served, was " + total);
+    assertTrue(
+        lateRejections < 500,
+        "expected fewer than 500 rejections of 11,250 possible requests in 50 s, was "
+            + lateRejections);
   }
 
   @Test
-  void aloneItMayUseAllAndNeverLessThanItsLeast() {
-    AdaptiveRateLimiter adaptiveRateLimiter = new AdaptiveRateLimiter(5, 45, new MonotonicTime(0));
+  void rateStaysWithinItsBounds() {
+    AdaptiveRateLimiter limiter = new AdaptiveRateLimiter(5, 45, new MonotonicTime(0));
     for (int s = 0; s < 30; s++) {
-      adaptiveRateLimiter.onRejected(new MonotonicTime(s * 1100L));
+      limiter.onRejected(new MonotonicTime(s * 1100L));
     }
-    assertTrue(
-        adaptiveRateLimiter.rate() >= 5 && adaptiveRateLimiter.rate() < 10,
-        "" + adaptiveRateLimiter.rate());
-    adaptiveRateLimiter.tryAcquire(new MonotonicTime(120_000));
-    assertEquals(45, adaptiveRateLimiter.rate());
+    assertTrue(limiter.rate() >= 5 && limiter.rate() < 10, "" + limiter.rate());
+    limiter.tryAcquire(new MonotonicTime(120_000));
+    assertEquals(45, limiter.rate());
   }
 }
--- a/src/test/java/io/saltflow/protocol/WireTest.java
+++ b/src/test/java/io/saltflow/protocol/WireTest.java
@@ -29,9 +29,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Messages that are taken, and messages that are refused with a reason. */
+/**
+ * Guards against invalid messages that are accepted and valid ones that are rejected or altered.
+ */
 class WireTest {
-  private static MessageBody submission() {
+  private static MessageBody jobBody() {
     return MessageBody.of()
         .with("id", "req-000412")
         .with("lane", "train")
@@ -56,19 +58,19 @@
         .with("somethingNew", List.of(1, 2));
   }
 
-  private static MessageBody sent(MessageBody messageBody) throws InvalidMessageException {
+  private static MessageBody roundTrip(MessageBody messageBody) throws InvalidMessageException {
     return MessagePackCodec.decode(MessagePackCodec.encode(messageBody));
   }
 
   @Test
-  void jobSurvivesTheWireAndTheRecord() throws InvalidMessageException {
-    JobSpec spec = JobCodec.decode(sent(submission()));
+  void decodedJobEqualsItsReencoding() throws InvalidMessageException {
+    JobSpec spec = JobCodec.decode(roundTrip(jobBody()));
     assertEquals(new Resources(8, 1, 64), spec.size());
     assertEquals(Priority.HIGH, spec.priority());
-    assertEquals(spec, JobCodec.decode(sent(JobCodec.encode(spec))));
-    MessageBody bare = submission();
-    bare.fields().keySet().removeAll(List.of("rigs", "yard", "dueS"));
-    assertEquals(null, JobCodec.decode(sent(bare)).deadline());
+    assertEquals(spec, JobCodec.decode(roundTrip(JobCodec.encode(spec))));
+    MessageBody withoutOptionalFields = jobBody();
+    withoutOptionalFields.fields().keySet().removeAll(List.of("rigs", "yard", "dueS"));
+    assertEquals(null, JobCodec.decode(roundTrip(withoutOptionalFields)).deadline());
   }
 
   @ParameterizedTest
@@ -92,20 +94,18 @@
         "snapshotS",
         "flushS"
       })
-  void missingOrMistypedFieldIsNamed(String field) {
-    MessageBody missing = submission();
+  void missingOrMistypedFieldIsRejectedByName(String field) {
+    MessageBody missing = jobBody();
     missing.fields().remove(field);
-    InvalidMessageException invalidMessageException =
-        assertThrows(InvalidMessageException.class, () -> JobCodec.decode(sent(missing)));
-    assertTrue(
-        invalidMessageException.getMessage().startsWith(field),
-        invalidMessageException.getMessage());
-    MessageBody mistyped = submission().with(field, List.of());
-    assertThrows(InvalidMessageException.class, () -> JobCodec.decode(sent(mistyped)));
+    InvalidMessageException exception =
+        assertThrows(InvalidMessageException.class, () -> JobCodec.decode(roundTrip(missing)));
+    assertTrue(exception.getMessage().startsWith(field), exception.getMessage());
+    MessageBody mistyped = jobBody().with(field, List.of());
+    assertThrows(InvalidMessageException.class, () -> JobCodec.decode(roundTrip(mistyped)));
   }
 
   @Test
-  void valuesOutOfRangeAreRefused() {
+  void outOfRangeValuesAreRejected() {
     for (Object[] bad :
         new Object[][] {
           {"cores", -1.0},
@@ -124,24 +124,24 @@
           {"rigs", "g8"},
           {"rigs", List.of(1)}
         }) {
-      MessageBody messageBody = submission().with((String) bad[0], bad[1]);
+      MessageBody messageBody = jobBody().with((String) bad[0], bad[1]);
       assertThrows(
           InvalidMessageException.class,
-          () -> JobCodec.decode(sent(messageBody)),
+          () -> JobCodec.decode(roundTrip(messageBody)),
           bad[0] + "=" + bad[1]);
     }
   }
 
-  /** The refusal names the field; what earlier versions write and read has none. */
+  /** Guards compatibility with earlier versions, which send no dependencies. */
   @Test
-  void dependenciesAreAcceptedJobsEachNamedOnce() throws InvalidMessageException {
-    MessageBody plain = sent(submission());
+  void invalidDependenciesAreRejectedByName() throws InvalidMessageException {
+    MessageBody plain = roundTrip(jobBody());
     assertEquals(List.of(), JobCodec.decode(plain).dependencies());
     assertEquals(null, JobCodec.encode(JobCodec.decode(plain)).get("awaits"));
-    List<String> most = IntStream.range(0, 32).mapToObj(n -> "req-" + n).toList();
-    JobSpec spec = JobCodec.decode(sent(submission().with("awaits", most)));
-    assertEquals(most, spec.dependencies().stream().map(JobId::text).toList());
-    assertEquals(spec, JobCodec.decode(sent(JobCodec.encode(spec))));
+    List<String> maximum = IntStream.range(0, 32).mapToObj(n -> "req-" + n).toList();
+    JobSpec spec = JobCodec.decode(roundTrip(jobBody().with("awaits", maximum)));
+    assertEquals(maximum, spec.dependencies().stream().map(JobId::text).toList());
+    assertEquals(spec, JobCodec.decode(roundTrip(JobCodec.encode(spec))));
     for (Object bad :
         new Object[] {
           IntStream.range(0, 33).mapToObj(n -> "req-" + n).toList(),
@@ -153,19 +153,18 @@
           "req-1",
           MessageBody.of().with("req-1", 1)
         }) {
-      MessageBody messageBody = submission().with("awaits", bad);
-      InvalidMessageException invalidMessageException =
-          assertThrows(InvalidMessageException.class, () -> JobCodec.decode(sent(messageBody)));
-      assertTrue(
-          invalidMessageException.getMessage().startsWith("awaits: "),
-          invalidMessageException.getMessage());
+      MessageBody messageBody = jobBody().with("awaits", bad);
+      InvalidMessageException exception =
+          assertThrows(
+              InvalidMessageException.class, () -> JobCodec.decode(roundTrip(messageBody)));
+      assertTrue(exception.getMessage().startsWith("awaits: "), exception.getMessage());
     }
   }
 
-  /** Guards against headers that claim billions, bottomless nesting, and anything cut short. */
+  /** Guards against huge declared sizes, deep nesting and truncated messages. */
   @Test
-  void hostileBytesAreRefusedCheaply() {
-    byte[] whole = MessagePackCodec.encode(submission());
+  void malformedMessagePackIsRejected() {
+    byte[] whole = MessagePackCodec.encode(jobBody());
     for (int cut = 0; cut < whole.length; cut++) {
       byte[] part = Arrays.copyOf(whole, cut);
       assertThrows(
@@ -185,7 +184,7 @@
   }
 
   @Test
-  void integersUpToTwoToTheSixtyFourKeepTheirBits() throws InvalidMessageException {
+  void unsigned64BitIntegersKeepTheirBits() throws InvalidMessageException {
     byte[] max = {(byte) 0x81, (byte) 0xa1, 'n', (byte) 0xcf, -1, -1, -1, -1, -1, -1, -1, -1};
     assertEquals(-1L, MessagePackCodec.decode(max).integer("n"));
     assertTrue(new Term(-1L).compareTo(new Term(5)) > 0);
@@ -193,7 +192,7 @@
   }
 
   @Test
-  void reportIsReadAndOrdersAreWritten() throws InvalidMessageException {
+  void heartbeatIsDecodedAndCommandsAreEncoded() throws InvalidMessageException {
     MessageBody task =
         MessageBody.of()
             .with("shard", "req-000398/0")
@@ -212,24 +211,24 @@
             .with("baton", 41)
             .with("warningS", null)
             .with("shards", List.of(task));
-    WorkerHeartbeat workerHeartbeat = WorkerCodec.decodeHeartbeat(sent(messageBody));
+    WorkerHeartbeat workerHeartbeat = WorkerCodec.decodeHeartbeat(roundTrip(messageBody));
     assertEquals(WorkerHeartbeat.ExitCause.DONE, workerHeartbeat.tasks().get(0).cause());
     assertTrue(workerHeartbeat.newerThan(1, 87));
-    WorkerCommand halt =
+    WorkerCommand stop =
         new WorkerCommand.Stop(
             workerHeartbeat.tasks().get(0).task(), new Attempt(1), TimeSpan.seconds(10));
-    MessageBody answer = sent(WorkerCodec.encodeCommands(new Term(41), List.of(halt)));
+    MessageBody answer = roundTrip(WorkerCodec.encodeCommands(new Term(41), List.of(stop)));
     assertEquals(
         "{verb=halt, shard=req-000398/0, try=1, windDownS=10.0}",
         new LinkedHashMap<>(answer.maps("orders").get(0).fields()).toString());
   }
 
-  /** The field-by-field writer keeps to the schema that other programs read by. */
+  /** Guards against a field-by-field encoding that deviates from the published schema. */
   @Test
-  void beatIsAvroByItsSchema() throws IOException, InvalidMessageException {
+  void peerHeartbeatMatchesItsAvroSchema() throws IOException, InvalidMessageException {
     List<PeerHeartbeat.JobCounts> counts = new ArrayList<>();
     counts.add(new PeerHeartbeat.JobCounts(new JobId("req-1"), 2, 3));
-    PeerHeartbeat beat =
+    PeerHeartbeat heartbeat =
         new PeerHeartbeat(
             "saltbox-1",
             new Term(9),
@@ -240,12 +239,12 @@
             List.of(new PeerHeartbeat.UnansweredJob(new JobId("req-000003"), TimeSpan.seconds(7))),
             1_700_000_000_000L,
             true);
-    assertEquals(beat, PeerHeartbeat.decode(beat.encode()));
+    assertEquals(heartbeat, PeerHeartbeat.decode(heartbeat.encode()));
     try (InputStream in = PeerHeartbeat.class.getResourceAsStream("/mesh.avsc")) {
       Schema schema = new Schema.Parser().parse(in);
       GenericRecord record =
           new GenericDatumReader<GenericRecord>(schema)
-              .read(null, DecoderFactory.get().binaryDecoder(beat.encode(), null));
+              .read(null, DecoderFactory.get().binaryDecoder(heartbeat.encode(), null));
       assertEquals("saltbox-1", record.get("host").toString());
       assertEquals(
           "[{\"job\": \"req-1\", \"done\": 2, \"running\": 3}]", record.get("jobs").toString());
@@ -254,29 +253,29 @@
     assertThrows(InvalidMessageException.class, () -> PeerHeartbeat.decode(new byte[] {2, 'x', 1}));
     byte[] bytes =
         new PeerHeartbeat("b", new Term(9), true, 40, counts, true, List.of(), 0, false).encode();
-    PeerHeartbeat before = PeerHeartbeat.decode(Arrays.copyOf(bytes, bytes.length - 1));
-    assertFalse(before.cancelsDependents(), "a node that knows no dependencies does not say");
-    before = PeerHeartbeat.decode(Arrays.copyOf(bytes, bytes.length - 3));
+    PeerHeartbeat decoded = PeerHeartbeat.decode(Arrays.copyOf(bytes, bytes.length - 1));
+    assertFalse(decoded.cancelsDependents(), "version without job dependencies");
+    decoded = PeerHeartbeat.decode(Arrays.copyOf(bytes, bytes.length - 3));
     assertTrue(
-        before.probesReplicas() && before.unanswered().isEmpty(), "of a version before that");
-    before = PeerHeartbeat.decode(Arrays.copyOf(bytes, bytes.length - 4));
-    assertFalse(before.probesReplicas(), "a node of an earlier version does not say");
+        decoded.probesReplicas() && decoded.unanswered().isEmpty(), "version without unanswered jobs");
+    decoded = PeerHeartbeat.decode(Arrays.copyOf(bytes, bytes.length - 4));
+    assertFalse(decoded.probesReplicas(), "version without replica probing");
   }
 
   @Test
-  void probeFramesAreAvroByTheirSchemaAndNeverTakenForBeats()
+  void probeFramesMatchTheirAvroSchemaAndAreNotPeerHeartbeats()
       throws IOException, InvalidMessageException {
-    List<ProbeFrame.ProbeTarget> places =
+    List<ProbeFrame.ProbeTarget> targets =
         List.of(
             new ProbeFrame.ProbeTarget("10.0.0.1", 9000, "/"),
             new ProbeFrame.ProbeTarget("10.0.0.2", 9001, ""));
-    List<Long> times = List.of(12L, ProbeFrame.UNREACHABLE);
+    List<Long> latencies = List.of(12L, ProbeFrame.UNREACHABLE);
     try (InputStream in = PeerHeartbeat.class.getResourceAsStream("/probes.avsc")) {
       Schema schema = new Schema.Parser().parse(in);
       for (ProbeFrame frame :
           List.of(
-              new ProbeFrame.ProbeRequest("b", "a", 7, 3000, places),
-              new ProbeFrame.ProbeResponse("a", "b", 7, times))) {
+              new ProbeFrame.ProbeRequest("b", "a", 7, 3000, targets),
+              new ProbeFrame.ProbeResponse("a", "b", 7, latencies))) {
         byte[] bytes = frame.encode();
         assertTrue(ProbeFrame.is(bytes));
         assertEquals(frame, ProbeFrame.decode(bytes));
