--- a/src/main/java/io/saltflow/transport/Addresses.java
+++ b/src/main/java/io/saltflow/transport/Addresses.java
@@ -4,14 +4,17 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Reads {@code 10.0.0.1:8080}; names are not looked up. */
+/**
+ * Parses and formats IPv4 addresses with a port, such as {@code 10.0.0.1:8080}. Host names are not
+ * resolved.
+ */
 public final class Addresses {
   private Addresses() {}
 
   /**
    * Parses an address and port.
    *
-   * @throws IllegalArgumentException if the text has another form
+   * @throws IllegalArgumentException if the text is not an IPv4 address with a port
    */
   public static InetSocketAddress parse(String text) {
     int colon = text.lastIndexOf(':');
@@ -24,9 +27,9 @@
     }
     byte[] ip = new byte[4];
     for (int i = 0; i < 4; i++) {
-      ip[i] = (byte) ranged(parts[i], 255);
+      ip[i] = (byte) parseBounded(parts[i], 255);
     }
-    int port = ranged(text.substring(colon + 1), 65535);
+    int port = parseBounded(text.substring(colon + 1), 65535);
     try {
       return new InetSocketAddress(InetAddress.getByAddress(text.substring(0, colon), ip), port);
     } catch (UnknownHostException exception) {
@@ -34,19 +37,19 @@
     }
   }
 
-  /** The same form again. */
+  /** Formats an address as {@code address:port}. */
   public static String text(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  private static int ranged(String text, int most) {
+  private static int parseBounded(String text, int max) {
     int value;
     try {
       value = Integer.parseInt(text);
     } catch (NumberFormatException exception) {
       throw new IllegalArgumentException("not an IPv4 address with a port", exception);
     }
-    if (value < 0 || value > most) {
+    if (value < 0 || value > max) {
       throw new IllegalArgumentException("not an IPv4 address with a port");
     }
     return value;
--- a/src/main/java/io/saltflow/transport/EventLoop.java
+++ b/src/main/java/io/saltflow/transport/EventLoop.java
@@ -21,8 +21,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * An event loop on one thread: a selector and timers. All state of the process is accessed only on
- * this thread.
+ * A single-threaded event loop with a selector and timers. All state of the process is accessed
+ * only on this thread.
  */
 public final class EventLoop {
   private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
@@ -32,36 +32,31 @@
     /** Handles a key that is ready. */
     void onReady(SelectionKey key) throws IOException;
 
-    /** Called when {@link #onReady} threw: the channel is unusable. */
+    /** Called when {@link #onReady} threw an exception; the channel is unusable. */
     void onBroken(IOException cause);
 
-    /**
-     * Whether this handler is dispatched before all others that are ready, however many they are.
-     */
+    /** Returns whether this handler is dispatched before all ready handlers without priority. */
     default boolean hasPriority() {
       return false;
     }
   }
 
   /**
-   * The longest time that ordinary handlers keep the loop from its timers and from handlers with
-   * priority. After a restart thousands of workers send requests in the same second; handled in one
-   * go they kept the leader from renewing its own lease. A select costs as much as some hundred
-   * handlers, so a turn is not shorter.
+   * Maximum time for which handlers without priority delay timers and handlers with priority.
+   * Without it, a burst of requests after a restart would keep the leader from renewing its lease.
+   * A select call is expensive compared with a handler, so a turn is not shorter.
    */
   private static final TimeSpan MAX_DISPATCH_TURN = TimeSpan.millis(60);
 
   private static final int SCRATCH_BYTES = 64 * 1024;
 
   /**
-   * After a pause of this length, the time that a worker waits for an answer, every request that
-   * arrived meanwhile has timed out at its client.
+   * Time that a worker waits for a response. After a pause at least this long, requests that
+   * arrived during the pause have timed out at their clients.
    */
   private static final TimeSpan CLIENT_TIMEOUT = TimeSpan.seconds(4);
 
-  /**
-   * The longest time after a pause for which arriving requests count as the backlog of the pause.
-   */
+  /** Maximum time after a pause in which incoming requests count as its backlog. */
   private static final TimeSpan BACKLOG_WINDOW = TimeSpan.seconds(1);
 
   private record Timer(MonotonicTime due, long order, Routine owner, Runnable action)
@@ -81,7 +76,7 @@
   private MonotonicTime backlogUntil = MonotonicTime.LONG_AGO;
   private final PriorityQueue<Timer> timers = new PriorityQueue<>();
 
-  /** Keys that are ready and not dispatched yet, in the order in which they became ready. */
+  /** Keys that are ready but not dispatched yet, in the order in which they became ready. */
   private final Set<SelectionKey> ready = new LinkedHashSet<>();
 
   private final ByteBuffer scratch = ByteBuffer.allocateDirect(SCRATCH_BYTES);
@@ -91,53 +86,53 @@
   private boolean running;
   private volatile boolean stopping;
 
-  /** Creates a loop by the system's clocks. */
+  /** Creates a loop that uses the system clocks. */
   public EventLoop() throws IOException {
     this(System::nanoTime, System::currentTimeMillis);
   }
 
   /**
-   * Creates a loop by other clocks, for tests.
+   * Creates a loop with the given clocks, for tests.
    *
    * @param nanos the monotonic clock, in nanoseconds
-   * @param wallMs the time of day, in milliseconds
+   * @param wallClock the wall clock, in milliseconds
    */
-  public EventLoop(LongSupplier nanos, LongSupplier wallMs) throws IOException {
+  public EventLoop(LongSupplier nanos, LongSupplier wallClock) throws IOException {
     this.nanos = nanos;
-    this.wallClock = wallMs;
+    this.wallClock = wallClock;
     selector = Selector.open();
   }
 
-  /** The current reading of the monotonic clock. */
+  /** Returns the current reading of the monotonic clock. */
   public MonotonicTime now() {
     return new MonotonicTime(nanos.getAsLong() / 1_000_000);
   }
 
-  /** The time of day in milliseconds. No safety property rests on it. */
+  /** Returns the wall clock in milliseconds. No safety property may depend on it. */
   public long wallClockMs() {
     return wallClock.getAsLong();
   }
 
   /**
-   * Detects pauses of the process by both clocks from now on.
+   * Starts to detect process pauses by comparing both clocks.
    *
-   * @param daySkew by how much the time of day may be off
-   * @param then called for each pause, before anything else is dispatched after it
+   * @param wallClockSkew maximum error of the wall clock
+   * @param then called for each pause before anything else is dispatched
    */
-  public void detectPauses(TimeSpan daySkew, Consumer<ProcessPause> then) {
-    pauseDetector = new PauseDetector(daySkew);
+  public void detectPauses(TimeSpan wallClockSkew, Consumer<ProcessPause> then) {
+    pauseDetector = new PauseDetector(wallClockSkew);
     onPause = then;
   }
 
   /**
-   * Whether what is read now arrived during a pause, as far as can be told, so that its client has
-   * timed out.
+   * Returns whether requests that are read now probably arrived during a process pause, so that
+   * their clients have timed out.
    */
   public boolean readingBacklog() {
     return now().before(backlogUntil);
   }
 
-  /** Whether a pause of this process was detected just now. */
+  /** Samples the clocks and returns whether a pause of this process was detected. */
   private boolean pauseDetected() {
     if (pauseDetector == null) {
       return false;
@@ -153,17 +148,17 @@
     return true;
   }
 
-  /** The time that this loop has been busy since it began: not waiting for a socket or timer. */
+  /** Returns the total time that this loop has not spent waiting for a socket or timer. */
   public TimeSpan busyTime() {
     return TimeSpan.millis(busyNs / 1_000_000);
   }
 
-  /** Runs the action later, unless its owner has been cancelled by then. */
+  /** Runs the action after the delay unless its owner has been cancelled by then. */
   public void schedule(TimeSpan delay, Routine owner, Runnable action) {
     timers.add(new Timer(now().plus(delay), timerOrder++, owner, action));
   }
 
-  /** Repeats the action until its owner is cancelled. */
+  /** Repeats the action until its owner is cancelled. The period starts after each run. */
   public void scheduleRepeating(TimeSpan period, Routine owner, Runnable action) {
     schedule(
         period,
@@ -175,8 +170,8 @@
   }
 
   /**
-   * The buffer that connections read into; its content is overwritten by the next read. Each loop
-   * has its own, so that two in one process don't share it.
+   * Returns the buffer that connections of this loop read into. The next read overwrites its
+   * content.
    */
   ByteBuffer scratch() {
     return scratch;
@@ -187,12 +182,12 @@
     return channel.register(selector, ops, handler);
   }
 
-  /** Lets {@link #run} return; it may be called again. */
+  /** Makes {@link #run} return. The loop may be run again. */
   public void pause() {
     running = false;
   }
 
-  /** Runs the action on this loop's thread. It and {@link #stop} may be called by any thread. */
+  /** Runs the action on this loop's thread. May be called from any thread. */
   public void post(Runnable action) {
     posted.add(action);
     selector.wakeup();
@@ -204,7 +199,7 @@
     }
   }
 
-  /** Ends {@link #run} for good. */
+  /** Makes {@link #run} return permanently. May be called from any thread. */
   public void stop() {
     stopping = true;
     selector.wakeup();
@@ -219,21 +214,21 @@
       runPosted();
       long wait = fireTimers();
       if (!running) {
-        // A timer paused the loop: return without waiting.
+        // A timer paused the loop; return without waiting.
         return;
       }
       boolean waited = wait != 0 && ready.isEmpty();
       if (waited) {
-        long waits = nanos.getAsLong();
-        busyNs += waits - since;
+        long waitStart = nanos.getAsLong();
+        busyNs += waitStart - since;
         selector.select(wait);
         since = nanos.getAsLong();
       } else {
         selector.selectNow();
       }
       if (pauseDetected()) {
-        // What is due goes first: a request that should have been given up meanwhile must not be
-        // sent because its connection came up, nor an answer that is too late be taken.
+        // Fire overdue timers first: a request that expired during the pause must not be sent on a
+        // new connection, and a late response must not be accepted.
         continue;
       }
       if (waited && selector.selectedKeys().isEmpty()) {
@@ -243,7 +238,7 @@
     }
   }
 
-  /** Dispatches all handlers with priority, and of the others as many as fit into a turn. */
+  /** Dispatches all handlers with priority and as many of the others as fit into one turn. */
   private void dispatchReady() {
     Iterator<SelectionKey> selected = selector.selectedKeys().iterator();
     while (selected.hasNext()) {
@@ -255,8 +250,8 @@
         ready.add(key);
       }
     }
-    MonotonicTime until = now().plus(MAX_DISPATCH_TURN);
-    while (!ready.isEmpty() && !now().after(until) && !pauseDetected()) {
+    MonotonicTime turnEnd = now().plus(MAX_DISPATCH_TURN);
+    while (!ready.isEmpty() && !now().after(turnEnd) && !pauseDetected()) {
       Iterator<SelectionKey> next = ready.iterator();
       SelectionKey key = next.next();
       next.remove();
@@ -273,13 +268,16 @@
     } catch (IOException exception) {
       runGuarded(() -> handler.onBroken(exception));
     } catch (RuntimeException exception) {
-      // No input of a peer may end the process: its connection is closed instead.
-      LOG.error("a connection failed", exception);
+      // Input from a peer must not terminate the process; only its connection is closed.
+      LOG.error("connection handler failed, closing the connection", exception);
       runGuarded(() -> handler.onBroken(new IOException(exception)));
     }
   }
 
-  /** Fires what is due; returns how long to wait for the next, at least 1 ms, at most 1 s. */
+  /**
+   * Fires due timers and returns the time until the next one in milliseconds, at most 1000. Returns
+   * 0 if more timers may be due.
+   */
   private long fireTimers() {
     for (int fired = 0; fired < 256; fired++) {
       Timer next = timers.peek();
@@ -291,7 +289,7 @@
         return Math.min(wait, 1000);
       }
       timers.poll();
-      // The process may have paused since the last timer: this one is to know that.
+      // The process may have paused since the last timer; report that before this action runs.
       pauseDetected();
       if (next.owner == null || !next.owner.cancelled()) {
         runGuarded(next.action);
@@ -304,7 +302,7 @@
     try {
       action.run();
     } catch (RuntimeException exception) {
-      LOG.error("a duty failed; it goes on", exception);
+      LOG.error("scheduled action failed, the event loop continues", exception);
     }
   }
 }
--- a/src/main/java/io/saltflow/transport/HttpCaller.java
+++ b/src/main/java/io/saltflow/transport/HttpCaller.java
@@ -4,14 +4,16 @@
 import java.util.function.Consumer;
 
 /**
- * Sends requests to one endpoint; the answer comes once, with status 0 if there is none in time.
+ * Sends requests to one endpoint. The callback receives one response, with status 0 if none arrives
+ * in time.
  */
 public interface HttpCaller {
   /**
-   * Sends a request, at once or when a connection is free.
+   * Sends a request as soon as a connection is available.
    *
-   * @param timeout after which the request ends with status 0: it may have been executed, or may
-   *     yet be
+   * @param timeout time after which the request completes with status 0; the server may have
+   *     executed it or may still do so
+   * @param then receives the response
    */
   void call(
       String method,
--- a/src/main/java/io/saltflow/transport/HttpClient.java
+++ b/src/main/java/io/saltflow/transport/HttpClient.java
@@ -12,25 +12,33 @@
 import java.util.function.Consumer;
 
 /**
- * Requests to one endpoint over a bounded pool of connections, one request at a time on each. A
- * request that gets no answer in time closes its connection and ends with status 0: it may have
- * been executed, or may yet be.
+ * An HTTP client for one endpoint with a bounded pool of connections and one request at a time on
+ * each. A request that times out closes its connection and completes with status 0; the server may
+ * have executed it or may still do so.
  */
 public final class HttpClient extends Routine implements HttpCaller {
   private static final int MAX_BODY = 8 * 1024 * 1024;
+
+  /** Time after which an idle connection is closed. */
   private static final TimeSpan POOL_IDLE = TimeSpan.seconds(20);
 
-  /** How long no new connection is opened after one could not be. */
-  private static final TimeSpan NO_CONNECT = TimeSpan.millis(100);
+  /** Time without new connection attempts after one failed. */
+  private static final TimeSpan CONNECT_BACKOFF = TimeSpan.millis(100);
 
-  /** A response, with the seconds of its Retry-After header, or 0. */
+  /**
+   * A response to a request.
+   *
+   * @param status the status code, or 0 if no response arrived
+   * @param sent the time at which the request was sent
+   * @param retryAfterS the Retry-After header in seconds, or 0 if absent
+   */
   public record Answer(int status, byte[] body, MonotonicTime sent, int retryAfterS) {
-    /** No response arrived: status 0. */
+
     static Answer none(MonotonicTime sent) {
       return new Answer(0, new byte[0], sent, 0);
     }
 
-    /** Whether no response arrived. */
+    /** Returns whether no response arrived. */
     public boolean lost() {
       return status == 0;
     }
@@ -45,9 +53,9 @@
   private final int maxQueue;
   private final ArrayDeque<Connection> idle = new ArrayDeque<>();
   private final ArrayDeque<Request> queue = new ArrayDeque<>();
-  private MonotonicTime noConnectUntil = MonotonicTime.LONG_AGO;
+  private MonotonicTime noConnectBefore = MonotonicTime.LONG_AGO;
 
-  /** Creates a client without connections; they are opened when requests need them. */
+  /** Creates a client that opens connections on demand. */
   public HttpClient(
       Routine parent, EventLoop loop, InetSocketAddress address, int maxConnections, int maxQueue) {
     super(parent);
@@ -81,13 +89,13 @@
     while (!queue.isEmpty()) {
       Connection connection = idle.pollLast();
       if (connection == null) {
-        boolean few = childCount() > 0 && loop.now().before(noConnectUntil);
-        if (childCount() >= maxConnections || few) {
+        boolean backingOff = childCount() > 0 && loop.now().before(noConnectBefore);
+        if (childCount() >= maxConnections || backingOff) {
           return;
         }
         connection = connect();
         if (connection == null && childCount() > 0) {
-          noConnect();
+          backOffConnecting();
           return;
         }
         if (connection == null) {
@@ -101,10 +109,13 @@
     }
   }
 
-  /** No socket is available: waiting requests use the connections that are open. */
-  private void noConnect() {
-    noConnectUntil = loop.now().plus(NO_CONNECT);
-    loop.schedule(NO_CONNECT, this, this::pump);
+  /**
+   * Delays new connections after a failed attempt; queued requests use the open connections
+   * meanwhile.
+   */
+  private void backOffConnecting() {
+    noConnectBefore = loop.now().plus(CONNECT_BACKOFF);
+    loop.schedule(CONNECT_BACKOFF, this, this::pump);
   }
 
   private Connection connect() {
@@ -150,7 +161,10 @@
       connected = true;
     }
 
-    /** Responses to our own requests, lease renewals among them, go before others' requests. */
+    /**
+     * Responses to this process's own requests, such as lease renewals, take priority over incoming
+     * requests.
+     */
     @Override
     public boolean hasPriority() {
       return true;
@@ -168,11 +182,13 @@
       }
       head.append("Content-Length: ").append(request.body.length).append("\r\n\r\n");
       loop.schedule(
-          new TimeSpan(Math.max(1, request.deadline.since(sent).ms())), this, () -> late(request));
+          new TimeSpan(Math.max(1, request.deadline.since(sent).ms())),
+          this,
+          () -> onTimeout(request));
       send(HttpEncoder.join(head, request.body));
     }
 
-    private void late(Request request) {
+    private void onTimeout(Request request) {
       if (current == request) {
         cancel();
       }
@@ -181,15 +197,15 @@
     @Override
     protected void onBytes(ByteBuffer in) throws IOException {
       if (current == null) {
-        throw new IOException("bytes without a request");
+        throw new IOException("received data without an outstanding request");
       }
-      boolean whole;
+      boolean complete;
       try {
-        whole = parser.feed(in);
+        complete = parser.feed(in);
       } catch (HttpParser.MalformedMessageException exception) {
         throw new IOException(exception);
       }
-      if (!whole) {
+      if (!complete) {
         return;
       }
       Request done = current;
@@ -214,9 +230,10 @@
         current = null;
         boolean expired = !loop.now().before(lost.deadline);
         if (!connected && !expired && HttpClient.this.childCount() > 0) {
-          // The request was never sent. Other connections are open, so the endpoint is reachable.
+          // The request was never sent. Other connections are open, so the endpoint is reachable;
+          // retry.
           queue.addFirst(lost);
-          noConnect();
+          backOffConnecting();
         } else if (!HttpClient.this.cancelled()) {
           loop.schedule(
               TimeSpan.millis(1),
--- a/src/main/java/io/saltflow/transport/HttpParser.java
+++ b/src/main/java/io/saltflow/transport/HttpParser.java
@@ -5,15 +5,15 @@
 import java.util.Arrays;
 
 /**
- * Reads HTTP/1.1 messages from bytes as they come, either requests or responses. Bodies come with a
- * length or chunked. Limits hold while reading, so a peer can't make it grow without bound.
+ * An incremental parser for HTTP/1.1 requests or responses. Bodies have a Content-Length or are
+ * chunked. Limits are enforced while reading, so that a peer cannot exhaust memory.
  */
 public final class HttpParser {
   private static final int MAX_LINE = 4096;
   private static final int FIRST_LINE_BYTES = 128;
   private static final int MAX_HEADERS = 64;
 
-  /** The input is not valid HTTP, or exceeds a limit. */
+  /** Signals that the input is not valid HTTP or exceeds a limit. */
   public static final class MalformedMessageException extends Exception {
     private final int status;
 
@@ -22,13 +22,13 @@
       this.status = status;
     }
 
-    /** The response's status. */
+    /** Returns the HTTP status with which to reject the message. */
     public int status() {
       return status;
     }
   }
 
-  private enum Step {
+  private enum State {
     FIRST_LINE,
     HEADERS,
     BODY,
@@ -42,12 +42,12 @@
   private final boolean requests;
   private final int maxBody;
 
-  /** Grows with the longest line: with thousands of connections most of their memory was this. */
+  /** Grows with the longest line to keep memory small with thousands of connections. */
   private byte[] line = new byte[FIRST_LINE_BYTES];
 
-  private Step step = Step.FIRST_LINE;
+  private State state = State.FIRST_LINE;
   private int lineLength;
-  private int headers;
+  private int headerCount;
   private String method;
   private String target;
   private int status;
@@ -57,7 +57,7 @@
   private boolean hasLength;
   private byte[] body = new byte[0];
   private int bodyLength;
-  private int wanted;
+  private int remaining;
 
   /** Creates a parser of requests or responses whose bodies have at most {@code maxBody} bytes. */
   public HttpParser(boolean requests, int maxBody) {
@@ -65,56 +65,56 @@
     this.maxBody = maxBody;
   }
 
-  /** The request's method. */
+  /** Returns the method of a request. */
   public String method() {
     return method;
   }
 
-  /** The request's target. */
+  /** Returns the target of a request. */
   public String target() {
     return target;
   }
 
-  /** The status that answers the malformed message. */
+  /** Returns the status of a response. */
   public int status() {
     return status;
   }
 
-  /** The Retry-After header in seconds; 0: absent, or given as a date. */
+  /** Returns the Retry-After header in seconds, or 0 if it is absent or a date. */
   public int retryAfterS() {
     return retryAfterS;
   }
 
-  /** Whether the connection is to be closed after this message. */
+  /** Returns whether the connection must be closed after this message. */
   public boolean wantsClose() {
     return close;
   }
 
-  /** The message's body. */
+  /** Returns the body, which is empty if the message has none. */
   public byte[] body() {
     return bodyLength == body.length ? body : Arrays.copyOf(body, bodyLength);
   }
 
-  /** Whether a whole message has been read. */
+  /** Returns whether a complete message has been read. */
   public boolean complete() {
-    return step == Step.COMPLETE;
+    return state == State.COMPLETE;
   }
 
-  /** Whether the first line and all headers have been read. */
-  public boolean headRead() {
-    return step != Step.FIRST_LINE && step != Step.HEADERS;
+  /** Returns whether the first line and all headers have been read. */
+  public boolean headComplete() {
+    return state != State.FIRST_LINE && state != State.HEADERS;
   }
 
-  /** Whether some of a message has been read, but not all. */
-  public boolean midway() {
-    return step != Step.COMPLETE && (step != Step.FIRST_LINE || lineLength > 0);
+  /** Returns whether a message has been read in part. */
+  public boolean inProgress() {
+    return state != State.COMPLETE && (state != State.FIRST_LINE || lineLength > 0);
   }
 
-  /** Makes the parser ready for the next message. */
+  /** Prepares the parser for the next message. */
   public void reset() {
-    step = Step.FIRST_LINE;
+    state = State.FIRST_LINE;
     lineLength = 0;
-    headers = 0;
+    headerCount = 0;
     method = null;
     target = null;
     status = 0;
@@ -124,108 +124,113 @@
     hasLength = false;
     body = new byte[0];
     bodyLength = 0;
-    wanted = 0;
+    remaining = 0;
   }
 
-  /** Consumes input; true when a whole message has been read. */
+  /**
+   * Consumes input up to the end of the current message.
+   *
+   * @return whether a complete message has been read
+   * @throws MalformedMessageException if the input is invalid or exceeds a limit
+   */
   public boolean feed(ByteBuffer in) throws MalformedMessageException {
-    while (step != Step.COMPLETE) {
-      switch (step) {
+    while (state != State.COMPLETE) {
+      switch (state) {
         case BODY, CHUNK -> {
-          int count = Math.min(wanted, in.remaining());
+          int count = Math.min(remaining, in.remaining());
           reserve(bodyLength + count);
           in.get(body, bodyLength, count);
           bodyLength += count;
-          wanted -= count;
-          if (wanted > 0) {
+          remaining -= count;
+          if (remaining > 0) {
             return false;
           }
-          step = step == Step.BODY ? Step.COMPLETE : Step.CHUNK_END;
+          state = state == State.BODY ? State.COMPLETE : State.CHUNK_END;
         }
         default -> {
           String text = readLine(in);
           if (text == null) {
             return false;
           }
-          onLine(text);
+          parseLine(text);
         }
       }
     }
     return true;
   }
 
-  private void onLine(String text) throws MalformedMessageException {
-    switch (step) {
+  private void parseLine(String text) throws MalformedMessageException {
+    switch (state) {
       case FIRST_LINE -> {
         if (text.isEmpty()) {
           return;
         }
-        firstLine(text);
-        step = Step.HEADERS;
+        parseFirstLine(text);
+        state = State.HEADERS;
       }
       case HEADERS -> {
         if (text.isEmpty()) {
-          headersDone();
+          endHeaders();
         } else {
-          header(text);
+          parseHeader(text);
         }
       }
       case CHUNK_SIZE -> {
-        wanted = chunkSize(text);
-        step = wanted == 0 ? Step.TRAILER : Step.CHUNK;
+        remaining = parseChunkSize(text);
+        state = remaining == 0 ? State.TRAILER : State.CHUNK;
       }
       case CHUNK_END -> {
         if (!text.isEmpty()) {
-          throw new MalformedMessageException(400, "bad chunk");
+          throw new MalformedMessageException(400, "chunk data exceeds the chunk size");
         }
-        step = Step.CHUNK_SIZE;
+        state = State.CHUNK_SIZE;
       }
       case TRAILER -> {
         if (text.isEmpty()) {
-          step = Step.COMPLETE;
+          state = State.COMPLETE;
         }
       }
-      default -> throw new IllegalStateException(step.name());
+      default -> throw new IllegalStateException(state.name());
     }
   }
 
-  private void firstLine(String text) throws MalformedMessageException {
+  private void parseFirstLine(String text) throws MalformedMessageException {
     int firstSpace = text.indexOf(' ');
     int secondSpace = text.indexOf(' ', firstSpace + 1);
     if (requests) {
       if (firstSpace <= 0
           || secondSpace <= firstSpace + 1
           || !text.startsWith("HTTP/1.", secondSpace + 1)) {
-        throw new MalformedMessageException(400, "bad request line");
+        throw new MalformedMessageException(400, "malformed request line");
       }
       method = text.substring(0, firstSpace);
       target = text.substring(firstSpace + 1, secondSpace);
       close = text.endsWith("/1.0");
     } else {
       if (!text.startsWith("HTTP/1.") || firstSpace < 0 || text.length() < firstSpace + 4) {
-        throw new MalformedMessageException(400, "bad status line");
+        throw new MalformedMessageException(400, "malformed status line");
       }
-      status = number(text.substring(firstSpace + 1, firstSpace + 4), 10);
+      status = parseNumber(text.substring(firstSpace + 1, firstSpace + 4), 10);
     }
   }
 
-  private void header(String text) throws MalformedMessageException {
-    if (++headers > MAX_HEADERS) {
+  private void parseHeader(String text) throws MalformedMessageException {
+    if (++headerCount > MAX_HEADERS) {
       throw new MalformedMessageException(431, "too many headers");
     }
     int colon = text.indexOf(':');
     if (colon <= 0) {
-      throw new MalformedMessageException(400, "bad header");
+      throw new MalformedMessageException(400, "malformed header");
     }
     String name = text.substring(0, colon);
     String value = text.substring(colon + 1).trim();
     if (name.equalsIgnoreCase("Content-Length")) {
-      int length = number(value, 10);
-      if (hasLength && length != wanted) {
-        throw new MalformedMessageException(400, "two lengths");
+      int length = parseNumber(value, 10);
+      if (hasLength && length != remaining) {
+        throw new MalformedMessageException(400, "conflicting Content-Length headers");
       }
       hasLength = true;
-      wanted = length;
+      remaining = length;
     } else if (name.equalsIgnoreCase("Transfer-Encoding")) {
       if (!value.equalsIgnoreCase("chunked")) {
         throw new MalformedMessageException(501, "unknown transfer encoding");
@@ -238,38 +243,38 @@
     }
   }
 
-  private void headersDone() throws MalformedMessageException {
+  private void endHeaders() throws MalformedMessageException {
     if (chunked && hasLength) {
-      throw new MalformedMessageException(400, "both a length and chunks");
+      throw new MalformedMessageException(400, "both Content-Length and chunked transfer encoding");
     }
     if (chunked) {
-      wanted = 0;
-      step = Step.CHUNK_SIZE;
-    } else if (hasLength && wanted > 0) {
-      if (wanted > maxBody) {
+      remaining = 0;
+      state = State.CHUNK_SIZE;
+    } else if (hasLength && remaining > 0) {
+      if (remaining > maxBody) {
         throw new MalformedMessageException(413, "body too large");
       }
-      reserve(wanted);
-      step = Step.BODY;
+      reserve(remaining);
+      state = State.BODY;
     } else {
-      step = Step.COMPLETE;
+      state = State.COMPLETE;
     }
   }
 
-  private int chunkSize(String text) throws MalformedMessageException {
+  private int parseChunkSize(String text) throws MalformedMessageException {
     int semicolon = text.indexOf(';');
-    return number((semicolon < 0 ? text : text.substring(0, semicolon)).trim(), 16);
+    return parseNumber((semicolon < 0 ? text : text.substring(0, semicolon)).trim(), 16);
   }
 
-  private static int number(String text, int radix) throws MalformedMessageException {
+  private static int parseNumber(String text, int radix) throws MalformedMessageException {
     if (text.isEmpty() || text.length() > 9) {
-      throw new MalformedMessageException(text.isEmpty() ? 400 : 413, "bad length");
+      throw new MalformedMessageException(text.isEmpty() ? 400 : 413, "number empty or too long");
     }
     int value = 0;
     for (int i = 0; i < text.length(); i++) {
       int digit = Character.digit(text.charAt(i), radix);
       if (digit < 0 || value > (Integer.MAX_VALUE - digit) / radix) {
-        throw new MalformedMessageException(400, "bad length");
+        throw new MalformedMessageException(400, "malformed number");
       }
       value = value * radix + digit;
     }
@@ -281,7 +286,7 @@
       throw new MalformedMessageException(413, "body too large");
     }
     if (size > body.length) {
-      // Grows with what has arrived, not with the announced length: a claim alone costs no memory.
+      // Grows with the received data, so that a declared length alone allocates little memory.
       int grown = hasLength ? Math.min(size, 65536) : Math.max(size, body.length * 2);
       body = Arrays.copyOf(body, Math.min(maxBody, Math.max(grown, size)));
     }
@@ -296,10 +301,10 @@
         return new String(line, 0, end, StandardCharsets.ISO_8859_1);
       }
       if (nextByte < ' ' && nextByte != '\r' && nextByte != '\t') {
-        throw new MalformedMessageException(400, "bad byte");
+        throw new MalformedMessageException(400, "invalid control character");
       }
       if (lineLength == MAX_LINE) {
-        throw new MalformedMessageException(step == Step.FIRST_LINE ? 414 : 431, "line too long");
+        throw new MalformedMessageException(state == State.FIRST_LINE ? 414 : 431, "line too long");
       }
       if (lineLength == line.length) {
         line = Arrays.copyOf(line, Math.min(MAX_LINE, 2 * line.length));
--- a/src/main/java/io/saltflow/transport/HttpResponse.java
+++ b/src/main/java/io/saltflow/transport/HttpResponse.java
@@ -2,21 +2,25 @@
 
 import java.nio.ByteBuffer;
 
-/** A response: its status, its body, and the seconds of its Retry-After header (0: none). */
+/**
+ * An HTTP response.
+ *
+ * @param retryAfterS the Retry-After header in seconds, or 0 for none
+ */
 public record HttpResponse(int status, byte[] body, int retryAfterS) {
-  private static final byte[] NOTHING = new byte[0];
+  private static final byte[] NO_BODY = new byte[0];
 
-  /** No response: the connection is closed. */
-  public static final HttpResponse NONE = new HttpResponse(0, NOTHING, 0);
+  /** Closes the connection without a response. */
+  public static final HttpResponse NONE = new HttpResponse(0, NO_BODY, 0);
 
-  /** A response with a body. */
+  /** Returns a response with a body. */
   public static HttpResponse of(int status, byte[] body) {
     return new HttpResponse(status, body, 0);
   }
 
-  /** A response without a body. */
+  /** Returns a response without a body. */
   public static HttpResponse empty(int status) {
-    return new HttpResponse(status, NOTHING, 0);
+    return new HttpResponse(status, NO_BODY, 0);
   }
 
   ByteBuffer bytes(boolean close) {
--- a/src/main/java/io/saltflow/transport/HttpServer.java
+++ b/src/main/java/io/saltflow/transport/HttpServer.java
@@ -15,33 +15,37 @@
 /**
  * An HTTP server with one routine for each connection.
  *
- * <p>Connections are no bound on how many peers are served: with more than {@link #CROWDED} of them
- * open, each answer closes its own, so that they are shared out in turn among all who ask now and
- * then. A peer that asks every 5 s needs its connection for a few milliseconds of them.
+ * <p>The server can serve more clients than it has connections. While more than the fraction {@link
+ * #KEEP_ALIVE_FRACTION} of the connections is open, each response closes its connection, so that
+ * clients with infrequent requests share the connections.
  */
 public final class HttpServer extends SocketListener {
   private static final int MAX_BODY = 64 * 1024;
-  private static final TimeSpan IDLE_LIMIT = TimeSpan.seconds(120);
-  private static final TimeSpan READ_LIMIT = TimeSpan.seconds(10);
-  private static final TimeSpan SWEEP = TimeSpan.seconds(5);
+  private static final TimeSpan IDLE_TIMEOUT = TimeSpan.seconds(120);
+  private static final TimeSpan READ_TIMEOUT = TimeSpan.seconds(10);
+  private static final TimeSpan IDLE_CHECK_INTERVAL = TimeSpan.seconds(5);
 
   /**
-   * The part of all connections that may stay open between requests. The rest is for those that
-   * come at the same moment, as all do after a cut.
+   * Fraction of the connections that may stay open between requests. The rest is reserved for
+   * bursts, such as all clients reconnecting after a network failure.
    */
-  private static final double CROWDED = 0.8;
+  private static final double KEEP_ALIVE_FRACTION = 0.8;
 
-  /** Handles a request. The response may be given later, but only once. */
+  /** Handles requests. The response may be given asynchronously, but only once. */
   public interface Handler {
-    /** Handles a request and gives its response to {@code answer}, now or later. */
-    void handle(String method, String target, byte[] body, Consumer<HttpResponse> answer);
+    /** Handles a request and passes its response to {@code respond}, immediately or later. */
+    void handle(String method, String target, byte[] body, Consumer<HttpResponse> respond);
   }
 
   private final Handler handler;
-  private final int crowdedFrom;
+  private final int maxKeepAlive;
   private final Set<Connection> connections = new LinkedHashSet<>();
 
-  /** Binds the address and starts to listen. */
+  /**
+   * Binds the address and starts to listen.
+   *
+   * @throws IOException if the address cannot be bound
+   */
   public HttpServer(
       Routine parent,
       EventLoop loop,
@@ -51,10 +55,11 @@
       throws IOException {
     super(parent, loop, address, maxConnections);
     this.handler = handler;
-    this.crowdedFrom = (int) (maxConnections * CROWDED);
-    // One timer for all: one each would be fired some thousand times a second by a large fleet.
+    this.maxKeepAlive = (int) (maxConnections * KEEP_ALIVE_FRACTION);
+    // A single timer sweeps all connections; a timer for each would be costly with thousands of
+    // clients.
     loop.scheduleRepeating(
-        SWEEP, this, () -> List.copyOf(connections).forEach(Connection::checkIdle));
+        IDLE_CHECK_INTERVAL, this, () -> List.copyOf(connections).forEach(Connection::checkIdle));
   }
 
   @Override
@@ -65,7 +70,7 @@
   private final class Connection extends NonBlockingChannel {
     private final HttpParser parser = new HttpParser(true, MAX_BODY);
     private MonotonicTime since = HttpServer.this.loop.now();
-    private boolean answering;
+    private boolean handling;
 
     Connection(SocketChannel socket) {
       super(HttpServer.this, HttpServer.this.loop, socket);
@@ -73,29 +78,29 @@
     }
 
     private void checkIdle() {
-      TimeSpan quiet = loop.now().since(since);
-      if (answering) {
+      TimeSpan elapsed = loop.now().since(since);
+      if (handling) {
         return;
       }
-      if (parser.midway() && quiet.longerThan(READ_LIMIT)) {
-        refuse(408);
-      } else if (quiet.longerThan(IDLE_LIMIT)) {
+      if (parser.inProgress() && elapsed.longerThan(READ_TIMEOUT)) {
+        reject(408);
+      } else if (elapsed.longerThan(IDLE_TIMEOUT)) {
         cancel();
       }
     }
 
-    private void refuse(int status) {
+    private void reject(int status) {
       send(HttpResponse.empty(status).bytes(true));
       closeWhenWritten();
     }
 
     @Override
     protected void onBytes(ByteBuffer in) throws IOException {
-      if (answering) {
-        // Pipelining is not supported: early bytes end the connection.
+      if (handling) {
+        // Pipelining is not supported; data before the response closes the connection.
         throw new IOException("pipelined request");
       }
-      if (!parser.midway()) {
+      if (!parser.inProgress()) {
         since = loop.now();
       }
       try {
@@ -103,39 +108,39 @@
           return;
         }
       } catch (HttpParser.MalformedMessageException exception) {
-        refuse(exception.status());
+        reject(exception.status());
         return;
       }
       if (in.hasRemaining()) {
-        refuse(400);
+        reject(400);
         return;
       }
-      answering = true;
+      handling = true;
       boolean close = parser.wantsClose();
       try {
         handler.handle(
-            parser.method(), parser.target(), parser.body(), reply -> answer(reply, close));
+            parser.method(), parser.target(), parser.body(), response -> respond(response, close));
       } catch (RuntimeException exception) {
-        if (answering) {
-          answer(new HttpResponse(503, new byte[0], 1), true);
+        if (handling) {
+          respond(new HttpResponse(503, new byte[0], 1), true);
         }
         throw exception;
       }
     }
 
-    private void answer(HttpResponse reply, boolean asked) {
-      if (!answering || cancelled()) {
+    private void respond(HttpResponse response, boolean closeRequested) {
+      if (!handling || cancelled()) {
         return;
       }
-      boolean close = asked || connections.size() > crowdedFrom;
-      if (reply == HttpResponse.NONE) {
+      boolean close = closeRequested || connections.size() > maxKeepAlive;
+      if (response == HttpResponse.NONE) {
         cancel();
         return;
       }
-      answering = false;
+      handling = false;
       since = loop.now();
       parser.reset();
-      send(reply.bytes(close));
+      send(response.bytes(close));
       if (close && !cancelled()) {
         closeWhenWritten();
       }
--- a/src/main/java/io/saltflow/transport/NonBlockingChannel.java
+++ b/src/main/java/io/saltflow/transport/NonBlockingChannel.java
@@ -7,14 +7,14 @@
 import java.nio.channels.SocketChannel;
 import java.util.ArrayDeque;
 
-/** A non-blocking socket; what can't be written yet is buffered up to a bound. */
+/** A non-blocking socket channel. Bytes that cannot be written yet are buffered up to a limit. */
 abstract class NonBlockingChannel extends Routine implements EventLoop.ReadinessHandler {
   private static final int MAX_WAITING_BYTES = 1 << 20;
 
   protected final EventLoop loop;
   protected final SocketChannel socket;
   private SelectionKey key;
-  private final ArrayDeque<ByteBuffer> waitingBytesCount = new ArrayDeque<>();
+  private final ArrayDeque<ByteBuffer> writeQueue = new ArrayDeque<>();
   private int waitingBytes;
   private final int maxWaitingBytes;
   private boolean closeWhenWritten;
@@ -30,7 +30,7 @@
     this.maxWaitingBytes = maxWaitingBytes;
   }
 
-  final int waitingBytesCount() {
+  final int bufferedBytes() {
     return waitingBytes;
   }
 
@@ -42,7 +42,7 @@
   public void onReady(SelectionKey readyKey) throws IOException {
     if (readyKey.isConnectable()) {
       socket.finishConnect();
-      readyKey.interestOps(waitingBytesCount.isEmpty() ? SelectionKey.OP_READ : both());
+      readyKey.interestOps(writeQueue.isEmpty() ? SelectionKey.OP_READ : readAndWrite());
       onConnected();
     }
     if (!cancelled() && readyKey.isValid() && readyKey.isWritable()) {
@@ -53,7 +53,7 @@
     }
   }
 
-  private static int both() {
+  private static int readAndWrite() {
     return SelectionKey.OP_READ | SelectionKey.OP_WRITE;
   }
 
@@ -62,7 +62,7 @@
     in.clear();
     int bytesRead = socket.read(in);
     if (bytesRead < 0) {
-      throw new EOFException("closed by the peer");
+      throw new EOFException("connection closed by the peer");
     }
     in.flip();
     onBytes(in);
@@ -73,17 +73,17 @@
       return;
     }
     try {
-      if (waitingBytesCount.isEmpty() && socket.isConnected()) {
+      if (writeQueue.isEmpty() && socket.isConnected()) {
         socket.write(bytes);
       }
       if (bytes.hasRemaining()) {
         waitingBytes += bytes.remaining();
         if (waitingBytes > maxWaitingBytes) {
-          throw new IOException("the peer reads too slowly");
+          throw new IOException("write buffer limit exceeded because the peer reads too slowly");
         }
-        waitingBytesCount.add(bytes);
+        writeQueue.add(bytes);
         if (socket.isConnected()) {
-          key.interestOps(both());
+          key.interestOps(readAndWrite());
         }
       } else if (closeWhenWritten) {
         cancel();
@@ -95,21 +95,21 @@
 
   final void closeWhenWritten() {
     closeWhenWritten = true;
-    if (waitingBytesCount.isEmpty()) {
+    if (writeQueue.isEmpty()) {
       cancel();
     }
   }
 
   private void flush() throws IOException {
-    while (!waitingBytesCount.isEmpty()) {
-      ByteBuffer head = waitingBytesCount.peek();
+    while (!writeQueue.isEmpty()) {
+      ByteBuffer head = writeQueue.peek();
       waitingBytes -= head.remaining();
       socket.write(head);
       waitingBytes += head.remaining();
       if (head.hasRemaining()) {
         return;
       }
-      waitingBytesCount.poll();
+      writeQueue.poll();
     }
     key.interestOps(SelectionKey.OP_READ);
     if (closeWhenWritten) {
@@ -136,7 +136,7 @@
     try {
       socket.close();
     } catch (IOException exception) {
-      // The channel is being closed; there is nothing left to do.
+      // Nothing can be done about a failed close.
     }
   }
 }
--- a/src/main/java/io/saltflow/transport/PeerMesh.java
+++ b/src/main/java/io/saltflow/transport/PeerMesh.java
@@ -15,8 +15,8 @@
 import java.util.function.Consumer;
 
 /**
- * A full mesh between controllers: each sends frames to each of its peers. A frame is four bytes of
- * length and the payload.
+ * A full mesh of connections between controllers, over which each sends frames to its peers. A
+ * frame is a four-byte length and the payload.
  */
 public final class PeerMesh extends Routine implements EventLoop.ReadinessHandler {
   private static final int MAX_FRAME = 512 * 1024;
@@ -24,37 +24,38 @@
   private static final TimeSpan RECONNECT_DELAY = TimeSpan.seconds(1);
 
   /**
-   * A link that the peer closed is reconnected sooner for a while, to find out whether its process
-   * ended.
+   * Shorter delay for a link that the peer closed, to detect early whether the process of the peer
+   * has ended.
    */
   private static final TimeSpan FAST_RECONNECT_DELAY = TimeSpan.millis(150);
 
   private static final TimeSpan FAST_RECONNECT_WINDOW = TimeSpan.seconds(3);
 
-  /** Receives changes of links to peers, each by its index in the list. */
+  /** Receives state changes of links to peers. A peer is identified by its index in the list. */
   public interface LinkListener {
-    /** An established connection was closed by the peer. */
-    void lost(int sibling);
+    /** Called when the peer closed an established link. */
+    void lost(int peer);
 
     /**
-     * The peer's system refused a connection: nobody listens there, or a packet filter rejects it.
+     * Called when a connection was refused because no process listens on the port or a packet
+     * filter rejects it.
      */
-    void refused(int sibling);
+    void refused(int peer);
 
-    /** A link to a peer was established. */
-    void up(int sibling);
+    /** Called when a link to a peer was established. */
+    void up(int peer);
 
     /** A listener that ignores all changes. */
     LinkListener NONE =
         new LinkListener() {
           @Override
-          public void lost(int sibling) {}
+          public void lost(int peer) {}
 
           @Override
-          public void refused(int sibling) {}
+          public void refused(int peer) {}
 
           @Override
-          public void up(int sibling) {}
+          public void up(int peer) {}
         };
   }
 
@@ -62,18 +63,19 @@
   private final Consumer<byte[]> onFrame;
   private final ServerSocketChannel listener;
   private final List<Outbound> outbound = new ArrayList<>();
-  private LinkListener listenToLinks = LinkListener.NONE;
+  private LinkListener linkListener = LinkListener.NONE;
   private int inbound;
 
   /**
-   * Binds the address and starts to listen; links to peers are opened when there is something to
-   * send.
+   * Binds the address and starts to listen. Links to peers are opened on demand.
+   *
+   * @throws IOException if the address cannot be bound
    */
   public PeerMesh(
       Routine parent,
       EventLoop loop,
       InetSocketAddress address,
-      List<InetSocketAddress> siblings,
+      List<InetSocketAddress> peers,
       Consumer<byte[]> onFrame)
       throws IOException {
     super(parent);
@@ -84,14 +86,14 @@
     listener.configureBlocking(false);
     PortBinder.bind(listener, address, 16);
     loop.register(listener, SelectionKey.OP_ACCEPT, this);
-    for (InetSocketAddress sibling : siblings) {
-      outbound.add(new Outbound(sibling, outbound.size()));
+    for (InetSocketAddress peer : peers) {
+      outbound.add(new Outbound(peer, outbound.size()));
     }
   }
 
-  /** Sets the listener for changes of links. */
+  /** Sets the listener for link state changes. */
   public void listenToLinks(LinkListener listener) {
-    listenToLinks = listener;
+    linkListener = listener;
   }
 
   @Override
@@ -112,7 +114,7 @@
   @Override
   public void onBroken(IOException cause) {}
 
-  /** Sends a frame to every peer that can be reached; a frame that can't be sent is dropped. */
+  /** Sends a frame to every connected peer and drops it for the others. */
   public void broadcast(byte[] frame) {
     for (Outbound peer : outbound) {
       peer.send(frame);
@@ -120,18 +122,21 @@
   }
 
   /**
-   * Connects to all peers that are not connected, so that the first frame needs no connection
-   * set-up.
+   * Connects to all peers that are not connected, so that the first frame is not delayed or
+   * dropped.
    */
   public void connectAll() {
     for (Outbound peer : outbound) {
-      peer.reach();
+      peer.connectIfNeeded();
     }
   }
 
-  /** Sends a frame to one peer, by its index in the list. */
-  public void send(int sibling, byte[] frame) {
-    outbound.get(sibling).send(frame);
+  /**
+   * Sends a frame to the peer with this index in the list, or drops it if the peer is not
+   * connected.
+   */
+  public void send(int peer, byte[] frame) {
+    outbound.get(peer).send(frame);
   }
 
   @Override
@@ -139,7 +144,7 @@
     try {
       listener.close();
     } catch (IOException exception) {
-      // The process is ending.
+      // Nothing can be done about a failed close.
     }
   }
 
@@ -151,7 +156,7 @@
       super(PeerMesh.this, PeerMesh.this.loop, socket);
     }
 
-    /** Frames of peers go first: the sender may be the new leader, and there are few peers. */
+    /** Frames of peers take priority because the sender may be a new leader. */
     @Override
     public boolean hasPriority() {
       return true;
@@ -163,21 +168,21 @@
         if (frame == null) {
           length.put(in.get());
           if (!length.hasRemaining()) {
-            int n = length.flip().getInt();
+            int size = length.flip().getInt();
             length.clear();
-            if (n <= 0 || n > MAX_FRAME) {
-              throw new IOException("a frame of " + n + " bytes");
+            if (size <= 0 || size > MAX_FRAME) {
+              throw new IOException("invalid frame length " + size);
             }
-            frame = ByteBuffer.allocate(n);
+            frame = ByteBuffer.allocate(size);
           }
         } else {
           while (in.hasRemaining() && frame.hasRemaining()) {
             frame.put(in.get());
           }
           if (!frame.hasRemaining()) {
-            byte[] whole = frame.array();
+            byte[] payload = frame.array();
             frame = null;
-            onFrame.accept(whole);
+            onFrame.accept(payload);
           }
         }
       }
@@ -192,41 +197,41 @@
 
   private final class Outbound {
     private final InetSocketAddress address;
-    private final int place;
+    private final int index;
     private Link link;
-    private boolean waiting;
+    private boolean backingOff;
     private MonotonicTime lostAt = MonotonicTime.LONG_AGO;
 
-    Outbound(InetSocketAddress address, int place) {
+    Outbound(InetSocketAddress address, int index) {
       this.address = address;
-      this.place = place;
+      this.index = index;
     }
 
-    private boolean lostJustNow() {
+    private boolean recentlyLost() {
       return loop.now().since(lostAt).compareTo(FAST_RECONNECT_WINDOW) < 0;
     }
 
-    private void closed(boolean wasUp, IOException cause) {
+    private void onClosed(boolean wasUp, IOException cause) {
       if (wasUp) {
         lostAt = loop.now();
-        waiting = false;
-        listenToLinks.lost(place);
+        backingOff = false;
+        linkListener.lost(index);
       } else if (cause instanceof ConnectException) {
-        listenToLinks.refused(place);
+        linkListener.refused(index);
       }
-      if (lostJustNow()) {
-        loop.schedule(FAST_RECONNECT_DELAY, PeerMesh.this, this::reach);
+      if (recentlyLost()) {
+        loop.schedule(FAST_RECONNECT_DELAY, PeerMesh.this, this::connectIfNeeded);
       }
     }
 
-    void reach() {
+    void connectIfNeeded() {
       if (link == null || link.cancelled()) {
         connect();
       }
     }
 
     void send(byte[] frame) {
-      reach();
+      connectIfNeeded();
       if (link != null && link.up) {
         ByteBuffer out = ByteBuffer.allocate(4 + frame.length);
         link.send(out.putInt(frame.length).put(frame).flip());
@@ -234,14 +239,14 @@
     }
 
     private void connect() {
-      if (waiting) {
+      if (backingOff) {
         return;
       }
-      waiting = true;
+      backingOff = true;
       loop.schedule(
-          lostJustNow() ? FAST_RECONNECT_DELAY : RECONNECT_DELAY,
+          recentlyLost() ? FAST_RECONNECT_DELAY : RECONNECT_DELAY,
           PeerMesh.this,
-          () -> waiting = false);
+          () -> backingOff = false);
       try {
         SocketChannel socket = SocketChannel.open();
         socket.configureBlocking(false);
@@ -253,7 +258,7 @@
         if (link != null) {
           link.cancel();
         }
-        closed(false, exception);
+        onClosed(false, exception);
       }
     }
   }
@@ -278,7 +283,7 @@
     @Override
     protected void onConnected() {
       up = true;
-      listenToLinks.up(to.place);
+      linkListener.up(to.index);
     }
 
     @Override
@@ -286,11 +291,11 @@
       boolean first = !cancelled();
       super.onBroken(cause);
       if (first) {
-        to.closed(up, cause);
+        to.onClosed(up, cause);
       }
     }
 
-    /** Peers answer over their own links. */
+    /** Ignores data, because peers send frames over their own links. */
     @Override
     protected void onBytes(ByteBuffer in) {}
   }
--- a/src/main/java/io/saltflow/transport/PortBinder.java
+++ b/src/main/java/io/saltflow/transport/PortBinder.java
@@ -9,61 +9,63 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Binds a listener. A process that is started again within a fraction of a second may find its port
- * held for a moment by what is left of the one before; it waits for that, for so long and no
- * longer. Only listeners are bound this way, before anything is served: nobody waits for the one
- * thread.
+ * Binds a listening socket and retries for a limited time while the port is in use, because the
+ * previous process may not have released it yet after a quick restart. Blocks the calling thread,
+ * so it must be used only during startup.
  */
 final class PortBinder {
   private static final Logger LOG = LoggerFactory.getLogger(PortBinder.class);
 
-  /** How long a port that is in use is retried. */
-  static final TimeSpan PATIENCE = TimeSpan.seconds(10);
+  /** Maximum time for which a port in use is retried. */
+  static final TimeSpan RETRY_TIMEOUT = TimeSpan.seconds(10);
 
-  private static final TimeSpan PAUSE = TimeSpan.millis(50);
+  private static final TimeSpan RETRY_INTERVAL = TimeSpan.millis(50);
 
   private PortBinder() {}
 
   static void bind(ServerSocketChannel listener, InetSocketAddress address, int backlog)
       throws IOException {
-    bind(listener, address, backlog, PATIENCE);
+    bind(listener, address, backlog, RETRY_TIMEOUT);
   }
 
   /**
-   * @throws IOException it can't be bound, or not within the patience; says which address and why
+   * Binds the address, retrying while it is in use.
+   *
+   * @param timeout maximum time to retry
+   * @throws IOException if the address cannot be bound; the message has the address and the reason
    */
   static void bind(
-      ServerSocketChannel listener, InetSocketAddress address, int backlog, TimeSpan patience)
+      ServerSocketChannel listener, InetSocketAddress address, int backlog, TimeSpan timeout)
       throws IOException {
-    long triesLeft = patience.ms() / PAUSE.ms();
-    for (boolean told = false; ; told = true) {
+    long triesLeft = timeout.ms() / RETRY_INTERVAL.ms();
+    for (boolean logged = false; ; logged = true) {
       try {
         listener.bind(address, backlog);
         return;
       } catch (BindException exception) {
-        boolean held = String.valueOf(exception.getMessage()).contains("in use");
-        if (!held || triesLeft-- <= 0) {
-          String waited = held ? ", after " + patience.toSeconds() + " s of trying" : "";
+        boolean inUse = String.valueOf(exception.getMessage()).contains("in use");
+        if (!inUse || triesLeft-- <= 0) {
+          String suffix = inUse ? ", after " + timeout.toSeconds() + " s of trying" : "";
           throw new IOException(
-              Addresses.text(address) + ": " + exception.getMessage() + waited, exception);
+              Addresses.text(address) + ": " + exception.getMessage() + suffix, exception);
         }
-        if (!told) {
+        if (!logged) {
           LOG.warn(
-              "{} is in use, it is tried again for {} s",
+              "address {} is in use, retrying for up to {} s",
               Addresses.text(address),
-              patience.toSeconds());
+              timeout.toSeconds());
         }
-        pause();
+        sleep();
       }
     }
   }
 
-  private static void pause() throws IOException {
+  private static void sleep() throws IOException {
     try {
-      Thread.sleep(PAUSE.ms());
+      Thread.sleep(RETRY_INTERVAL.ms());
     } catch (InterruptedException exception) {
       Thread.currentThread().interrupt();
-      throw new IOException("interrupted", exception);
+      throw new IOException("interrupted while waiting for a port", exception);
     }
   }
 }
--- a/src/main/java/io/saltflow/transport/ReplicaProber.java
+++ b/src/main/java/io/saltflow/transport/ReplicaProber.java
@@ -14,25 +14,25 @@
 import java.util.function.LongConsumer;
 
 /**
- * Probes the health of replicas over a bounded number of sockets, one for each probe. Only the head
+ * Probes the health of replicas with a bounded number of sockets, one for each probe. Only the head
  * of an HTTP response is read.
  */
 public final class ReplicaProber extends Routine {
   private static final int MAX_WAITING = 512;
   private static final int MAX_BODY_BYTES = 1 << 20;
 
-  private record Question(
-      InetSocketAddress at,
+  private record PendingProbe(
+      InetSocketAddress address,
       String path,
-      MonotonicTime asked,
+      MonotonicTime queuedAt,
       TimeSpan timeout,
       LongConsumer then) {}
 
   private final EventLoop loop;
   private final int maxSockets;
-  private final ArrayDeque<Question> waiting = new ArrayDeque<>();
+  private final ArrayDeque<PendingProbe> waiting = new ArrayDeque<>();
 
-  /** Creates a prober with at most {@code maxSockets} probes under way. */
+  /** Creates a prober with at most {@code maxSockets} concurrent probes. */
   public ReplicaProber(Routine parent, EventLoop loop, int maxSockets) {
     super(parent);
     this.loop = loop;
@@ -40,25 +40,29 @@
   }
 
   /**
-   * Probes once. Told is the time in milliseconds until the answer's head, or one of {@link
-   * ProbeFrame}'s negative ones.
+   * Probes a replica once.
    *
-   * @param place where; with an empty path connecting is all
+   * @param target the address to probe; with an empty path the probe only connects
+   * @param then receives the latency in milliseconds until the head of the response, or one of the
+   *     negative values of {@link ProbeFrame}
    */
-  public void probe(ProbeFrame.ProbeTarget place, TimeSpan timeout, LongConsumer then) {
-    InetSocketAddress at = address(place);
-    if (at == null || waiting.size() >= MAX_WAITING) {
+  public void probe(ProbeFrame.ProbeTarget target, TimeSpan timeout, LongConsumer then) {
+    InetSocketAddress address = address(target);
+    if (address == null || waiting.size() >= MAX_WAITING) {
       loop.schedule(TimeSpan.millis(1), this, () -> then.accept(ProbeFrame.NOT_PROBED));
       return;
     }
-    waiting.add(new Question(at, place.path(), loop.now(), timeout, then));
+    waiting.add(new PendingProbe(address, target.path(), loop.now(), timeout, then));
     pump();
   }
 
-  /** Only numeric addresses: a name look-up could block the thread. */
-  private static InetSocketAddress address(ProbeFrame.ProbeTarget place) {
+  /**
+   * Returns the numeric address of a target, or {@code null} for a host name, whose lookup could
+   * block the thread.
+   */
+  private static InetSocketAddress address(ProbeFrame.ProbeTarget target) {
     try {
-      return Addresses.parse(place.host() + ":" + place.port());
+      return Addresses.parse(target.host() + ":" + target.port());
     } catch (IllegalArgumentException exception) {
       return null;
     }
@@ -66,24 +70,24 @@
 
   private void pump() {
     while (!waiting.isEmpty() && childCount() < maxSockets) {
-      Question question = waiting.poll();
-      if (loop.now().since(question.asked).longerThan(question.timeout)) {
-        // The probe waited for a free socket: the replica was not probed.
-        question.then.accept(ProbeFrame.NOT_PROBED);
+      PendingProbe probe = waiting.poll();
+      if (loop.now().since(probe.queuedAt).longerThan(probe.timeout)) {
+        // The probe timed out while waiting for a free socket, so the replica was not probed.
+        probe.then.accept(ProbeFrame.NOT_PROBED);
       } else {
-        connect(question);
+        connect(probe);
       }
     }
   }
 
-  private void connect(Question question) {
+  private void connect(PendingProbe probe) {
     try {
       SocketChannel socket = SocketChannel.open();
       socket.configureBlocking(false);
       socket.setOption(StandardSocketOptions.TCP_NODELAY, true);
-      Connection connection = new Connection(socket, question);
+      Connection connection = new Connection(socket, probe);
       try {
-        boolean connected = socket.connect(question.at);
+        boolean connected = socket.connect(probe.address);
         connection.open(connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT);
         if (connected) {
           connection.onConnected();
@@ -92,35 +96,35 @@
         connection.cancel();
       }
     } catch (IOException exception) {
-      // No socket was available: that says nothing about the replica.
-      loop.schedule(TimeSpan.millis(20), this, () -> question.then.accept(ProbeFrame.NOT_PROBED));
+      // No socket was available, which says nothing about the replica.
+      loop.schedule(TimeSpan.millis(20), this, () -> probe.then.accept(ProbeFrame.NOT_PROBED));
     }
   }
 
   private final class Connection extends NonBlockingChannel {
     private final HttpParser parser = new HttpParser(false, MAX_BODY_BYTES);
-    private final Question question;
+    private final PendingProbe probe;
     private final MonotonicTime sent = ReplicaProber.this.loop.now();
     private long result = ProbeFrame.UNREACHABLE;
 
-    Connection(SocketChannel socket, Question question) {
+    Connection(SocketChannel socket, PendingProbe probe) {
       super(ReplicaProber.this, ReplicaProber.this.loop, socket);
-      this.question = question;
-      loop.schedule(question.timeout, this, this::cancel);
+      this.probe = probe;
+      loop.schedule(probe.timeout, this, this::cancel);
     }
 
     @Override
     protected void onConnected() {
-      if (question.path.isEmpty()) {
+      if (probe.path.isEmpty()) {
         result = loop.now().since(sent).ms();
         cancel();
         return;
       }
       String head =
           "GET "
-              + question.path
+              + probe.path
               + " HTTP/1.1\r\nHost: "
-              + question.at.getAddress().getHostAddress()
+              + probe.address.getAddress().getHostAddress()
               + "\r\nConnection: close\r\n\r\n";
       send(ByteBuffer.wrap(head.getBytes(StandardCharsets.US_ASCII)));
     }
@@ -134,9 +138,9 @@
         cancel();
         return;
       }
-      if (parser.headRead()) {
-        boolean well = parser.status() >= 200 && parser.status() < 400;
-        result = well ? loop.now().since(sent).ms() : ProbeFrame.UNHEALTHY;
+      if (parser.headComplete()) {
+        boolean healthy = parser.status() >= 200 && parser.status() < 400;
+        result = healthy ? loop.now().since(sent).ms() : ProbeFrame.UNHEALTHY;
         cancel();
       }
     }
@@ -149,7 +153,7 @@
             TimeSpan.millis(0),
             ReplicaProber.this,
             () -> {
-              question.then.accept(result);
+              probe.then.accept(result);
               pump();
             });
       }
--- a/src/main/java/io/saltflow/transport/RequestTarget.java
+++ b/src/main/java/io/saltflow/transport/RequestTarget.java
@@ -3,9 +3,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** A request's path and its query parameters. */
+/** The path and the query parameters of a request target. */
 public record RequestTarget(String path, Map<String, String> queries) {
-  /** Parses a target; parameters without a value are left out. */
+  /** Parses a target. Parameters without a name or without {@code =} are ignored. */
   public static RequestTarget of(String target) {
     int mark = target.indexOf('?');
     Map<String, String> queries = new HashMap<>();
@@ -20,18 +20,22 @@
     return new RequestTarget(mark < 0 ? target : target.substring(0, mark), queries);
   }
 
-  /** Whether it is that request. */
-  public boolean is(String method, String wantedMethod, String wantedPath) {
-    return method.equals(wantedMethod) && path.equals(wantedPath);
+  /** Returns whether the method and the path are the expected ones. */
+  public boolean is(String method, String expectedMethod, String expectedPath) {
+    return method.equals(expectedMethod) && path.equals(expectedPath);
   }
 
-  /** What was asked for, or else that. */
-  public String query(String name, String otherwise) {
-    return queries.getOrDefault(name, otherwise);
+  /** Returns a query parameter, or the default if it is absent. */
+  public String query(String name, String defaultValue) {
+    return queries.getOrDefault(name, defaultValue);
   }
 
-  /** A number that was asked for, or else that. */
-  public int number(String name, int otherwise) {
-    return queries.containsKey(name) ? Integer.parseInt(queries.get(name)) : otherwise;
+  /**
+   * Returns a numeric query parameter, or the default if it is absent.
+   *
+   * @throws NumberFormatException if the parameter is not a number
+   */
+  public int number(String name, int defaultValue) {
+    return queries.containsKey(name) ? Integer.parseInt(queries.get(name)) : defaultValue;
   }
 }
--- a/src/main/java/io/saltflow/transport/Routine.java
+++ b/src/main/java/io/saltflow/transport/Routine.java
@@ -13,7 +13,7 @@
   private final Set<Routine> children = new LinkedHashSet<>();
   private boolean cancelled;
 
-  /** Creates a routine that ends with its parent; null: it has none. */
+  /** Creates a routine that is cancelled with its parent, which may be {@code null}. */
   public Routine(Routine parent) {
     this.parent = parent;
     if (parent != null) {
@@ -25,12 +25,12 @@
     }
   }
 
-  /** Whether this routine has ended. */
+  /** Returns whether this routine has been cancelled. */
   public final boolean cancelled() {
     return cancelled;
   }
 
-  /** Ends this routine and everything below it. Repeating it does nothing. */
+  /** Cancels this routine and its descendants. Has no effect if it is cancelled already. */
   public final void cancel() {
     if (cancelled) {
       return;
@@ -50,6 +50,6 @@
     return children.size();
   }
 
-  /** Releases what the routine holds. Called once, after its children have ended. */
+  /** Releases the resources of the routine. Called once, after its children have been cancelled. */
   protected void onCancel() {}
 }
--- a/src/main/java/io/saltflow/transport/SocketListener.java
+++ b/src/main/java/io/saltflow/transport/SocketListener.java
@@ -10,14 +10,14 @@
 /** Listens on an address and accepts connections up to a limit. */
 public abstract class SocketListener extends Routine implements EventLoop.ReadinessHandler {
   private static final int MAX_BACKLOG = 512;
-  private static final int AT_ONCE = 64;
+  private static final int MAX_ACCEPTS_PER_EVENT = 64;
 
   protected final EventLoop loop;
   private final int maxConnections;
   private final ServerSocketChannel listener;
-  private int turnedAway;
+  private int rejected;
 
-  /** The backlog of connections that are not accepted yet, for a number of sockets. */
+  /** Returns the accept backlog for a maximum number of sockets. */
   public static int backlog(int sockets) {
     return Math.max(16, Math.min(MAX_BACKLOG, sockets / 16));
   }
@@ -39,30 +39,30 @@
     }
   }
 
-  /** The local port. */
+  /** Returns the local port. */
   public final int port() {
     return listener.socket().getLocalPort();
   }
 
-  /** The number of connections rejected over the limit since the last call. */
+  /** Returns the number of connections rejected because of the limit since the last call. */
   public final int takeTurnedAway() {
-    int count = turnedAway;
-    turnedAway = 0;
+    int count = rejected;
+    rejected = 0;
     return count;
   }
 
-  /** A new connection, whose routine becomes a child of this one. */
+  /** Handles a new connection, whose routine becomes a child of this one. */
   abstract void accepted(SocketChannel socket) throws IOException;
 
   @Override
   public final void onReady(SelectionKey key) throws IOException {
-    for (int i = 0; i < AT_ONCE; i++) {
+    for (int i = 0; i < MAX_ACCEPTS_PER_EVENT; i++) {
       SocketChannel socket = listener.accept();
       if (socket == null) {
         return;
       }
       if (childCount() >= maxConnections) {
-        turnedAway++;
+        rejected++;
         socket.close();
         continue;
       }
@@ -72,22 +72,25 @@
     }
   }
 
-  /** Connections over the limit are closed at once: one in the backlog holds a socket as well. */
+  /**
+   * Accepting takes priority, because a connection over the limit holds a socket while in the
+   * backlog.
+   */
   @Override
   public final boolean hasPriority() {
     return true;
   }
 
-  /** Accepting failed, perhaps for lack of sockets: the listener stays open. */
+  /** Ignores a failure to accept, such as a lack of sockets; the listener stays open. */
   @Override
   public final void onBroken(IOException cause) {}
 
-  /** Stops accepting; open connections continue. */
+  /** Stops accepting connections. Open connections continue. */
   final void stopListening() {
     try {
       listener.close();
     } catch (IOException exception) {
-      // The listener is being closed; there is nothing left to do.
+      // Nothing can be done about a failed close.
     }
   }
 
--- a/src/main/java/io/saltflow/transport/StreamServer.java
+++ b/src/main/java/io/saltflow/transport/StreamServer.java
@@ -9,21 +9,21 @@
 import java.nio.channels.SocketChannel;
 import java.util.function.Function;
 
-/** Listens and passes the bytes of each connection to a protocol handler. */
+/** Accepts connections and passes their bytes to a protocol handler. */
 public final class StreamServer extends SocketListener {
   /** The protocol handler of one connection. */
   public interface Peer {
-    /** Processes bytes from the peer, which may be split anywhere. */
+    /** Processes bytes from the peer; message boundaries are not preserved. */
     void onBytes(ByteBuffer in);
 
-    /** All sent bytes have been written to the socket. */
+    /** Called when all sent bytes have been written to the socket. */
     void onDrained();
 
-    /** The connection has ended, whichever side closed it. Called once. */
+    /** Called once when the connection has been closed by either side. */
     void onGone();
   }
 
-  /** One connection. */
+  /** A connection to a peer. */
   public final class Stream extends NonBlockingChannel {
     private final InetAddress remote;
     private Peer peer;
@@ -33,22 +33,22 @@
       remote = ((InetSocketAddress) socket.getRemoteAddress()).getAddress();
     }
 
-    /** The peer's address. */
+    /** Returns the address of the peer. */
     public InetAddress remote() {
       return remote;
     }
 
-    /** Sends bytes, the rest as soon as the peer reads. */
+    /** Sends bytes. Bytes that cannot be written yet are buffered. */
     public void write(ByteBuffer bytes) {
       send(bytes);
     }
 
-    /** The number of bytes that are not written to the socket yet. */
+    /** Returns the number of bytes that have not been written to the socket yet. */
     public int waitingBytes() {
-      return waitingBytesCount();
+      return bufferedBytes();
     }
 
-    /** Closes the connection once all bytes are written. */
+    /** Closes the connection after all bytes have been written. */
     public void end() {
       closeWhenWritten();
     }
@@ -74,8 +74,11 @@
   private final Function<Stream, Peer> peers;
 
   /**
-   * @param maxWaitingBytes the number of bytes that may wait for a slow peer; more close the
-   *     connection
+   * Binds the address and starts to listen.
+   *
+   * @param maxWaitingBytes maximum number of bytes buffered for a slow peer; beyond it the
+   *     connection is closed
+   * @throws IOException if the address cannot be bound
    */
   public StreamServer(
       Routine parent,
@@ -92,7 +95,7 @@
 
   @Override
   void accepted(SocketChannel socket) throws IOException {
-    // A peer that asked for no heartbeats may still be found dead by its host's silence.
+    // TCP keepalive detects dead hosts of peers that disabled protocol heartbeats.
     socket.setOption(StandardSocketOptions.SO_KEEPALIVE, true);
     Stream stream = new Stream(socket);
     stream.peer = peers.apply(stream);
--- a/src/test/java/io/saltflow/protocol/WireTest.java
+++ b/src/test/java/io/saltflow/protocol/WireTest.java
@@ -257,7 +257,8 @@
     assertFalse(decoded.cancelsDependents(), "version without job dependencies");
     decoded = PeerHeartbeat.decode(Arrays.copyOf(bytes, bytes.length - 3));
     assertTrue(
-        decoded.probesReplicas() && decoded.unanswered().isEmpty(), "version without unanswered jobs");
+        decoded.probesReplicas() && decoded.unanswered().isEmpty(),
+        "version without unanswered jobs");
     decoded = PeerHeartbeat.decode(Arrays.copyOf(bytes, bytes.length - 4));
     assertFalse(decoded.probesReplicas(), "version without replica probing");
   }
