--- a/src/test/java/io/saltflow/transport/FreePorts.java
+++ b/src/test/java/io/saltflow/transport/FreePorts.java
@@ -6,10 +6,9 @@
 import java.net.ServerSocket;
 
 /**
- * Ports for servers that have to know theirs before they bind it. A port that the kernel chose and
- * that was closed again may be anybody's a moment later, an outgoing connection's too; these lie
- * below the range that the kernel chooses from, and each JVM begins at another place, since test
- * classes run in several at once.
+ * Finds free ports for servers that must know their port before they bind it. The ports lie below
+ * the kernel's ephemeral range, because an outgoing connection could take a released ephemeral
+ * port. Each JVM starts at a different port, because test classes run in several JVMs concurrently.
  */
 public final class FreePorts {
   private static final int FIRST = 10_000;
@@ -20,15 +19,19 @@
 
   private FreePorts() {}
 
-  /** A loopback address whose port nobody uses now and that was not returned before. */
+  /** Returns a loopback address whose port is free and was not returned before. */
   public static InetSocketAddress address() throws IOException {
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), first(1));
   }
 
-  /** The first of so many ports in a row. */
+  /**
+   * Returns the first port of a range of consecutive free ports.
+   *
+   * @throws IOException if there is no such range
+   */
   public static synchronized int first(int count) throws IOException {
     int free = 0;
-    for (int tries = 0; tries < LAST - FIRST; tries++) {
+    for (int attempts = 0; attempts < LAST - FIRST; attempts++) {
       if (next >= LAST) {
         next = FIRST;
         free = 0;
@@ -38,13 +41,13 @@
         return next - count;
       }
     }
-    throw new IOException("no " + count + " ports in a row are free");
+    throw new IOException("no " + count + " consecutive ports are free");
   }
 
   private static boolean isFree(int port) {
     try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
       return socket.isBound();
-    } catch (IOException e) {
+    } catch (IOException exception) {
       return false;
     }
   }
--- a/src/test/java/io/saltflow/transport/HttpFrames.java
+++ b/src/test/java/io/saltflow/transport/HttpFrames.java
@@ -8,10 +8,10 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** How many bytes messages take on a connection, head included, as the product writes them. */
+/** Measures the size of HTTP messages on a connection, including their heads. */
 public final class HttpFrames {
   private static final String HEAD_END = "\r\n\r\n";
-  private static final int MAX_TURNS = 2000;
+  private static final int MAX_LOOP_RUNS = 2000;
 
   private HttpFrames() {}
 
@@ -21,12 +21,12 @@
     }
   }
 
-  /** Bytes of an answer by {@link HttpServer}. */
+  /** Returns the size in bytes of a response from {@link HttpServer}. */
   public static int answerBytes(int status, byte[] body) {
     return HttpResponse.of(status, body).bytes(false).remaining();
   }
 
-  /** Bytes of a request by {@link HttpClient}, read from a socket. */
+  /** Returns the size in bytes of a request from {@link HttpClient}, read from a socket. */
   public static int requestBytes(String method, String target, byte[] body) throws IOException {
     Root root = new Root();
     EventLoop loop = new EventLoop();
@@ -34,31 +34,31 @@
       HttpClient client =
           new HttpClient(root, loop, Addresses.parse("127.0.0.1:" + server.getLocalPort()), 1, 1);
       client.call(method, target, body, TimeSpan.seconds(30), answer -> {});
-      turn(loop, root);
+      runLoop(loop, root);
       try (Socket socket = server.accept()) {
-        return head(loop, root, socket.getInputStream(), body.length) + body.length;
+        return readHead(loop, root, socket.getInputStream(), body.length) + body.length;
       }
     } finally {
       root.cancel();
     }
   }
 
-  /** Reads until as many bytes as the body has came after the head; bytes of the head. */
-  private static int head(EventLoop loop, Root root, InputStream in, int bodyBytes)
+  /** Reads the head and the body of a request and returns the size of the head in bytes. */
+  private static int readHead(EventLoop loop, Root root, InputStream in, int bodyBytes)
       throws IOException {
     StringBuilder read = new StringBuilder();
-    for (int i = 0; i < MAX_TURNS; i++) {
-      turn(loop, root);
+    for (int i = 0; i < MAX_LOOP_RUNS; i++) {
+      runLoop(loop, root);
       read.append(new String(in.readNBytes(in.available()), StandardCharsets.ISO_8859_1));
       int end = read.indexOf(HEAD_END);
       if (end >= 0 && read.length() == end + HEAD_END.length() + bodyBytes) {
         return end + HEAD_END.length();
       }
     }
-    throw new IOException("the request did not come");
+    throw new IOException("the request did not arrive");
   }
 
-  private static void turn(EventLoop loop, Root root) throws IOException {
+  private static void runLoop(EventLoop loop, Root root) throws IOException {
     loop.schedule(TimeSpan.millis(1), root, loop::pause);
     loop.run();
   }
--- a/src/test/java/io/saltflow/transport/HttpParserTest.java
+++ b/src/test/java/io/saltflow/transport/HttpParserTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** HTTP as it comes: in pieces, in chunks, and wrong. */
+/** Guards against misread fragmented, chunked or malformed HTTP messages. */
 class HttpParserTest {
   private static ByteBuffer bytes(String text) {
     return ByteBuffer.wrap(text.replace("~", "\r\n").getBytes(StandardCharsets.ISO_8859_1));
@@ -19,29 +19,29 @@
 
   @Test
   void requestIsReadByteByByte() throws HttpParser.MalformedMessageException {
-    HttpParser httpParser = new HttpParser(true, 100);
-    ByteBuffer all = bytes("POST /checkin HTTP/1.1~Host: x~Content-Length: 5~~hello");
-    while (all.hasRemaining()) {
-      assertFalse(httpParser.complete());
-      httpParser.feed(ByteBuffer.wrap(new byte[] {all.get()}));
+    HttpParser parser = new HttpParser(true, 100);
+    ByteBuffer input = bytes("POST /checkin HTTP/1.1~Host: x~Content-Length: 5~~hello");
+    while (input.hasRemaining()) {
+      assertFalse(parser.complete());
+      parser.feed(ByteBuffer.wrap(new byte[] {input.get()}));
     }
-    assertTrue(httpParser.complete());
-    assertEquals("POST", httpParser.method());
-    assertEquals("/checkin", httpParser.target());
-    assertEquals("hello", new String(httpParser.body(), StandardCharsets.ISO_8859_1));
-    assertFalse(httpParser.wantsClose());
+    assertTrue(parser.complete());
+    assertEquals("POST", parser.method());
+    assertEquals("/checkin", parser.target());
+    assertEquals("hello", new String(parser.body(), StandardCharsets.ISO_8859_1));
+    assertFalse(parser.wantsClose());
   }
 
   @Test
-  void chunksAreJoinedAndResponsesRead() throws HttpParser.MalformedMessageException {
-    HttpParser httpParser = new HttpParser(false, 100);
+  void chunkedResponseBodyIsJoined() throws HttpParser.MalformedMessageException {
+    HttpParser parser = new HttpParser(false, 100);
     assertTrue(
-        httpParser.feed(
+        parser.feed(
             bytes(
                 "HTTP/1.1 200 OK~Transfer-Encoding: chunked~Connection: close~~3~abc~2;x=y~de~0~~")));
-    assertEquals(200, httpParser.status());
-    assertEquals("abcde", new String(httpParser.body(), StandardCharsets.ISO_8859_1));
-    assertTrue(httpParser.wantsClose());
+    assertEquals(200, parser.status());
+    assertEquals("abcde", new String(parser.body(), StandardCharsets.ISO_8859_1));
+    assertTrue(parser.wantsClose());
   }
 
   @ParameterizedTest
@@ -61,29 +61,29 @@
         "413 | POST / HTTP/1.1~Transfer-Encoding: chunked~~fffffff~",
         "501 | POST / HTTP/1.1~Transfer-Encoding: gzip~~"
       })
-  void malformedIsRefused(int status, String text) {
-    HttpParser httpParser = new HttpParser(true, 100);
+  void malformedRequestIsRejected(int status, String text) {
+    HttpParser parser = new HttpParser(true, 100);
     ByteBuffer in = bytes(text.strip() + "x".repeat(200));
-    HttpParser.MalformedMessageException malformedMessageException =
-        assertThrows(HttpParser.MalformedMessageException.class, () -> httpParser.feed(in));
-    assertEquals(status, malformedMessageException.status());
+    HttpParser.MalformedMessageException exception =
+        assertThrows(HttpParser.MalformedMessageException.class, () -> parser.feed(in));
+    assertEquals(status, exception.status());
   }
 
   @Test
-  void linesAndHeadersAreBounded() {
-    HttpParser long1 = new HttpParser(true, 100);
+  void tooLongLineAndTooManyHeadersAreRejected() {
+    HttpParser longLineParser = new HttpParser(true, 100);
     assertEquals(
         414,
         assertThrows(
                 HttpParser.MalformedMessageException.class,
-                () -> long1.feed(bytes("GET /" + "a".repeat(5000))))
+                () -> longLineParser.feed(bytes("GET /" + "a".repeat(5000))))
             .status());
-    HttpParser many = new HttpParser(true, 100);
+    HttpParser manyHeadersParser = new HttpParser(true, 100);
     assertEquals(
         431,
         assertThrows(
                 HttpParser.MalformedMessageException.class,
-                () -> many.feed(bytes("GET / HTTP/1.1~" + "a: b~".repeat(70))))
+                () -> manyHeadersParser.feed(bytes("GET / HTTP/1.1~" + "a: b~".repeat(70))))
             .status());
   }
 }
--- a/src/test/java/io/saltflow/transport/LoopThread.java
+++ b/src/test/java/io/saltflow/transport/LoopThread.java
@@ -2,7 +2,9 @@
 
 import java.io.IOException;
 
-/** A loop on a thread of its own, until it is stopped; what it served is cancelled there. */
+/**
+ * Runs an event loop on a separate thread and cancels its root routine there when the loop stops.
+ */
 public final class LoopThread {
   private final EventLoop loop;
   private final Thread thread;
@@ -12,7 +14,7 @@
     this.thread = thread;
   }
 
-  /** Runs it from now on. The thread does not keep the process alive. */
+  /** Starts a loop on a daemon thread. */
   public static LoopThread start(EventLoop loop, Routine root) {
     Thread thread =
         new Thread(
@@ -29,7 +31,7 @@
     return new LoopThread(loop, thread);
   }
 
-  /** Ends it in order. */
+  /** Stops the loop and waits for its thread to end. */
   public void stop() throws InterruptedException {
     loop.stop();
     thread.join();
--- a/src/test/java/io/saltflow/transport/PortsTest.java
+++ b/src/test/java/io/saltflow/transport/PortsTest.java
@@ -10,46 +10,46 @@
 import java.nio.channels.ServerSocketChannel;
 import org.junit.jupiter.api.Test;
 
-/** Ports that somebody else holds. */
+/** Guards against a failed restart while the previous process still holds the port. */
 class PortsTest {
-  private static final InetSocketAddress ANY = Addresses.parse("127.0.0.1:0");
+  private static final InetSocketAddress ANY_PORT = Addresses.parse("127.0.0.1:0");
 
   @Test
-  void aPortThatIsHeldForAMomentIsWaitedFor() throws Exception {
-    ServerSocketChannel former = ServerSocketChannel.open();
+  void bindSucceedsOncePortIsReleased() throws Exception {
+    ServerSocketChannel previous = ServerSocketChannel.open();
     try (ServerSocketChannel next = ServerSocketChannel.open()) {
-      former.bind(ANY);
-      InetSocketAddress at = (InetSocketAddress) former.getLocalAddress();
-      Thread ends =
+      previous.bind(ANY_PORT);
+      InetSocketAddress address = (InetSocketAddress) previous.getLocalAddress();
+      Thread closer =
           new Thread(
               () -> {
                 try {
                   Thread.sleep(120);
-                  former.close();
+                  previous.close();
                 } catch (InterruptedException | IOException exception) {
                   throw new IllegalStateException(exception);
                 }
               });
-      ends.start();
-      PortBinder.bind(next, at, 16);
-      assertEquals(at, next.getLocalAddress());
-      ends.join();
+      closer.start();
+      PortBinder.bind(next, address, 16);
+      assertEquals(address, next.getLocalAddress());
+      closer.join();
     }
   }
 
   @Test
-  void oneThatStaysHeldIsNamedAndGivenUp() throws IOException {
+  void bindFailsWithAddressWhilePortStaysInUse() throws IOException {
     try (ServerSocketChannel other = ServerSocketChannel.open();
         ServerSocketChannel next = ServerSocketChannel.open()) {
-      other.bind(ANY);
-      InetSocketAddress at = (InetSocketAddress) other.getLocalAddress();
-      IOException ioException =
+      other.bind(ANY_PORT);
+      InetSocketAddress address = (InetSocketAddress) other.getLocalAddress();
+      IOException exception =
           assertThrows(
-              IOException.class, () -> PortBinder.bind(next, at, 16, TimeSpan.millis(100)));
+              IOException.class, () -> PortBinder.bind(next, address, 16, TimeSpan.millis(100)));
       assertTrue(
-          ioException.getMessage().startsWith(Addresses.text(at) + ": "), ioException.getMessage());
-      assertTrue(
-          ioException.getMessage().endsWith("after 0.1 s of trying"), ioException.getMessage());
+          exception.getMessage().startsWith(Addresses.text(address) + ": "),
+          exception.getMessage());
+      assertTrue(exception.getMessage().endsWith("after 0.1 s of trying"), exception.getMessage());
     }
   }
 }
--- a/src/test/java/io/saltflow/transport/ProberTest.java
+++ b/src/test/java/io/saltflow/transport/ProberTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Replicas on loopback: well, ill, silent, gone, and speaking something else. */
+/** Guards against wrong probe results for healthy, unhealthy, silent and stopped replicas. */
 class ProberTest {
-  private static final TimeSpan LONG = TimeSpan.seconds(60);
+  private static final TimeSpan LONG_TIMEOUT = TimeSpan.seconds(60);
 
   private static final class Root extends Routine {
     Root() {
@@ -41,74 +41,75 @@
                 50,
                 (method, target, body, answer) ->
                     answer.accept(
-                        target.equals("/well?x=1")
+                        target.equals("/healthy?x=1")
                             ? new HttpResponse(200, new byte[100_000], 0)
                             : HttpResponse.empty(503)))
             .port();
   }
 
   @AfterEach
-  void end() {
+  void cancelRoot() {
     root.cancel();
   }
 
-  private long probe(String path, int at, TimeSpan timeout) throws IOException {
-    long[] told = {Long.MIN_VALUE};
+  private long probe(String path, int targetPort, TimeSpan timeout) throws IOException {
+    long[] results = {Long.MIN_VALUE};
     prober.probe(
-        new ProbeFrame.ProbeTarget("127.0.0.1", at, path),
+        new ProbeFrame.ProbeTarget("127.0.0.1", targetPort, path),
         timeout,
         ms -> {
-          told[0] = ms;
+          results[0] = ms;
           loop.pause();
         });
     loop.run();
-    return told[0];
+    return results[0];
   }
 
   @Test
-  void answersAreTimedAndTheirStatusCounts() throws IOException {
-    assertTrue(probe("/well?x=1", port, LONG) >= 0, "a large body is not waited for");
-    assertEquals(ProbeFrame.UNHEALTHY, probe("/ill", port, LONG));
-    assertTrue(probe("", port, LONG) >= 0, "connecting is all");
+  void probeReturnsLatencyOrUnhealthyStatus() throws IOException {
+    assertTrue(
+        probe("/healthy?x=1", port, LONG_TIMEOUT) >= 0, "the probe must not wait for a large body");
+    assertEquals(ProbeFrame.UNHEALTHY, probe("/unhealthy", port, LONG_TIMEOUT));
+    assertTrue(probe("", port, LONG_TIMEOUT) >= 0, "a probe with an empty path only connects");
     assertEquals(
         ProbeFrame.NOT_PROBED,
-        probe("/", 70_000, LONG),
-        "there is no such port: nothing was asked");
+        probe("/", 70_000, LONG_TIMEOUT),
+        "a replica with an invalid port is not probed");
   }
 
   @Test
-  void nobodyThereAndNobodyAnsweringAreTheSame() throws IOException {
-    int gone;
+  void silentAndStoppedReplicasAreUnreachable() throws IOException {
+    int closedPort;
     try (ServerSocket silent = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
-      gone = silent.getLocalPort();
-      assertEquals(ProbeFrame.UNREACHABLE, probe("/", gone, TimeSpan.millis(50)));
-      assertTrue(probe("", gone, LONG) >= 0);
+      closedPort = silent.getLocalPort();
+      assertEquals(ProbeFrame.UNREACHABLE, probe("/", closedPort, TimeSpan.millis(50)));
+      assertTrue(probe("", closedPort, LONG_TIMEOUT) >= 0);
     }
-    assertEquals(ProbeFrame.UNREACHABLE, probe("", gone, LONG));
+    assertEquals(ProbeFrame.UNREACHABLE, probe("", closedPort, LONG_TIMEOUT));
   }
 
-  /** Sockets are bounded: what waited for one until its time was over was never asked. */
+  /** Guards against reporting a replica as unreachable when the probe found no free socket. */
   @Test
-  void whatWaitsTooLongForASocketWasNotMade() throws IOException {
+  void probeThatTimesOutWaitingForSocketIsNotMade() throws IOException {
     try (ServerSocket silent = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
-      List<Long> told = new ArrayList<>();
+      List<Long> results = new ArrayList<>();
       for (int i = 0; i < 5; i++) {
         TimeSpan timeout = TimeSpan.millis(i < 3 ? 100 : 20);
         prober.probe(
             new ProbeFrame.ProbeTarget("127.0.0.1", silent.getLocalPort(), "/"),
             timeout,
             ms -> {
-              told.add(ms);
-              if (told.size() == 5) {
+              results.add(ms);
+              if (results.size() == 5) {
                 loop.pause();
               }
             });
       }
       loop.run();
-      told.sort(null);
-      long no = ProbeFrame.NOT_PROBED;
-      long un = ProbeFrame.UNREACHABLE;
-      assertEquals(List.of(no, no, un, un, un), told);
+      results.sort(null);
+      long notProbed = ProbeFrame.NOT_PROBED;
+      long unreachable = ProbeFrame.UNREACHABLE;
+      assertEquals(List.of(notProbed, notProbed, unreachable, unreachable, unreachable), results);
     }
   }
 }
--- a/src/test/java/io/saltflow/transport/StandstillTest.java
+++ b/src/test/java/io/saltflow/transport/StandstillTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A process that stood still, by clocks that the test sets. */
+/** Guards against stale actions after a process pause, simulated with adjustable clocks. */
 class StandstillTest {
-  private static final String ASK = "GET /x HTTP/1.1\r\nContent-Length: 0\r\n\r\n";
+  private static final String REQUEST = "GET /x HTTP/1.1\r\nContent-Length: 0\r\n\r\n";
 
   private static final class Root extends Routine {
     Root() {
@@ -32,8 +32,8 @@
   private final Root root = new Root();
   private final List<String> trace = new ArrayList<>();
 
-  /** How far these clocks are ahead of the machine's. */
-  private long aheadMs;
+  /** Time by which the clocks of the test are ahead of the system clocks, in milliseconds. */
+  private long clockOffsetMs;
 
   private EventLoop loop;
 
@@ -41,18 +41,18 @@
   void start() throws IOException {
     loop =
         new EventLoop(
-            () -> System.nanoTime() + aheadMs * 1_000_000,
-            () -> System.currentTimeMillis() + aheadMs);
-    loop.detectPauses(TimeSpan.millis(10), s -> trace.add(length(s)));
+            () -> System.nanoTime() + clockOffsetMs * 1_000_000,
+            () -> System.currentTimeMillis() + clockOffsetMs);
+    loop.detectPauses(TimeSpan.millis(10), pause -> trace.add(describe(pause)));
   }
 
   @AfterEach
-  void end() {
+  void cancelRoot() {
     root.cancel();
   }
 
-  private static String length(ProcessPause processPause) {
-    return "stood still for " + processPause.length().ms() / 1000 + " s";
+  private static String describe(ProcessPause processPause) {
+    return "paused for " + processPause.length().ms() / 1000 + " s";
   }
 
   private void run() throws IOException {
@@ -61,11 +61,11 @@
   }
 
   /**
-   * What a process was to give up, or to look at once more, while it stood still is given up before
-   * anything is read or sent: else the check that was made before it allows an act long after.
+   * Guards against I/O after a pause before overdue timers have fired, when earlier checks are no
+   * longer valid.
    */
   @Test
-  void whatWasDueGoesBeforeWhatCameMeanwhile() throws IOException {
+  void overdueTimersFireBeforeReadyConnectionsAfterPause() throws IOException {
     Pipe pipe = Pipe.open();
     pipe.source().configureBlocking(false);
     loop.register(
@@ -75,7 +75,7 @@
           @Override
           public void onReady(SelectionKey key) throws IOException {
             pipe.source().read(ByteBuffer.allocate(8));
-            trace.add("a connection is ready");
+            trace.add("connection ready");
           }
 
           @Override
@@ -91,27 +91,27 @@
         TimeSpan.millis(1),
         root,
         () -> {
-          // It stands still here, with a check behind it.
-          aheadMs += 13_000;
-          trace.add("an act that a check before allowed");
-          comes(pipe);
+          // The process pauses here, after a check.
+          clockOffsetMs += 13_000;
+          trace.add("action allowed by earlier check");
+          writeByte(pipe);
         });
-    loop.schedule(TimeSpan.seconds(4), root, () -> trace.add("it is given up"));
-    for (int i = 0; i < 100 && !trace.contains("a connection is ready"); i++) {
+    loop.schedule(TimeSpan.seconds(4), root, () -> trace.add("timer expired"));
+    for (int i = 0; i < 100 && !trace.contains("connection ready"); i++) {
       run();
     }
     assertEquals(
         List.of(
-            "an act that a check before allowed",
-            "stood still for 13 s",
-            "it is given up",
-            "a connection is ready"),
+            "action allowed by earlier check",
+            "paused for 13 s",
+            "timer expired",
+            "connection ready"),
         trace);
     pipe.sink().close();
     pipe.source().close();
   }
 
-  private static void comes(Pipe pipe) {
+  private static void writeByte(Pipe pipe) {
     try {
       pipe.sink().write(ByteBuffer.wrap(new byte[] {1}));
     } catch (IOException exception) {
@@ -119,9 +119,9 @@
     }
   }
 
-  /** Who asked while it stood still has given up by now: a wall of them need not be worked off. */
+  /** Guards against serving requests that timed out at their clients during a pause. */
   @Test
-  void whatPiledUpIsToldFromWhoAsksNow() throws IOException {
+  void backlogOfPauseIsDistinguishedFromNewRequests() throws IOException {
     List<String> served = new ArrayList<>();
     HttpServer server =
         new HttpServer(
@@ -136,32 +136,34 @@
               answer.accept(HttpResponse.empty(loop.readingBacklog() ? 503 : 200));
             });
     run();
-    List<Socket> asking = new ArrayList<>();
+    List<Socket> clients = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
-      asking.add(ask(server));
+      clients.add(request(server));
     }
-    aheadMs += 6_000;
+    clockOffsetMs += 6_000;
     int refused = 0;
-    for (Socket socket : asking) {
-      refused += answer(socket).startsWith("HTTP/1.1 503") ? 1 : 0;
+    for (Socket socket : clients) {
+      refused += readStatus(socket).startsWith("HTTP/1.1 503") ? 1 : 0;
     }
     assertEquals(40, refused);
     assertEquals(List.of(), served);
-    aheadMs += 1_001;
-    assertTrue(answer(ask(server)).startsWith("HTTP/1.1 200"));
-    aheadMs += 3_000;
-    assertTrue(answer(ask(server)).startsWith("HTTP/1.1 200"), "a poll's patience, not a report's");
-    assertEquals(List.of("stood still for 6 s", "stood still for 3 s"), trace);
+    clockOffsetMs += 1_001;
+    assertTrue(readStatus(request(server)).startsWith("HTTP/1.1 200"));
+    clockOffsetMs += 3_000;
+    assertTrue(
+        readStatus(request(server)).startsWith("HTTP/1.1 200"),
+        "a pause shorter than the client timeout leaves no backlog");
+    assertEquals(List.of("paused for 6 s", "paused for 3 s"), trace);
   }
 
-  private Socket ask(HttpServer server) throws IOException {
+  private Socket request(HttpServer server) throws IOException {
     Socket socket = new Socket();
     socket.connect(new InetSocketAddress("127.0.0.1", server.port()));
-    socket.getOutputStream().write(ASK.getBytes(StandardCharsets.US_ASCII));
+    socket.getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
     return socket;
   }
 
-  private String answer(Socket socket) throws IOException {
+  private String readStatus(Socket socket) throws IOException {
     for (int i = 0; i < 5_000 && socket.getInputStream().available() == 0; i++) {
       run();
     }
