--- a/src/main/java/io/saltflow/broker/AmqpServer.java
+++ b/src/main/java/io/saltflow/broker/AmqpServer.java
@@ -285,7 +285,7 @@
     }
 
     @Override
-    public void onGone() {
+    public void onClosed() {
       connections.remove(this);
       serving.values().remove(this);
       confirms.remove(this);
--- a/src/main/java/io/saltflow/controller/ControllerNode.java
+++ b/src/main/java/io/saltflow/controller/ControllerNode.java
@@ -120,7 +120,7 @@
     earlyFailover = new EarlyFailover(loop, election, store, settings.peerHosts());
     heldHeartbeats = new HeldHeartbeats(this, loop);
     mesh = new PeerMesh(this, loop, settings.meshAddress(), settings.peers(), this::onFrame);
-    mesh.listenToLinks(earlyFailover);
+    mesh.setLinkListener(earlyFailover);
     CascadeBarrier barrier = new CascadeBarrier(settings.cancelTimeout());
     cancellationCascade = newCancellationCascade(barrier);
     jobValidator = new JobValidator(settings.teams(), machineTypes::types);
--- a/src/main/java/io/saltflow/controller/LeaderRole.java
+++ b/src/main/java/io/saltflow/controller/LeaderRole.java
@@ -130,6 +130,6 @@
 
   @Override
   public int takeRejectedConnections() {
-    return components.server().takeTurnedAway();
+    return components.server().takeRejectedCount();
   }
 }
--- a/src/main/java/io/saltflow/controller/PeerProtocol.java
+++ b/src/main/java/io/saltflow/controller/PeerProtocol.java
@@ -82,7 +82,7 @@
   /** Handles a frame from a peer. A frame that cannot be decoded is logged and dropped. */
   void onFrame(byte[] frame) {
     try {
-      if (ProbeFrame.is(frame)) {
+      if (ProbeFrame.isProbeFrame(frame)) {
         onProbeFrame(ProbeFrame.decode(frame));
       } else {
         onHeartbeat(PeerHeartbeat.decode(frame));
--- a/src/main/java/io/saltflow/model/JobSpec.java
+++ b/src/main/java/io/saltflow/model/JobSpec.java
@@ -32,7 +32,7 @@
     List<JobId> dependencies) {
 
   /** Returns a copy of this job with other dependencies. */
-  public JobSpec awaiting(List<JobId> others) {
+  public JobSpec withDependencies(List<JobId> others) {
     return new JobSpec(
         id,
         jobClass,
--- a/src/main/java/io/saltflow/protocol/ProbeFrame.java
+++ b/src/main/java/io/saltflow/protocol/ProbeFrame.java
@@ -44,7 +44,7 @@
       implements ProbeFrame {}
 
   /** Returns whether a frame is a probe frame. */
-  static boolean is(byte[] frame) {
+  static boolean isProbeFrame(byte[] frame) {
     return frame.length > 0 && frame[0] == 1;
   }
 
--- a/src/main/java/io/saltflow/records/DependentAdmission.java
+++ b/src/main/java/io/saltflow/records/DependentAdmission.java
@@ -158,7 +158,7 @@
     private void apply(AdmissionDecision decision) {
       JobId id = spec.id();
       if (decision instanceof AdmissionDecision.Accept accept) {
-        recorder.record(spec.awaiting(accept.open()), wallMs, then);
+        recorder.record(spec.withDependencies(accept.open()), wallMs, then);
       } else if (decision instanceof AdmissionDecision.AcceptCancelled) {
         // An earlier submission may have put the job into a batch, which the guards do not cover.
         MonotonicTime deadline = loop.now().plus(WRITE_TIMEOUT);
--- a/src/main/java/io/saltflow/transport/PeerMesh.java
+++ b/src/main/java/io/saltflow/transport/PeerMesh.java
@@ -92,7 +92,7 @@
   }
 
   /** Sets the listener for link state changes. */
-  public void listenToLinks(LinkListener listener) {
+  public void setLinkListener(LinkListener listener) {
     linkListener = listener;
   }
 
--- a/src/main/java/io/saltflow/transport/SocketListener.java
+++ b/src/main/java/io/saltflow/transport/SocketListener.java
@@ -45,7 +45,7 @@
   }
 
   /** Returns the number of connections rejected because of the limit since the last call. */
-  public final int takeTurnedAway() {
+  public final int takeRejectedCount() {
     int count = rejected;
     rejected = 0;
     return count;
--- a/src/main/java/io/saltflow/transport/StreamServer.java
+++ b/src/main/java/io/saltflow/transport/StreamServer.java
@@ -20,7 +20,7 @@
     void onDrained();
 
     /** Called once when the connection has been closed by either side. */
-    void onGone();
+    void onClosed();
   }
 
   /** A connection to a peer. */
@@ -66,7 +66,7 @@
     @Override
     protected void onCancel() {
       super.onCancel();
-      peer.onGone();
+      peer.onClosed();
     }
   }
 
--- a/src/test/java/io/saltflow/capacity/MessageSizesTest.java
+++ b/src/test/java/io/saltflow/capacity/MessageSizesTest.java
@@ -13,7 +13,7 @@
 import io.saltflow.protocol.PeerHeartbeat;
 import io.saltflow.protocol.Wire;
 import io.saltflow.protocol.WorkerCodec;
-import io.saltflow.transport.HttpFrames;
+import io.saltflow.transport.HttpMessageSizes;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -59,9 +59,9 @@
     LinearFit json = new LinearFit("heartbeat, running tasks, as JSON without HTTP header");
     for (int n : TASKS) {
       byte[] body = heartbeatBody(n, WorkerHeartbeat.TaskState.RUNNING);
-      running.add(n, HttpFrames.requestBytes("POST", Wire.PATH_HEARTBEAT, body));
+      running.add(n, HttpMessageSizes.requestBytes("POST", Wire.PATH_HEARTBEAT, body));
       byte[] exitedBody = heartbeatBody(n, WorkerHeartbeat.TaskState.EXITED);
-      exited.add(n, HttpFrames.requestBytes("POST", Wire.PATH_HEARTBEAT, exitedBody));
+      exited.add(n, HttpMessageSizes.requestBytes("POST", Wire.PATH_HEARTBEAT, exitedBody));
       WorkerHeartbeat heartbeat = workerHeartbeat(n, WorkerHeartbeat.TaskState.RUNNING);
       json.add(n, JsonSize.of(WorkerCodec.encodeHeartbeat(heartbeat)));
     }
@@ -78,7 +78,7 @@
         commands.add(newCommand.apply(task(i)));
       }
       byte[] body = MessagePackCodec.encode(WorkerCodec.encodeCommands(TERM, commands));
-      fit.add(n, HttpFrames.answerBytes(200, body));
+      fit.add(n, HttpMessageSizes.responseBytes(200, body));
     }
     return fit;
   }
--- a/src/test/java/io/saltflow/cli/LocalClusterTest.java
+++ b/src/test/java/io/saltflow/cli/LocalClusterTest.java
@@ -221,7 +221,7 @@
             folder.resolve("service.json"),
             "{\"name\": \"web\", \"replicas\": 2, \"cores\": 1, \"bundle\": \"w1\","
                 + " \"port\": "
-                + FreePorts.first(32)
+                + FreePorts.firstOfRange(32)
                 + ", \"parameters\": {\"colour\": \"red\"}}");
     Path plan =
         Files.writeString(
--- a/src/test/java/io/saltflow/emulator/HeartbeatRateTest.java
+++ b/src/test/java/io/saltflow/emulator/HeartbeatRateTest.java
@@ -19,7 +19,7 @@
 import io.saltflow.protocol.MessagePackCodec;
 import io.saltflow.protocol.Wire;
 import io.saltflow.protocol.WorkerCodec;
-import io.saltflow.transport.HttpFrames;
+import io.saltflow.transport.HttpMessageSizes;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -133,7 +133,7 @@
           report.agentEpoch(), TERM, orders, new MonotonicTime(ms), new MonotonicTime(ms));
       reports++;
       up += head + body.length;
-      down += HttpFrames.answerBytes(200, answer);
+      down += HttpMessageSizes.responseBytes(200, answer);
       listed += report.tasks().size();
     }
 
@@ -176,7 +176,7 @@
   /** Bytes of a report's head where its body takes four digits. */
   private static int head() throws IOException {
     byte[] body = new byte[1000];
-    return HttpFrames.requestBytes("POST", Wire.PATH_HEARTBEAT, body) - body.length;
+    return HttpMessageSizes.requestBytes("POST", Wire.PATH_HEARTBEAT, body) - body.length;
   }
 
   private static Rate play(double startsASecond, long holdMs) throws IOException {
--- a/src/test/java/io/saltflow/fuzz/FuzzTargets.java
+++ b/src/test/java/io/saltflow/fuzz/FuzzTargets.java
@@ -104,7 +104,7 @@
   /** What comes to the mesh's port. */
   static void beats(byte[] data) {
     try {
-      if (ProbeFrame.is(data)) {
+      if (ProbeFrame.isProbeFrame(data)) {
         ProbeFrame.decode(data).encode();
       } else {
         PeerHeartbeat.decode(data).encode();
--- a/src/test/java/io/saltflow/leader/DependencyTrackerTest.java
+++ b/src/test/java/io/saltflow/leader/DependencyTrackerTest.java
@@ -319,8 +319,8 @@
     PipelineSimulation pipeline = new PipelineSimulation(12);
     JobId jobId = new JobId(JobSpecBuilder.id(1));
     JobId otherJobId = new JobId(JobSpecBuilder.id(2));
-    pipeline.simulation.submit(step(1).build().awaiting(List.of(otherJobId)));
-    pipeline.simulation.submit(step(2).build().awaiting(List.of(jobId, otherJobId)));
+    pipeline.simulation.submit(step(1).build().withDependencies(List.of(otherJobId)));
+    pipeline.simulation.submit(step(2).build().withDependencies(List.of(jobId, otherJobId)));
     JobId other = pipeline.submit(step(3));
     JobId next = pipeline.submit(step(4).priority(Priority.HIGH), other);
     pipeline.run(80);
--- a/src/test/java/io/saltflow/leader/PipelineSimulation.java
+++ b/src/test/java/io/saltflow/leader/PipelineSimulation.java
@@ -28,7 +28,7 @@
   }
 
   JobId submit(JobSpecBuilder job, JobId... dependencies) {
-    JobSpec spec = job.build().awaiting(List.of(dependencies));
+    JobSpec spec = job.build().withDependencies(List.of(dependencies));
     simulation.submit(spec);
     for (JobId dependency : dependencies) {
       if (record(dependency).cancelledAt >= 0) {
--- a/src/test/java/io/saltflow/protocol/ThrottleTest.java
+++ b/src/test/java/io/saltflow/protocol/AdaptiveRateLimiterTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Guards against uneven shares when several clients use one rate limit without coordination. */
-class ThrottleTest {
+class AdaptiveRateLimiterTest {
   @Test
   void fiveClientsConvergeToEvenSharesWithFewRejections() {
     List<AdaptiveRateLimiter> limiters = new ArrayList<>();
--- a/src/test/java/io/saltflow/protocol/WireTest.java
+++ b/src/test/java/io/saltflow/protocol/CodecTest.java
@@ -32,7 +32,7 @@
 /**
  * Guards against invalid messages that are accepted and valid ones that are rejected or altered.
  */
-class WireTest {
+class CodecTest {
   private static MessageBody jobBody() {
     return MessageBody.of()
         .with("id", "req-000412")
@@ -278,7 +278,7 @@
               new ProbeFrame.ProbeRequest("b", "a", 7, 3000, targets),
               new ProbeFrame.ProbeResponse("a", "b", 7, latencies))) {
         byte[] bytes = frame.encode();
-        assertTrue(ProbeFrame.is(bytes));
+        assertTrue(ProbeFrame.isProbeFrame(bytes));
         assertEquals(frame, ProbeFrame.decode(bytes));
         assertThrows(InvalidMessageException.class, () -> PeerHeartbeat.decode(bytes));
         byte[] record = Arrays.copyOfRange(bytes, 1, bytes.length);
--- a/src/test/java/io/saltflow/transport/CrowdedTest.java
+++ b/src/test/java/io/saltflow/transport/ConnectionLimitTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Guards against lost requests when the connection limit or the supply of sockets is exhausted. */
-class CrowdedTest {
+class ConnectionLimitTest {
   private static final String REQUEST = "GET /x HTTP/1.1\r\nContent-Length: 0\r\n\r\n";
 
   private static final class Root extends Routine {
@@ -86,7 +86,7 @@
       kept += head.contains("Connection: close") ? 0 : 1;
     }
     assertEquals(8, kept);
-    assertEquals(0, server.takeTurnedAway());
+    assertEquals(0, server.takeRejectedCount());
   }
 
   /**
--- a/src/test/java/io/saltflow/transport/StandstillTest.java
+++ b/src/test/java/io/saltflow/transport/EventLoopPauseTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Guards against stale actions after a process pause, simulated with adjustable clocks. */
-class StandstillTest {
+class EventLoopPauseTest {
   private static final String REQUEST = "GET /x HTTP/1.1\r\nContent-Length: 0\r\n\r\n";
 
   private static final class Root extends Routine {
--- a/src/test/java/io/saltflow/transport/FreePorts.java
+++ b/src/test/java/io/saltflow/transport/FreePorts.java
@@ -21,7 +21,7 @@
 
   /** Returns a loopback address whose port is free and was not returned before. */
   public static InetSocketAddress address() throws IOException {
-    return new InetSocketAddress(InetAddress.getLoopbackAddress(), first(1));
+    return new InetSocketAddress(InetAddress.getLoopbackAddress(), firstOfRange(1));
   }
 
   /**
@@ -29,7 +29,7 @@
    *
    * @throws IOException if there is no such range
    */
-  public static synchronized int first(int count) throws IOException {
+  public static synchronized int firstOfRange(int count) throws IOException {
     int free = 0;
     for (int attempts = 0; attempts < LAST - FIRST; attempts++) {
       if (next >= LAST) {
--- a/src/test/java/io/saltflow/transport/HttpFrames.java
+++ b/src/test/java/io/saltflow/transport/HttpMessageSizes.java
@@ -9,11 +9,11 @@
 import java.nio.charset.StandardCharsets;
 
 /** Measures the size of HTTP messages on a connection, including their heads. */
-public final class HttpFrames {
+public final class HttpMessageSizes {
   private static final String HEAD_END = "\r\n\r\n";
   private static final int MAX_LOOP_RUNS = 2000;
 
-  private HttpFrames() {}
+  private HttpMessageSizes() {}
 
   private static final class Root extends Routine {
     Root() {
@@ -22,7 +22,7 @@
   }
 
   /** Returns the size in bytes of a response from {@link HttpServer}. */
-  public static int answerBytes(int status, byte[] body) {
+  public static int responseBytes(int status, byte[] body) {
     return HttpResponse.of(status, body).bytes(false).remaining();
   }
 
--- a/src/test/java/io/saltflow/transport/PortsTest.java
+++ b/src/test/java/io/saltflow/transport/PortBinderTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Guards against a failed restart while the previous process still holds the port. */
-class PortsTest {
+class PortBinderTest {
   private static final InetSocketAddress ANY_PORT = Addresses.parse("127.0.0.1:0");
 
   @Test
--- a/src/test/java/io/saltflow/transport/ProberTest.java
+++ b/src/test/java/io/saltflow/transport/ReplicaProberTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Guards against wrong probe results for healthy, unhealthy, silent and stopped replicas. */
-class ProberTest {
+class ReplicaProberTest {
   private static final TimeSpan LONG_TIMEOUT = TimeSpan.seconds(60);
 
   private static final class Root extends Routine {
