--- a/src/main/java/io/saltflow/broker/AmqpServer.java
+++ b/src/main/java/io/saltflow/broker/AmqpServer.java
@@ -227,7 +227,7 @@
                 : to.session.deliver(channel, id.consumer().tag(), delivery));
     QueueCore core = duty.core();
     if (!sent) {
-      core.notSent(id, loop.now(), node.wallMs().getAsLong());
+      core.deliveryNotSent(id, loop.now(), node.wallMs().getAsLong());
     } else if (deliver.noAck()) {
       core.settle(id, QueueCore.Settlement.ACK, loop.now(), node.wallMs().getAsLong());
     }
--- a/src/main/java/io/saltflow/broker/JobTemplates.java
+++ b/src/main/java/io/saltflow/broker/JobTemplates.java
@@ -36,7 +36,7 @@
   }
 
   @Override
-  public JobSpec make(QueuePolicy queue, JobId id, byte[] body) throws BadJob {
+  public JobSpec createJob(QueuePolicy queue, JobId id, byte[] body) throws InvalidJobException {
     JsonNode message = read(body);
     String template = templates.get(queue.id());
     ObjectNode fields =
@@ -52,24 +52,24 @@
     try {
       return JobCodec.decode(JsonJobs.withDefaults(JsonJobs.fields(fields)));
     } catch (InvalidMessageException exception) {
-      throw new BadJob("no job can be made of it: " + exception.getMessage());
+      throw new InvalidJobException("no job can be made of it: " + exception.getMessage());
     }
   }
 
-  private JsonNode read(byte[] body) throws BadJob {
+  private JsonNode read(byte[] body) throws InvalidJobException {
     JsonNode node;
     try {
       node = json.readTree(body);
     } catch (IOException exception) {
-      throw new BadJob("no job can be made of it: it is not JSON");
+      throw new InvalidJobException("no job can be made of it: it is not JSON");
     }
     if (node == null || !node.isObject()) {
-      throw new BadJob("no job can be made of it: a map of fields is required");
+      throw new InvalidJobException("no job can be made of it: a map of fields is required");
     }
     return node;
   }
 
-  private ObjectNode filled(String template, JsonNode parameters) throws BadJob {
+  private ObjectNode filled(String template, JsonNode parameters) throws InvalidJobException {
     ObjectNode out;
     try {
       out = (ObjectNode) json.readTree(template);
@@ -85,7 +85,7 @@
     return out;
   }
 
-  private JsonNode filled(JsonNode text, JsonNode parameters) throws BadJob {
+  private JsonNode filled(JsonNode text, JsonNode parameters) throws InvalidJobException {
     Matcher matcher = PARAMETER.matcher(text.textValue());
     if (matcher.matches()) {
       return parameter(matcher.group(1), parameters);
@@ -100,10 +100,11 @@
     return json.getNodeFactory().textNode(out.toString());
   }
 
-  private static JsonNode parameter(String name, JsonNode parameters) throws BadJob {
+  private static JsonNode parameter(String name, JsonNode parameters) throws InvalidJobException {
     JsonNode value = parameters.get(name);
     if (value == null || !value.isValueNode()) {
-      throw new BadJob("no job can be made of it: parameter '" + name + "' is missing");
+      throw new InvalidJobException(
+          "no job can be made of it: parameter '" + name + "' is missing");
     }
     return value;
   }
--- a/src/main/java/io/saltflow/broker/QueueBrokerSession.java
+++ b/src/main/java/io/saltflow/broker/QueueBrokerSession.java
@@ -147,7 +147,7 @@
   public void prefetch(int channel, int count, boolean wholeChannel) {
     if (wholeChannel) {
       int limit = count == 0 ? UNLIMITED : count;
-      core.share(id, channel, limit, clocks.monotonic.get(), clocks.wallMs.getAsLong());
+      core.setChannelLimit(id, channel, limit, clocks.monotonic.get(), clocks.wallMs.getAsLong());
       afterwards.run();
     } else {
       prefetch.put(channel, count);
@@ -175,13 +175,13 @@
 
   @Override
   public void gone() {
-    core.sessionGone(id, clocks.monotonic.get(), clocks.wallMs.getAsLong());
+    core.sessionClosed(id, clocks.monotonic.get(), clocks.wallMs.getAsLong());
     afterwards.run();
   }
 
   /** The peer's socket is full, or has drained. */
   void paused(boolean paused) {
-    core.paused(id, paused, clocks.monotonic.get(), clocks.wallMs.getAsLong());
+    core.setPaused(id, paused, clocks.monotonic.get(), clocks.wallMs.getAsLong());
     afterwards.run();
   }
 }
--- a/src/main/java/io/saltflow/broker/QueueController.java
+++ b/src/main/java/io/saltflow/broker/QueueController.java
@@ -155,7 +155,7 @@
     boolean refuse = !serving.getAsBoolean();
     if (refuse != refusing) {
       refusing = refuse;
-      core.taking(!refuse);
+      core.setAccepting(!refuse);
     }
     core.tick(loop.now(), wallMs.getAsLong());
     pump();
@@ -253,7 +253,7 @@
   }
 
   private void over(MessageNo no, boolean done, String refused, int errors) {
-    core.jobOver(no, done, refused, errors, loop.now(), wallMs.getAsLong());
+    core.jobEnded(no, done, refused, errors, loop.now(), wallMs.getAsLong());
     admitted.remove(no);
     pump();
   }
@@ -271,7 +271,7 @@
     for (Map.Entry<MessageNo, JobId> entry : Map.copyOf(admitted).entrySet()) {
       Job job = leader.jobs().find(entry.getValue());
       if (job != null) {
-        core.jobErrors(entry.getKey(), job.failureCount(), loop.now(), wallMs.getAsLong());
+        core.jobFailures(entry.getKey(), job.failureCount(), loop.now(), wallMs.getAsLong());
       } else if (asking.size() < JOBS_AT_ONCE && asking.add(entry.getKey())) {
         jobs.find(
             entry.getValue(),
--- a/src/main/java/io/saltflow/queues/Consumer.java
+++ b/src/main/java/io/saltflow/queues/Consumer.java
@@ -3,61 +3,72 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** A consumer of a queue, with its prefetch window. */
+/** A consumer of a queue with its prefetch limit. */
 final class Consumer {
-  /** The prefetch limit and count that the consumers of a channel share. */
-  static final class Share {
+  /**
+   * The prefetch limit and the number of outstanding deliveries shared by a channel's consumers.
+   */
+  static final class ChannelWindow {
     int limit;
-    int out;
+    int outstanding;
 
-    Share(int limit) {
+    ChannelWindow(int limit) {
       this.limit = limit;
     }
   }
 
-  /** The flow control that the consumers of a connection share: one socket. */
-  static final class Line {
-    /** Whether the peer reads too slowly to be sent more. */
+  /** Flow control of a connection, shared by all its consumers. */
+  static final class FlowControl {
+    /** Whether deliveries are paused because the peer reads too slowly. */
     boolean paused;
 
-    /** Bytes that are sent to it once their deliveries are recorded. */
-    int starting;
+    /** Bytes of deliveries that are being recorded and will be sent afterwards. */
+    int inFlightBytes;
 
     boolean full() {
-      return paused || starting >= MAX_STARTING;
+      return paused || inFlightBytes >= MAX_IN_FLIGHT_BYTES;
     }
   }
 
   /**
-   * The most bytes on their way to one connection: with a large prefetch more would be written to
-   * its socket at once than a small machine can hold.
+   * Maximum number of bytes in flight to one connection. With a large prefetch limit, unbounded
+   * deliveries could exhaust the memory of a small machine.
    */
-  private static final int MAX_STARTING = 256 * 1024;
+  private static final int MAX_IN_FLIGHT_BYTES = 256 * 1024;
 
   final ConsumerId id;
   final QueueState queue;
   final boolean noAck;
   final int limit;
-  final Share share;
-  final Line line;
+  final ChannelWindow window;
+  final FlowControl flow;
   final Set<Message> held = new HashSet<>();
 
-  /** Whether it was cancelled: it takes no more, but what it holds may still be settled. */
-  boolean leaving;
+  /**
+   * Whether it was cancelled. A cancelled consumer takes no deliveries, but may still settle those
+   * that it holds.
+   */
+  boolean cancelled;
 
-  /** Its position among the consumers that can take a delivery. */
-  long place;
+  /** Position in the rotation of consumers that can take a delivery. */
+  long turn;
 
-  Consumer(ConsumerId id, QueueState queue, boolean noAck, int limit, Share share, Line line) {
+  Consumer(
+      ConsumerId id,
+      QueueState queue,
+      boolean noAck,
+      int limit,
+      ChannelWindow window,
+      FlowControl flow) {
     this.id = id;
     this.queue = queue;
     this.noAck = noAck;
     this.limit = limit;
-    this.share = share;
-    this.line = line;
+    this.window = window;
+    this.flow = flow;
   }
 
-  boolean free() {
-    return !line.full() && !leaving && held.size() < limit && share.out < share.limit;
+  boolean hasCapacity() {
+    return !flow.full() && !cancelled && held.size() < limit && window.outstanding < window.limit;
   }
 }
--- a/src/main/java/io/saltflow/queues/ConsumerId.java
+++ b/src/main/java/io/saltflow/queues/ConsumerId.java
@@ -1,9 +1,10 @@
 package io.saltflow.queues;
 
-/** A consumer of one connection; sessions are numbered by the node that serves them. */
+/** Identifies a consumer. Session numbers are assigned by the node that serves the connection. */
 public record ConsumerId(long session, int channel, String tag) {
   /**
-   * The pseudo-consumer of a single get on a channel: no tag that a peer may choose has its prefix.
+   * Tag of the pseudo-consumer for gets on a channel. Tags that a peer may choose never have this
+   * prefix.
    */
   static final String GET = "\0get";
 
--- a/src/main/java/io/saltflow/queues/ConsumerRegistry.java
+++ b/src/main/java/io/saltflow/queues/ConsumerRegistry.java
@@ -9,16 +9,18 @@
 /** The consumers of all connections, by connection and channel. */
 final class ConsumerRegistry {
   private static final class Channel {
-    final Consumer.Share share = new Consumer.Share(Integer.MAX_VALUE);
+    final Consumer.ChannelWindow window = new Consumer.ChannelWindow(Integer.MAX_VALUE);
     final Map<String, Consumer> consumers = new TreeMap<>();
   }
 
   private static final class Session {
-    final Consumer.Line line = new Consumer.Line();
+    final Consumer.FlowControl flow = new Consumer.FlowControl();
     final Map<Integer, Channel> channels = new TreeMap<>();
 
     void refresh() {
-      channels.values().forEach(ch -> ch.consumers.values().forEach(c -> c.queue.refresh(c)));
+      channels
+          .values()
+          .forEach(ch -> ch.consumers.values().forEach(c -> c.queue.updateReadiness(c)));
     }
   }
 
@@ -32,7 +34,7 @@
     return session(session).channels.computeIfAbsent(channel, c -> new Channel());
   }
 
-  private Channel known(ConsumerId id) {
+  private Channel findChannel(ConsumerId id) {
     Session session = sessions.get(id.session());
     return session == null ? null : session.channels.get(id.channel());
   }
@@ -40,15 +42,15 @@
   Consumer add(ConsumerId id, QueueState queue, boolean noAck, int limit) {
     Channel channel = channel(id.session(), id.channel());
     Consumer consumer =
-        new Consumer(id, queue, noAck, limit, channel.share, session(id.session()).line);
+        new Consumer(id, queue, noAck, limit, channel.window, session(id.session()).flow);
     channel.consumers.put(id.tag(), consumer);
     return consumer;
   }
 
-  /** The pseudo-consumer of gets from a queue on a channel. */
+  /** Returns the pseudo-consumer for gets from a queue on a channel. */
   Consumer getter(ConsumerId id, QueueState queue, boolean noAck) {
     Channel channel = channel(id.session(), id.channel());
-    // Gets are not bounded by prefetch: each is requested singly.
+    // Prefetch limits do not apply to gets, because each one is requested explicitly.
     return channel.consumers.computeIfAbsent(
         id.tag() + noAck + queue.policy.id(),
         tag -> {
@@ -58,64 +60,67 @@
                   queue,
                   noAck,
                   Integer.MAX_VALUE,
-                  new Consumer.Share(0),
-                  session(id.session()).line);
-          consumer.leaving = true;
+                  new Consumer.ChannelWindow(0),
+                  session(id.session()).flow);
+          consumer.cancelled = true;
           return consumer;
         });
   }
 
   Consumer find(ConsumerId id) {
-    Channel channel = known(id);
+    Channel channel = findChannel(id);
     return channel == null ? null : channel.consumers.get(id.tag());
   }
 
-  void share(long session, int channel, int limit) {
-    Channel there = channel(session, channel);
-    there.share.limit = limit;
-    there.consumers.values().forEach(c -> c.queue.refresh(c));
+  void setChannelLimit(long session, int channel, int limit) {
+    Channel found = channel(session, channel);
+    found.window.limit = limit;
+    found.consumers.values().forEach(c -> c.queue.updateReadiness(c));
   }
 
-  void paused(long session, boolean paused) {
-    Session there = session(session);
-    there.line.paused = paused;
-    there.refresh();
+  void setPaused(long session, boolean paused) {
+    Session found = session(session);
+    found.flow.paused = paused;
+    found.refresh();
   }
 
-  /** Deliveries to the consumer were sent, or will not be. */
-  void underWay(Consumer consumer, int bytes) {
-    boolean wasFull = consumer.line.full();
-    consumer.line.starting += bytes;
+  /**
+   * Adds to the bytes in flight to the consumer's connection. A negative number means that
+   * deliveries were sent, or will not be sent.
+   */
+  void addInFlightBytes(Consumer consumer, int bytes) {
+    boolean wasFull = consumer.flow.full();
+    consumer.flow.inFlightBytes += bytes;
     Session session = sessions.get(consumer.id.session());
-    if (wasFull && !consumer.line.full() && session != null) {
+    if (wasFull && !consumer.flow.full() && session != null) {
       session.refresh();
     }
   }
 
-  /** The consumer settled a delivery: it, or another one of its channel, may take more. */
-  void freed(Consumer freed) {
-    Channel channel = known(freed.id);
+  /** Updates the consumers that may take more deliveries after one was settled or released. */
+  void deliverySettled(Consumer consumer) {
+    Channel channel = findChannel(consumer.id);
     if (channel == null) {
       return;
     }
-    if (channel.share.limit == Integer.MAX_VALUE) {
-      freed.queue.refresh(freed);
+    if (channel.window.limit == Integer.MAX_VALUE) {
+      consumer.queue.updateReadiness(consumer);
     } else {
-      channel.consumers.values().forEach(c -> c.queue.refresh(c));
+      channel.consumers.values().forEach(c -> c.queue.updateReadiness(c));
     }
   }
 
   List<Consumer> removeChannel(long session, int channel) {
-    Session there = sessions.get(session);
-    Channel gone = there == null ? null : there.channels.remove(channel);
-    return gone == null ? List.of() : new ArrayList<>(gone.consumers.values());
+    Session found = sessions.get(session);
+    Channel removed = found == null ? null : found.channels.remove(channel);
+    return removed == null ? List.of() : new ArrayList<>(removed.consumers.values());
   }
 
   List<Consumer> removeSession(long session) {
     List<Consumer> out = new ArrayList<>();
-    Session there = sessions.remove(session);
-    if (there != null) {
-      there.channels.values().forEach(c -> out.addAll(c.consumers.values()));
+    Session found = sessions.remove(session);
+    if (found != null) {
+      found.channels.values().forEach(c -> out.addAll(c.consumers.values()));
     }
     return out;
   }
--- a/src/main/java/io/saltflow/queues/DeduplicationWindow.java
+++ b/src/main/java/io/saltflow/queues/DeduplicationWindow.java
@@ -5,58 +5,63 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The ids of completed messages, kept for a bounded time and in a bounded number. */
+/** The digests of completed messages' ids, bounded in number and age. */
 final class DeduplicationWindow {
-  private static final class Ending {
+  private static final class Completion {
     final long wallMs;
-    long home;
+    long batch;
 
-    Ending(long wallMs) {
+    Completion(long wallMs) {
       this.wallMs = wallMs;
     }
   }
 
-  private final Map<MessageDigest128, Ending> endings = new LinkedHashMap<>();
-  private final int most;
-  private final TimeSpan span;
-  private final SegmentCleaner ring;
+  private final Map<MessageDigest128, Completion> completions = new LinkedHashMap<>();
+  private final int maxIds;
+  private final TimeSpan retention;
+  private final SegmentCleaner cleaner;
 
-  DeduplicationWindow(int most, TimeSpan span, SegmentCleaner ring) {
-    this.most = most;
-    this.span = span;
-    this.ring = ring;
+  DeduplicationWindow(int maxIds, TimeSpan retention, SegmentCleaner cleaner) {
+    this.maxIds = maxIds;
+    this.retention = retention;
+    this.cleaner = cleaner;
   }
 
-  boolean has(MessageDigest128 digest) {
-    return endings.containsKey(digest);
+  boolean contains(MessageDigest128 digest) {
+    return completions.containsKey(digest);
   }
 
-  /** When the message was completed; null: not within the window. */
-  Long endedAt(MessageDigest128 digest) {
-    Ending ending = endings.get(digest);
+  /**
+   * Returns when the message was completed, in milliseconds, or {@code null} if it is not within
+   * the window.
+   */
+  Long completedAt(MessageDigest128 digest) {
+    Completion ending = completions.get(digest);
     return ending == null ? null : ending.wallMs;
   }
 
-  /** Notes the batch that holds the record; a later batch replaces an earlier one. */
+  /**
+   * Sets the batch that holds the entry of a completed id. A later batch replaces an earlier one.
+   */
   void put(MessageDigest128 digest, long wallMs, long batch) {
-    Ending ending = endings.computeIfAbsent(digest, d -> new Ending(wallMs));
-    ring.moved(digest, ending.home, batch);
-    ending.home = batch;
+    Completion ending = completions.computeIfAbsent(digest, d -> new Completion(wallMs));
+    cleaner.moveLive(digest, ending.batch, batch);
+    ending.batch = batch;
   }
 
-  void forgetOld(long wallMs) {
-    Iterator<Map.Entry<MessageDigest128, Ending>> it = endings.entrySet().iterator();
+  void removeExpired(long wallMs) {
+    Iterator<Map.Entry<MessageDigest128, Completion>> it = completions.entrySet().iterator();
     while (it.hasNext()) {
-      Map.Entry<MessageDigest128, Ending> entry = it.next();
-      if (endings.size() <= most && wallMs - entry.getValue().wallMs <= span.ms()) {
+      Map.Entry<MessageDigest128, Completion> entry = it.next();
+      if (completions.size() <= maxIds && wallMs - entry.getValue().wallMs <= retention.ms()) {
         return;
       }
       it.remove();
-      ring.gone(entry.getKey(), entry.getValue().home);
+      cleaner.removeLive(entry.getKey(), entry.getValue().batch);
     }
   }
 
   int size() {
-    return endings.size();
+    return completions.size();
   }
 }
--- a/src/main/java/io/saltflow/queues/Deliveries.java
+++ b/src/main/java/io/saltflow/queues/Deliveries.java
@@ -6,45 +6,45 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 
-/** Delivery of messages to consumers, their settlement, and redelivery or failure. */
+/** Delivers messages to consumers, and handles settlement, redelivery and expiry. */
 final class Deliveries {
-  private record Held(MonotonicTime until, MessageNo no, int attempt) {}
+  private record DeliveryDeadline(MonotonicTime until, MessageNo no, int attempt) {}
 
-  private record Delayed(MonotonicTime until, Message message) {}
+  private record DelayedMessage(MonotonicTime until, Message message) {}
 
   private final QueueContext context;
   private final Messages messages;
   private final Map<QueueId, QueueState> queues;
-  private final MessageCompletion endings;
-  private final QuotaView room;
-  private final TimeSpan skew;
-  private final ConsumerRegistry sessions = new ConsumerRegistry();
+  private final MessageCompletion completion;
+  private final QuotaView quota;
+  private final TimeSpan clockSkew;
+  private final ConsumerRegistry consumers = new ConsumerRegistry();
   private final PriorityQueue<Message> expiring =
       new PriorityQueue<>(Comparator.comparingLong((Message message) -> message.expiresWallMs));
-  private final PriorityQueue<Held> overdue =
-      new PriorityQueue<>(Comparator.comparing(Held::until));
-  private final PriorityQueue<Delayed> delayed =
-      new PriorityQueue<>(Comparator.comparing(Delayed::until));
-  private long stale;
+  private final PriorityQueue<DeliveryDeadline> overdue =
+      new PriorityQueue<>(Comparator.comparing(DeliveryDeadline::until));
+  private final PriorityQueue<DelayedMessage> delayed =
+      new PriorityQueue<>(Comparator.comparing(DelayedMessage::until));
+  private long staleSettlements;
 
   Deliveries(
       QueueContext context,
       Messages messages,
       Map<QueueId, QueueState> queues,
-      MessageCompletion endings,
-      QuotaView room,
-      TimeSpan skew) {
+      MessageCompletion completion,
+      QuotaView quota,
+      TimeSpan clockSkew) {
     this.context = context;
     this.messages = messages;
     this.queues = queues;
-    this.endings = endings;
-    this.room = room;
-    this.skew = skew;
+    this.completion = completion;
+    this.quota = quota;
+    this.clockSkew = clockSkew;
   }
 
-  /** The number of settlements that arrived too late to have an effect. */
-  long stale() {
-    return stale;
+  /** Returns the number of settlements that arrived too late to have an effect. */
+  long staleSettlements() {
+    return staleSettlements;
   }
 
   // ---- Consumers
@@ -54,52 +54,53 @@
     if (queue == null || queue.policy.machines()) {
       return false;
     }
-    Consumer consumer = sessions.add(id, queue, noAck, limit);
+    Consumer consumer = consumers.add(id, queue, noAck, limit);
     queue.consumers++;
-    queue.refresh(consumer);
+    queue.updateReadiness(consumer);
     return true;
   }
 
   void cancel(ConsumerId id) {
-    Consumer consumer = sessions.find(id);
+    Consumer consumer = consumers.find(id);
     if (consumer != null) {
       cancel(consumer);
     }
   }
 
   private static void cancel(Consumer consumer) {
-    if (!consumer.leaving) {
-      consumer.leaving = true;
+    if (!consumer.cancelled) {
+      consumer.cancelled = true;
       consumer.queue.consumers--;
     }
     consumer.queue.remove(consumer);
   }
 
-  void share(long session, int channel, int limit) {
-    sessions.share(session, channel, limit);
+  void setChannelLimit(long session, int channel, int limit) {
+    consumers.setChannelLimit(session, channel, limit);
   }
 
-  void paused(long session, boolean paused) {
-    sessions.paused(session, paused);
+  void setPaused(long session, boolean paused) {
+    consumers.setPaused(session, paused);
   }
 
   void channelClosed(long session, int channel) {
-    sessions.removeChannel(session, channel).forEach(this::vanished);
+    consumers.removeChannel(session, channel).forEach(this::onConsumerClosed);
   }
 
-  void sessionGone(long session) {
-    sessions.removeSession(session).forEach(this::vanished);
+  void sessionClosed(long session) {
+    consumers.removeSession(session).forEach(this::onConsumerClosed);
   }
 
-  private void vanished(Consumer consumer) {
+  private void onConsumerClosed(Consumer consumer) {
     cancel(consumer);
     for (Message message :
         consumer.held.stream().sorted(Comparator.comparing(x -> x.no)).toList()) {
       release(message);
       if (message.state == Message.State.DELIVERED) {
-        lost(message, "its consumer is gone");
+        consumerLost(message, "its consumer is gone");
       }
-      // Deliveries about to be sent are requeued once their record is certain: see started.
+      // A delivery that is being recorded is requeued in onStartRecorded, after its record is
+      // durable.
     }
   }
 
@@ -107,14 +108,14 @@
     QueueState queue = queues.get(queueId);
     Message head = queue == null ? null : queue.head();
     if (head == null || !mayStart(queue, head)) {
-      context.want(new Effect.GetEmpty(session, channel));
+      context.emit(new Effect.GetEmpty(session, channel));
       return;
     }
     ConsumerId id = new ConsumerId(session, channel, ConsumerId.GET);
-    start(head, sessions.getter(id, queue, noAck));
+    startDelivery(head, consumers.getter(id, queue, noAck));
   }
 
-  // ---- What consumers say
+  // ---- Settlement
 
   private Message heldBy(DeliveryId id) {
     Message message = messages.find(id.message());
@@ -126,21 +127,21 @@
     return held ? message : null;
   }
 
-  boolean settle(DeliveryId id, QueueCore.Settlement how) {
+  boolean settle(DeliveryId id, QueueCore.Settlement settlement) {
     Message message = heldBy(id);
     if (message == null) {
-      stale++;
+      staleSettlements++;
       return false;
     }
     release(message);
-    switch (how) {
-      case ACK -> endings.end(message, Outcome.DONE, null);
-      case REJECT -> endings.end(message, Outcome.FAILED, "its consumer rejected it");
+    switch (settlement) {
+      case ACK -> completion.complete(message, Outcome.DONE, null);
+      case REJECT -> completion.complete(message, Outcome.FAILED, "its consumer rejected it");
       case REQUEUE -> {
         if (message.queue.policy.repeats()) {
-          again(message, "its consumer gave it back");
+          redeliver(message, "its consumer gave it back");
         } else {
-          endings.end(
+          completion.complete(
               message, Outcome.FAILED, "its consumer gave it back, and it may not be repeated");
         }
       }
@@ -148,53 +149,56 @@
     return true;
   }
 
-  void notSent(DeliveryId id) {
+  void deliveryNotSent(DeliveryId id) {
     Message message = heldBy(id);
     if (message != null) {
       release(message);
-      neverSent(message);
+      undoAttempt(message);
     }
   }
 
-  private void neverSent(Message message) {
+  private void undoAttempt(Message message) {
     message.attempts--;
-    message.out = false;
+    message.maybeDelivered = false;
     context.record(new Entry.Returned(message.no, message.attempts), () -> {});
-    waits(message);
+    enqueue(message);
   }
 
-  /** A consumer that may have started on the message is gone, or was lost with its leader. */
-  void lost(Message message, String why) {
+  /**
+   * Redelivers the message if the queue allows it, after the loss of a consumer that may have
+   * started on it. Otherwise the outcome is unknown.
+   */
+  void consumerLost(Message message, String reason) {
     if (message.queue.policy.repeats()) {
-      again(message, why);
+      redeliver(message, reason);
     } else {
-      endings.end(message, Outcome.UNKNOWN, why + "; whether it was done is not known");
+      completion.complete(message, Outcome.UNKNOWN, reason + "; whether it was done is not known");
     }
   }
 
-  private void again(Message message, String why) {
+  private void redeliver(Message message, String reason) {
     QueuePolicy policy = message.queue.policy;
     if (message.attempts >= policy.attempts()) {
-      endings.end(
+      completion.complete(
           message,
           Outcome.FAILED,
-          "failed after " + message.attempts + " attempts; the last: " + why);
+          "failed after " + message.attempts + " attempts; the last: " + reason);
       return;
     }
-    message.out = false;
+    message.maybeDelivered = false;
     context.record(new Entry.Returned(message.no, message.attempts), () -> {});
-    message.notBefore = context.now.plus(policy.pauseAfter(message.attempts));
-    waits(message);
+    message.notBefore = context.now.plus(policy.retryDelayAfter(message.attempts));
+    enqueue(message);
   }
 
   // ---- Waiting
 
-  void waits(Message message) {
+  void enqueue(Message message) {
     message.state = Message.State.WAITING;
     if (expired(message)) {
-      endings.end(message, Outcome.EXPIRED, null);
+      completion.complete(message, Outcome.EXPIRED, null);
     } else if (context.now.before(message.notBefore)) {
-      delayed.add(new Delayed(message.notBefore, message));
+      delayed.add(new DelayedMessage(message.notBefore, message));
     } else {
       message.queue.waiting.put(message.no, message);
       if (message.expiresWallMs != Message.NEVER) {
@@ -203,21 +207,21 @@
     }
   }
 
-  /** Whether it has expired by any node's clock. */
+  /** Returns whether the message has expired by every node's clock, given the maximum skew. */
   private boolean expired(Message message) {
     return message.expiresWallMs != Message.NEVER
-        && context.wallMs - message.expiresWallMs > skew.ms() * 2;
+        && context.wallMs - message.expiresWallMs > clockSkew.ms() * 2;
   }
 
   void tick() {
     MonotonicTime now = context.now;
-    for (Delayed delivery = delayed.peek();
+    for (DelayedMessage delivery = delayed.peek();
         delivery != null && !now.before(delivery.until);
         delivery = delayed.peek()) {
       delayed.poll();
       if (delivery.message.state == Message.State.WAITING
           && messages.find(delivery.message.no) == delivery.message) {
-        waits(delivery.message);
+        enqueue(delivery.message);
       }
     }
     for (Message message = expiring.peek();
@@ -225,10 +229,10 @@
         message = expiring.peek()) {
       expiring.poll();
       if (message.state == Message.State.WAITING && message.queue.waiting.containsKey(message.no)) {
-        endings.end(message, Outcome.EXPIRED, null);
+        completion.complete(message, Outcome.EXPIRED, null);
       }
     }
-    for (Held held = overdue.peek();
+    for (DeliveryDeadline held = overdue.peek();
         held != null && !now.before(held.until);
         held = overdue.peek()) {
       overdue.poll();
@@ -241,23 +245,23 @@
     }
   }
 
-  /** Its consumer counts as gone, with everything that it holds on that channel. */
+  /** Closes the channel of the message's consumer and releases all deliveries of that channel. */
   private void overdue(Message message) {
     ConsumerId id = message.holder.id;
-    context.want(new Effect.Overdue(id, message.queue.policy.id()));
+    context.emit(new Effect.Overdue(id, message.queue.policy.id()));
     channelClosed(id.session(), id.channel());
   }
 
-  // ---- Giving out
+  // ---- Dispatch
 
   private boolean mayStart(QueueState queue, Message head) {
     return (queue.policy.size().cores() <= 0 && queue.policy.size().gpus() <= 0)
-        || room.mayStart(queue.policy, head.arrivedWallMs);
+        || quota.mayStart(queue.policy, head.arrivedWallMs);
   }
 
   /**
-   * Messages are delivered in the order of native jobs, guarantees aside: by priority, then by
-   * arrival.
+   * Delivers waiting messages by priority, then by arrival, like native jobs without guaranteed
+   * quota.
    */
   void dispatch() {
     PriorityQueue<QueueState> heads =
@@ -273,11 +277,11 @@
     while (!heads.isEmpty()) {
       QueueState queueState = heads.poll();
       Consumer consumer = queueState.nextConsumer();
-      if (!consumer.free()) {
-        // Another consumer of its channel or connection has used up the shared window.
+      if (!consumer.hasCapacity()) {
+        // Another consumer of the same channel or connection has used up the shared limit.
         queueState.remove(consumer);
       } else if (mayStart(queueState, queueState.head())) {
-        start(queueState.head(), consumer);
+        startDelivery(queueState.head(), consumer);
       } else {
         continue;
       }
@@ -287,34 +291,35 @@
     }
   }
 
-  private void start(Message message, Consumer consumer) {
+  private void startDelivery(Message message, Consumer consumer) {
     message.queue.waiting.remove(message.no);
-    message.state = Message.State.STARTING;
-    message.out = true;
+    message.state = Message.State.DELIVERING;
+    message.maybeDelivered = true;
     message.attempts++;
     message.holder = consumer;
     consumer.held.add(message);
-    consumer.share.out++;
-    message.queue.out++;
-    sessions.underWay(consumer, message.bytes());
+    consumer.window.outstanding++;
+    message.queue.outstanding++;
+    consumers.addInFlightBytes(consumer, message.memoryBytes());
     if (!consumer.id.get()) {
-      message.queue.refresh(consumer);
+      message.queue.updateReadiness(consumer);
     }
-    context.record(new Entry.Started(message.no, message.attempts), () -> started(message));
+    context.record(new Entry.Started(message.no, message.attempts), () -> onStartRecorded(message));
   }
 
-  private void started(Message message) {
+  private void onStartRecorded(Message message) {
     if (message.holder == null) {
-      neverSent(message);
+      undoAttempt(message);
       return;
     }
     message.state = Message.State.DELIVERED;
-    sessions.underWay(message.holder, -message.bytes());
+    consumers.addInFlightBytes(message.holder, -message.memoryBytes());
     overdue.add(
-        new Held(context.now.plus(message.queue.policy.delivery()), message.no, message.attempts));
-    context.want(
+        new DeliveryDeadline(
+            context.now.plus(message.queue.policy.delivery()), message.no, message.attempts));
+    context.emit(
         new Effect.Deliver(
-            message.delivery(),
+            message.deliveryId(),
             message.queue.policy.id(),
             message.attempts > 1,
             message.holder.noAck,
@@ -327,13 +332,13 @@
 
   private void release(Message message) {
     Consumer consumer = message.holder;
-    if (message.state == Message.State.STARTING) {
-      sessions.underWay(consumer, -message.bytes());
+    if (message.state == Message.State.DELIVERING) {
+      consumers.addInFlightBytes(consumer, -message.memoryBytes());
     }
     message.holder = null;
     consumer.held.remove(message);
-    consumer.share.out--;
-    message.queue.out--;
-    sessions.freed(consumer);
+    consumer.window.outstanding--;
+    message.queue.outstanding--;
+    consumers.deliverySettled(consumer);
   }
 }
--- a/src/main/java/io/saltflow/queues/DeliveryId.java
+++ b/src/main/java/io/saltflow/queues/DeliveryId.java
@@ -1,4 +1,7 @@
 package io.saltflow.queues;
 
-/** One attempt at a message by one consumer: what an acknowledgement must match. */
+/**
+ * Identifies one delivery attempt. An acknowledgement must match the message, the attempt and the
+ * consumer.
+ */
 public record DeliveryId(MessageNo message, int attempt, ConsumerId consumer) {}
--- a/src/main/java/io/saltflow/queues/Effect.java
+++ b/src/main/java/io/saltflow/queues/Effect.java
@@ -3,7 +3,7 @@
 import io.saltflow.model.JobId;
 import io.saltflow.model.JobSpec;
 
-/** An effect that the shell carries out. Whatever must be durable before it, is. */
+/** An effect for the caller to carry out. All entries that it depends on are durable. */
 public sealed interface Effect {
   /** Acknowledges a publish. */
   record Confirm(PendingPublish ticket) implements Effect {}
@@ -12,7 +12,8 @@
   record Refuse(PendingPublish ticket, PublishRejection why) implements Effect {}
 
   /**
-   * Delivers a message to a consumer; for a get, {@code left} is the number of messages behind it.
+   * Delivers a message to a consumer. For a get, {@code left} is the number of messages that still
+   * wait in the queue.
    */
   record Deliver(
       DeliveryId id,
@@ -26,15 +27,15 @@
       byte[] body)
       implements Effect {}
 
-  /** Answers a get: the queue is empty. */
+  /** Answers a get for which no message is available. */
   record GetEmpty(long session, int channel) implements Effect {}
 
-  /** Closes the channel of a consumer that kept a delivery beyond the timeout. */
+  /** Closes the channel of a consumer that did not settle a delivery in time. */
   record Overdue(ConsumerId consumer, QueueId queue) implements Effect {}
 
-  /** Admits a job, unless it is known, and reports its state. */
+  /** Admits a job unless it exists. Its state must be reported to the core. */
   record Admit(MessageNo message, JobSpec spec, long arrivedWallMs) implements Effect {}
 
-  /** Cancels a job that has used up its attempts. */
+  /** Cancels a job that has used all its attempts. */
   record Withdraw(JobId job) implements Effect {}
 }
--- a/src/main/java/io/saltflow/queues/Entry.java
+++ b/src/main/java/io/saltflow/queues/Entry.java
@@ -1,16 +1,17 @@
 package io.saltflow.queues;
 
 /**
- * An entry of the durable log of messages. Entries are replayed in order; a later one replaces an
- * earlier one.
+ * An entry of the durable log of messages. Entries are replayed in order, and a later entry
+ * replaces an earlier one of the same message.
  */
 public sealed interface Entry {
   /**
-   * The whole state of a message: it was published or moved, or its earlier entry is being cleaned.
+   * The full state of a message. It is written when the message is published or moved to another
+   * queue, or when an earlier batch is cleaned.
    *
    * @param named whether the publisher chose the id, which then identifies a repeated publish
-   * @param expiresWallMs {@link Message#NEVER}: not by time
-   * @param out whether a consumer may have it
+   * @param expiresWallMs the expiry time, or {@link Message#NEVER}
+   * @param out whether a consumer may hold the message
    */
   record Kept(
       MessageNo no,
@@ -25,15 +26,15 @@
       byte[] body)
       implements Entry {}
 
-  /** An attempt has started: from here on a consumer may have the message. */
+  /** An attempt has started. From then on a consumer may hold the message. */
   record Started(MessageNo no, int attempt) implements Entry {}
 
-  /** The message waits again after a number of attempts; no consumer has it. */
+  /** The message waits again after this number of attempts, and no consumer holds it. */
   record Returned(MessageNo no, int attempts) implements Entry {}
 
-  /** The message is completed; its result and dead letter are other entries of the same unit. */
+  /** The message is completed. Its result and dead letter are other entries of the same unit. */
   record Ended(MessageNo no) implements Entry {}
 
-  /** A message of this id is completed. */
+  /** A message whose id has this digest is completed. */
   record Known(MessageDigest128 digest, long wallMs) implements Entry {}
 }
--- a/src/main/java/io/saltflow/queues/EntryCodec.java
+++ b/src/main/java/io/saltflow/queues/EntryCodec.java
@@ -10,8 +10,8 @@
 import org.apache.avro.io.EncoderFactory;
 
 /**
- * Codec of log entries in Avro's binary encoding by the schema {@code queues.avsc}. Written field
- * by field: parsing the schema at start would cost a small machine seconds.
+ * Codec of log entries in Avro's binary encoding with the schema {@code queues.avsc}. It writes
+ * each field directly, because parsing the schema would delay startup.
  */
 public final class EntryCodec {
   private static final int KEPT = 0;
@@ -23,12 +23,13 @@
 
   private EntryCodec() {}
 
-  /** An upper bound of an entry's encoded size. */
+  /** Returns an upper bound on the encoded size of an entry, in bytes. */
   static int size(Entry entry) {
     if (entry instanceof Entry.Kept kept) {
-      // Text takes up to three bytes a character, a number up to ten.
-      int texts = kept.queue().vhost().length() + kept.queue().name().length() + kept.id().length();
-      return 80 + 3 * texts + kept.properties().length + kept.body().length;
+      // A character takes up to three bytes, and a number up to ten.
+      int characters =
+          kept.queue().vhost().length() + kept.queue().name().length() + kept.id().length();
+      return 80 + 3 * characters + kept.properties().length + kept.body().length;
     }
     return entry instanceof Entry.Known ? 32 : 24;
   }
@@ -37,7 +38,7 @@
     return entries.stream().mapToInt(EntryCodec::size).sum();
   }
 
-  /** Encodes entries as the array that the schema describes. */
+  /** Returns the entries encoded as the array of the schema. */
   public static byte[] encode(List<Entry> entries) {
     try {
       ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -52,7 +53,7 @@
       out.flush();
       return bytes.toByteArray();
     } catch (IOException exception) {
-      throw new IllegalStateException("encoding in memory failed", exception);
+      throw new IllegalStateException("cannot encode log entries in memory", exception);
     }
   }
 
@@ -89,7 +90,11 @@
     }
   }
 
-  /** Decodes the entries of a batch. */
+  /**
+   * Returns the decoded entries of a batch.
+   *
+   * @throws InvalidMessageException if the bytes are not a valid batch
+   */
   public static List<Entry> decode(byte[] bytes) throws InvalidMessageException {
     AvroInput in = new AvroInput(bytes);
     List<Entry> out = new ArrayList<>();
@@ -101,7 +106,7 @@
       items = in.readArrayNext(MAX_ENTRIES - out.size());
     }
     if (!in.atEnd()) {
-      throw new InvalidMessageException("bytes after the entries of a batch");
+      throw new InvalidMessageException("unexpected bytes after the entries of a batch");
     }
     return out;
   }
@@ -125,7 +130,7 @@
       case ENDED -> new Entry.Ended(new MessageNo(in.readLong()));
       case KNOWN ->
           new Entry.Known(new MessageDigest128(in.readLong(), in.readLong()), in.readLong());
-      default -> throw new InvalidMessageException("an entry of an unknown kind");
+      default -> throw new InvalidMessageException("unknown kind of log entry");
     };
   }
 }
--- a/src/main/java/io/saltflow/queues/Message.java
+++ b/src/main/java/io/saltflow/queues/Message.java
@@ -5,25 +5,25 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A message that is not completed, as the leader knows it. */
+/** The leader's state of a message that is not completed. */
 final class Message {
   static final long NEVER = Long.MAX_VALUE;
 
-  /** The estimated memory of a message besides its bytes. */
-  static final int OVERHEAD = 300;
+  /** Estimated memory of a message in addition to its body and properties. */
+  static final int OVERHEAD_BYTES = 300;
 
-  /** The state of a message. A state that is not recorded yet has no effect until it is. */
+  /** The state of a message. A change of state has no visible effect until it is recorded. */
   enum State {
     /** Its publish, or its move to this queue, is being recorded. */
     RECORDING,
     WAITING,
     /** Its delivery to a consumer is being recorded. */
-    STARTING,
+    DELIVERING,
     DELIVERED,
-    /** It is a job on rented machines. */
-    ON_MACHINES,
+    /** Its job runs on machines, or waits to. */
+    RUNNING_AS_JOB,
     /** Its completion is being recorded. */
-    ENDING
+    COMPLETING
   }
 
   final MessageNo no;
@@ -37,26 +37,26 @@
   private final MessageDigest128 digest;
 
   /** Publishes to confirm once it is recorded. */
-  final List<PendingPublish> tickets = new ArrayList<>(1);
+  final List<PendingPublish> pendingPublishes = new ArrayList<>(1);
 
   State state = State.RECORDING;
   int attempts;
 
   /**
-   * Whether a consumer may have it, or had it when it was completed: an entry that is rewritten
-   * before the completion is recorded must say so.
+   * Whether a consumer may hold the message, or held it when it was completed. An entry that is
+   * rewritten before the completion is recorded must preserve this.
    */
-  boolean out;
+  boolean maybeDelivered;
 
   Consumer holder;
   MonotonicTime notBefore = MonotonicTime.LONG_AGO;
   JobId job;
 
-  /** The batch that holds its latest full entry. */
-  long home;
+  /** Number of the batch that holds the latest full entry, or 0 before it is recorded. */
+  long batch;
 
-  /** Whether its job has used up its attempts and is being cancelled. */
-  boolean givenUp;
+  /** Whether the job has used all its attempts and is being cancelled. */
+  boolean attemptsExhausted;
 
   Message(Entry.Kept kept, QueueState queue) {
     this.no = kept.no();
@@ -69,10 +69,10 @@
     this.body = kept.body();
     this.digest = named ? MessageDigest128.of(kept.queue(), id) : null;
     this.attempts = kept.attempts();
-    this.out = kept.out();
+    this.maybeDelivered = kept.out();
   }
 
-  Entry.Kept kept() {
+  Entry.Kept toEntry() {
     return new Entry.Kept(
         no,
         queue.policy.id(),
@@ -81,21 +81,24 @@
         arrivedWallMs,
         expiresWallMs,
         attempts,
-        out,
+        maybeDelivered,
         properties,
         body);
   }
 
-  /** The digest that identifies a repeated publish; null: its publisher gave no id. */
+  /**
+   * Returns the digest that identifies a repeated publish, or {@code null} if the publisher gave no
+   * id.
+   */
   MessageDigest128 digest() {
     return digest;
   }
 
-  int bytes() {
-    return body.length + properties.length + OVERHEAD;
+  int memoryBytes() {
+    return body.length + properties.length + OVERHEAD_BYTES;
   }
 
-  DeliveryId delivery() {
+  DeliveryId deliveryId() {
     return new DeliveryId(no, attempts, holder.id);
   }
 }
--- a/src/main/java/io/saltflow/queues/MessageCompletion.java
+++ b/src/main/java/io/saltflow/queues/MessageCompletion.java
@@ -6,60 +6,63 @@
 import java.util.function.Consumer;
 
 /**
- * Completes messages exactly once, with their result and dead letter in the same unit of the log.
+ * Completes messages exactly once. The result and the dead letter are recorded in the same unit of
+ * the log as the completion.
  */
 final class MessageCompletion {
   private final QueueContext context;
   private final Messages messages;
   private final Map<QueueId, QueueState> queues;
-  private final ResultEncoder form;
-  private final Consumer<Message> offer;
+  private final ResultEncoder resultEncoder;
+  private final Consumer<Message> makeAvailable;
 
   /**
-   * @param offer called with a result or dead letter once it is recorded, to make it available
+   * @param makeAvailable receives each recorded result or dead letter, to make it available
    */
   MessageCompletion(
       QueueContext context,
       Messages messages,
       Map<QueueId, QueueState> queues,
-      ResultEncoder form,
-      Consumer<Message> offer) {
+      ResultEncoder resultEncoder,
+      Consumer<Message> makeAvailable) {
     this.context = context;
     this.messages = messages;
     this.queues = queues;
-    this.form = form;
-    this.offer = offer;
+    this.resultEncoder = resultEncoder;
+    this.makeAvailable = makeAvailable;
   }
 
-  void end(Message message, Outcome outcome, String reason) {
+  void complete(Message message, Outcome outcome, String reason) {
     message.queue.waiting.remove(message.no);
-    message.state = Message.State.ENDING;
+    message.state = Message.State.COMPLETING;
     QueuePolicy policy = message.queue.policy;
     List<Entry> unit = new ArrayList<>(4);
     unit.add(new Entry.Ended(message.no));
-    List<Message> born = new ArrayList<>(2);
-    Outcome told = outcome;
+    List<Message> followUps = new ArrayList<>(2);
+    Outcome reported = outcome;
     if (outcome == Outcome.FAILED && policy.deadLetters() != null) {
-      told = Outcome.DEAD_LETTERED;
-      born.add(follower(message, policy.deadLetters(), message.properties, message.body));
+      reported = Outcome.DEAD_LETTERED;
+      followUps.add(
+          createFollowUp(message, policy.deadLetters(), message.properties, message.body));
     }
     if (policy.results() != null) {
-      byte[] body = form.body(message.id, told, message.attempts, reason);
-      born.add(follower(message, policy.results(), form.properties(message.id), body));
+      byte[] body = resultEncoder.body(message.id, reported, message.attempts, reason);
+      followUps.add(
+          createFollowUp(message, policy.results(), resultEncoder.properties(message.id), body));
     }
-    born.forEach(b -> unit.add(b.kept()));
+    followUps.forEach(followUp -> unit.add(followUp.toEntry()));
     MessageDigest128 digest = message.digest();
     long endedAt = context.wallMs;
     if (digest != null) {
       unit.add(new Entry.Known(digest, endedAt));
     }
-    // Only the completion of a message that failed as it was published may be rejected like a
-    // publish.
-    Runnable dropped = message.home != 0 ? null : () -> refused(message, born);
-    context.recorder.add(unit, () -> recorded(message, born, digest, endedAt), dropped);
+    // The completion can be rejected only if the message itself is not recorded yet, because it
+    // failed while it was published.
+    Runnable dropped = message.batch != 0 ? null : () -> onDropped(message, followUps);
+    context.recorder.add(unit, () -> onRecorded(message, followUps, digest, endedAt), dropped);
   }
 
-  private Message follower(Message message, QueueId to, byte[] properties, byte[] body) {
+  private Message createFollowUp(Message message, QueueId to, byte[] properties, byte[] body) {
     Entry.Kept kept =
         new Entry.Kept(
             messages.nextNo(),
@@ -72,28 +75,28 @@
             false,
             properties,
             body);
-    Message otherMessage = new Message(kept, queues.get(to));
-    messages.enter(otherMessage);
-    return otherMessage;
+    Message followUp = new Message(kept, queues.get(to));
+    messages.add(followUp);
+    return followUp;
   }
 
-  private void refused(Message message, List<Message> born) {
-    born.forEach(messages::forget);
-    context.refuse(message);
-    messages.forget(message);
+  private void onDropped(Message message, List<Message> followUps) {
+    followUps.forEach(messages::remove);
+    context.reject(message);
+    messages.remove(message);
   }
 
-  private void recorded(
-      Message message, List<Message> born, MessageDigest128 digest, long endedAt) {
+  private void onRecorded(
+      Message message, List<Message> followUps, MessageDigest128 digest, long endedAt) {
     context.confirm(message);
-    messages.forget(message);
-    long batch = context.recorder.number();
+    messages.remove(message);
+    long batch = context.recorder.batchNumber();
     if (digest != null) {
-      messages.remember(digest, endedAt, batch);
+      messages.addCompleted(digest, endedAt, batch);
     }
-    for (Message otherMessage : born) {
-      messages.home(otherMessage, batch);
-      offer.accept(otherMessage);
+    for (Message followUp : followUps) {
+      messages.setBatch(followUp, batch);
+      makeAvailable.accept(followUp);
     }
   }
 }
--- a/src/main/java/io/saltflow/queues/MessageDigest128.java
+++ b/src/main/java/io/saltflow/queues/MessageDigest128.java
@@ -6,17 +6,20 @@
 import java.security.NoSuchAlgorithmException;
 
 /**
- * Half a SHA-256 of a queue and a message id, by which a repeated publish is known: 128 bits, so
- * that two ids among a billion meet with a chance below one in 10^20.
+ * The first 128 bits of the SHA-256 digest of a queue and a message id, which identifies a repeated
+ * publish. The probability of a collision among a billion ids is below 10^-20.
  */
 public record MessageDigest128(long high, long low) {
-  /** The digest of a sequence of texts; their boundaries count. */
+  /**
+   * Returns the digest of a sequence of texts. Each text is prefixed with its length, so that
+   * different splits of the same characters have different digests.
+   */
   public static MessageDigest128 of(String... texts) {
     MessageDigest sha;
     try {
       sha = MessageDigest.getInstance("SHA-256");
     } catch (NoSuchAlgorithmException exception) {
-      throw new IllegalStateException("every Java platform has SHA-256", exception);
+      throw new IllegalStateException("SHA-256 is not available on this Java platform", exception);
     }
     for (String text : texts) {
       byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
--- a/src/main/java/io/saltflow/queues/MessageJobFactory.java
+++ b/src/main/java/io/saltflow/queues/MessageJobFactory.java
@@ -3,16 +3,23 @@
 import io.saltflow.model.JobId;
 import io.saltflow.model.JobSpec;
 
-/** Makes a job from a message's body, which is a job or the parameters of the queue's template. */
+/**
+ * Creates a job from a message body, which is a job description or the parameters of the queue's
+ * job template.
+ */
 public interface MessageJobFactory {
-  /** Thrown when no job can be made of a message; the message says why. */
-  final class BadJob extends Exception {
-    /** Creates an error whose message says why no job can be made. */
-    public BadJob(String why) {
-      super(why, null, false, false);
+  /** Thrown if no job can be created from a message. The exception's message gives the reason. */
+  final class InvalidJobException extends Exception {
+    /** Creates an exception with the reason why no job can be created. */
+    public InvalidJobException(String reason) {
+      super(reason, null, false, false);
     }
   }
 
-  /** Makes the job of a message under an id. */
-  JobSpec make(QueuePolicy queue, JobId id, byte[] body) throws BadJob;
+  /**
+   * Returns the job for a message, with the given id.
+   *
+   * @throws InvalidJobException if the body is not a valid job
+   */
+  JobSpec createJob(QueuePolicy queue, JobId id, byte[] body) throws InvalidJobException;
 }
--- a/src/main/java/io/saltflow/queues/MessageJobs.java
+++ b/src/main/java/io/saltflow/queues/MessageJobs.java
@@ -5,58 +5,60 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Messages that run as jobs on machines, and the completion of those jobs. */
+/** Runs messages as jobs on machines, and completes the messages when their jobs end. */
 final class MessageJobs {
   private final QueueContext context;
   private final Messages messages;
-  private final MessageCompletion endings;
-  private final MessageJobFactory maker;
+  private final MessageCompletion completion;
+  private final MessageJobFactory jobFactory;
 
   MessageJobs(
-      QueueContext context, Messages messages, MessageCompletion endings, MessageJobFactory maker) {
+      QueueContext context,
+      Messages messages,
+      MessageCompletion completion,
+      MessageJobFactory jobFactory) {
     this.context = context;
     this.messages = messages;
-    this.endings = endings;
-    this.maker = maker;
+    this.completion = completion;
+    this.jobFactory = jobFactory;
   }
 
-  /** False when no job can be made of the message, which fails it. */
-  boolean possible(Message message) {
-    return make(message) != null;
+  /** Returns whether a job can be created from the message. If not, the message fails. */
+  boolean canCreateJob(Message message) {
+    return createJob(message) != null;
   }
 
-  private JobSpec make(Message message) {
-    message.job = idOf(message);
+  private JobSpec createJob(Message message) {
+    message.job = jobIdOf(message);
     try {
-      return maker.make(message.queue.policy, message.job, message.body);
-    } catch (MessageJobFactory.BadJob exception) {
-      endings.end(message, Outcome.FAILED, exception.getMessage());
+      return jobFactory.createJob(message.queue.policy, message.job, message.body);
+    } catch (MessageJobFactory.InvalidJobException exception) {
+      completion.complete(message, Outcome.FAILED, exception.getMessage());
       return null;
     }
   }
 
-  /** Derived from the message's id, so that a repeated admission is idempotent. */
-  private static JobId idOf(Message message) {
+  /** Returns a job id derived from the message's id, so that a repeated admission is idempotent. */
+  private static JobId jobIdOf(Message message) {
     QueueId queue = message.queue.policy.id();
-    MessageDigest128 messageDigest128 =
-        MessageDigest128.of("job", queue.vhost(), queue.name(), message.id);
-    return JobId.of(messageDigest128.high(), messageDigest128.low());
+    MessageDigest128 digest = MessageDigest128.of("job", queue.vhost(), queue.name(), message.id);
+    return JobId.of(digest.high(), digest.low());
   }
 
-  /** Requests the admission of the message's job, unless it is known already. */
-  void begin(Message message) {
-    JobSpec spec = make(message);
+  /** Requests the admission of the message's job. The admission has no effect if the job exists. */
+  void requestAdmission(Message message) {
+    JobSpec spec = createJob(message);
     if (spec != null) {
-      message.state = Message.State.ON_MACHINES;
-      message.givenUp = message.attempts >= message.queue.policy.attempts();
-      context.want(new Effect.Admit(message.no, spec, message.arrivedWallMs));
+      message.state = Message.State.RUNNING_AS_JOB;
+      message.attemptsExhausted = message.attempts >= message.queue.policy.attempts();
+      context.emit(new Effect.Admit(message.no, spec, message.arrivedWallMs));
     }
   }
 
   Map<MessageNo, JobId> jobs() {
     Map<MessageNo, JobId> out = new LinkedHashMap<>();
     for (Message message : messages.view()) {
-      if (message.state == Message.State.ON_MACHINES) {
+      if (message.state == Message.State.RUNNING_AS_JOB) {
         out.put(message.no, message.job);
       }
     }
@@ -65,42 +67,43 @@
 
   private Message running(MessageNo no) {
     Message message = messages.find(no);
-    return message != null && message.state == Message.State.ON_MACHINES ? message : null;
+    return message != null && message.state == Message.State.RUNNING_AS_JOB ? message : null;
   }
 
-  /** Reports the number of failures of a job so far. */
-  void errors(MessageNo no, int errors) {
+  /** Cancels the job if its number of failures has reached the limit. */
+  void jobFailures(MessageNo no, int errors) {
     Message message = running(no);
     if (message == null || errors < message.queue.policy.attempts()) {
       return;
     }
-    if (message.givenUp) {
+    if (message.attemptsExhausted) {
       // The cancellation may have been requested by an earlier leader, or have failed.
-      context.want(new Effect.Withdraw(message.job));
+      context.emit(new Effect.Withdraw(message.job));
     } else {
-      message.givenUp = true;
+      message.attemptsExhausted = true;
       message.attempts = errors;
       context.record(
           new Entry.Returned(message.no, errors),
-          () -> context.want(new Effect.Withdraw(message.job)));
+          () -> context.emit(new Effect.Withdraw(message.job)));
     }
   }
 
-  void over(MessageNo no, boolean done, String refused, int errors) {
+  void jobEnded(MessageNo no, boolean done, String refused, int errors) {
     Message message = running(no);
     if (message == null) {
       return;
     }
     if (done) {
       message.attempts = errors + 1;
-      endings.end(message, Outcome.DONE, null);
+      completion.complete(message, Outcome.DONE, null);
     } else if (refused != null) {
-      endings.end(message, Outcome.FAILED, refused);
-    } else if (message.givenUp) {
-      endings.end(message, Outcome.FAILED, "failed after " + message.attempts + " attempts");
+      completion.complete(message, Outcome.FAILED, refused);
+    } else if (message.attemptsExhausted) {
+      completion.complete(
+          message, Outcome.FAILED, "failed after " + message.attempts + " attempts");
     } else {
       message.attempts = errors;
-      endings.end(message, Outcome.CANCELLED, "its job was cancelled");
+      completion.complete(message, Outcome.CANCELLED, "its job was cancelled");
     }
   }
 }
--- a/src/main/java/io/saltflow/queues/Messages.java
+++ b/src/main/java/io/saltflow/queues/Messages.java
@@ -8,24 +8,25 @@
 import java.util.TreeMap;
 
 /**
- * All messages that are not completed, the ids of completed ones, and their positions in the log.
+ * The messages that are not completed, the ids of completed ones, and the positions of both in the
+ * log.
  */
-final class Messages implements Recorder.Living {
-  /** Estimated size in the log of a message's entries, and of a completed id, besides its bytes. */
+final class Messages implements Recorder.LiveEntries {
+  /** Estimated log size of a message's entries in addition to its body and properties. */
   private static final long ENTRY_BYTES = 60;
 
-  private static final long KNOWN_BYTES = 32;
+  private static final long COMPLETED_ID_BYTES = 32;
 
-  private final SegmentCleaner ring;
-  private final DeduplicationWindow ended;
+  private final SegmentCleaner cleaner;
+  private final DeduplicationWindow completedIds;
   private final TreeMap<MessageNo, Message> messages = new TreeMap<>();
   private final Map<MessageDigest128, Message> byDigest = new HashMap<>();
   private long lastNo;
-  private long bytes;
+  private long memoryBytes;
 
-  Messages(SegmentCleaner ring, DeduplicationWindow ended) {
-    this.ring = ring;
-    this.ended = ended;
+  Messages(SegmentCleaner cleaner, DeduplicationWindow completedIds) {
+    this.cleaner = cleaner;
+    this.completedIds = completedIds;
   }
 
   MessageNo nextNo() {
@@ -36,13 +37,13 @@
     return messages.get(no);
   }
 
-  /** The message of a digest that is not completed, or null. */
+  /** Returns the uncompleted message with this digest, or {@code null} if there is none. */
   Message find(MessageDigest128 digest) {
     return byDigest.get(digest);
   }
 
-  boolean hasEnded(MessageDigest128 digest) {
-    return ended.has(digest);
+  boolean isCompleted(MessageDigest128 digest) {
+    return completedIds.contains(digest);
   }
 
   List<Message> all() {
@@ -57,16 +58,16 @@
     return messages.size();
   }
 
-  /** Their estimated memory in bytes. */
-  long memory() {
-    return bytes;
+  /** Returns the estimated memory of the uncompleted messages in bytes. */
+  long memoryBytes() {
+    return memoryBytes;
   }
 
-  void enter(Message message) {
+  void add(Message message) {
     lastNo = Math.max(lastNo, message.no.number());
     messages.put(message.no, message);
     message.queue.messages++;
-    bytes += message.bytes();
+    memoryBytes += message.memoryBytes();
     MessageDigest128 digest = message.digest();
     if (digest != null) {
       byDigest.put(digest, message);
@@ -74,62 +75,63 @@
   }
 
   /**
-   * Removes a message that was completed or never accepted. Null and unknown messages are ignored.
+   * Removes a message that was completed or not accepted. Ignores {@code null} and unknown
+   * messages.
    */
-  void forget(Message message) {
+  void remove(Message message) {
     if (message == null || messages.remove(message.no) == null) {
       return;
     }
     message.queue.messages--;
     message.queue.waiting.remove(message.no);
-    bytes -= message.bytes();
-    ring.gone(message.no, message.home);
+    memoryBytes -= message.memoryBytes();
+    cleaner.removeLive(message.no, message.batch);
     MessageDigest128 digest = message.digest();
     if (digest != null) {
       byDigest.remove(digest);
     }
   }
 
-  /** Notes the batch that holds a message's latest full entry. */
-  void home(Message message, long batch) {
-    ring.moved(message.no, message.home, batch);
-    message.home = batch;
+  /** Sets the batch that holds the latest full entry of a message. */
+  void setBatch(Message message, long batch) {
+    cleaner.moveLive(message.no, message.batch, batch);
+    message.batch = batch;
   }
 
-  /** Notes the completion of a message and the batch that records it. */
-  void remember(MessageDigest128 digest, long wallMs, long batch) {
-    ended.put(digest, wallMs, batch);
+  /** Adds the digest of a completed message and the batch that records it. */
+  void addCompleted(MessageDigest128 digest, long wallMs, long batch) {
+    completedIds.put(digest, wallMs, batch);
   }
 
-  void forgetOld(long wallMs) {
-    ended.forgetOld(wallMs);
+  void expireCompletedIds(long wallMs) {
+    completedIds.removeExpired(wallMs);
   }
 
   @Override
-  public Entry entry(Object name) {
-    if (name instanceof MessageDigest128 messageDigest128) {
-      return new Entry.Known(messageDigest128, ended.endedAt(messageDigest128));
+  public Entry entry(Object key) {
+    if (key instanceof MessageDigest128 digest) {
+      return new Entry.Known(digest, completedIds.completedAt(digest));
     }
-    return messages.get((MessageNo) name).kept();
+    return messages.get((MessageNo) key).toEntry();
   }
 
   @Override
-  public void moved(Object name, long batch) {
-    if (name instanceof MessageDigest128 messageDigest128) {
-      if (ended.has(messageDigest128)) {
-        ended.put(messageDigest128, ended.endedAt(messageDigest128), batch);
+  public void moved(Object key, long batch) {
+    if (key instanceof MessageDigest128 digest) {
+      if (completedIds.contains(digest)) {
+        completedIds.put(digest, completedIds.completedAt(digest), batch);
       }
     } else {
-      Message message = messages.get((MessageNo) name);
+      Message message = messages.get((MessageNo) key);
       if (message != null) {
-        home(message, batch);
+        setBatch(message, batch);
       }
     }
   }
 
   @Override
-  public long bytes() {
-    long contents = bytes - (long) Message.OVERHEAD * messages.size();
-    return contents + ENTRY_BYTES * messages.size() + KNOWN_BYTES * ended.size();
+  public long liveBytes() {
+    long contents = memoryBytes - (long) Message.OVERHEAD_BYTES * messages.size();
+    return contents + ENTRY_BYTES * messages.size() + COMPLETED_ID_BYTES * completedIds.size();
   }
 }
--- a/src/main/java/io/saltflow/queues/Outcome.java
+++ b/src/main/java/io/saltflow/queues/Outcome.java
@@ -6,7 +6,7 @@
   FAILED("failed"),
   EXPIRED("expired"),
   DEAD_LETTERED("dead-lettered"),
-  /** A consumer had it and is gone, and the queue allows no redelivery. */
+  /** The consumer was lost while it held the message, and the queue allows no redelivery. */
   UNKNOWN("unknown"),
   CANCELLED("cancelled");
 
@@ -16,7 +16,7 @@
     this.text = text;
   }
 
-  /** The outcome's name in results. */
+  /** Returns the outcome's name in results. */
   public String text() {
     return text;
   }
--- a/src/main/java/io/saltflow/queues/PublishHandler.java
+++ b/src/main/java/io/saltflow/queues/PublishHandler.java
@@ -7,39 +7,41 @@
 
 /** Accepts or rejects publishes, and confirms them once they are recorded. */
 final class PublishHandler {
-  /** The bound of properties, which come on top of the body in a record and its result. */
+  /**
+   * Maximum size of the properties, which a log entry and a result carry in addition to the body.
+   */
   private static final int MAX_PROPERTIES_BYTES = 1024;
 
   private final QueueContext context;
   private final Messages messages;
   private final Map<QueueId, QueueState> queues;
-  private final MessageJobs machines;
+  private final MessageJobs messageJobs;
   private final Consumer<Message> makeAvailable;
   private final QueueCore.Limits limits;
   private final Term term;
   private boolean accepting = true;
 
   /**
-   * @param makeAvailable called with a recorded message that consumers may take
+   * @param makeAvailable receives each recorded message that consumers may take
    */
   PublishHandler(
       QueueContext context,
       Messages messages,
       Map<QueueId, QueueState> queues,
-      MessageJobs machines,
+      MessageJobs messageJobs,
       Consumer<Message> makeAvailable,
       QueueCore.Limits limits,
       Term term) {
     this.context = context;
     this.messages = messages;
     this.queues = queues;
-    this.machines = machines;
+    this.messageJobs = messageJobs;
     this.makeAvailable = makeAvailable;
     this.limits = limits;
     this.term = term;
   }
 
-  /** Whether anything can be recorded, so that publishes are accepted. */
+  /** Returns whether entries can be recorded, so that publishes are accepted. */
   boolean accepting() {
     return accepting;
   }
@@ -48,23 +50,23 @@
     this.accepting = accepting;
   }
 
-  void publish(PendingPublish ticket, PublishRequest request) {
+  void publish(PendingPublish pendingPublish, PublishRequest request) {
     QueueState queue = queues.get(request.queue());
     String id = request.id();
-    if (id != null && isKnown(MessageDigest128.of(request.queue(), id), ticket)) {
+    if (id != null && isKnown(MessageDigest128.of(request.queue(), id), pendingPublish)) {
       return;
     }
     PublishRejection rejection =
         rejection(queue, request.properties().length, request.body().length);
     if (rejection != null) {
-      context.want(new Effect.Refuse(ticket, rejection));
+      context.emit(new Effect.Refuse(pendingPublish, rejection));
       return;
     }
     Entry.Kept entry = entry(request, queue.policy);
     Message message = new Message(entry, queue);
-    message.tickets.add(ticket);
-    messages.enter(message);
-    if (!queue.policy.machines() || machines.possible(message)) {
+    message.pendingPublishes.add(pendingPublish);
+    messages.add(message);
+    if (!queue.policy.machines() || messageJobs.canCreateJob(message)) {
       context.recorder.add(List.of(entry), () -> onRecorded(message), () -> onNotRecorded(message));
     }
   }
@@ -85,21 +87,24 @@
         request.body());
   }
 
-  /** Whether a message of that id was accepted before: then its record confirms this publish. */
-  private boolean isKnown(MessageDigest128 digest, PendingPublish ticket) {
+  /**
+   * Returns whether a message with this digest was accepted before. In that case the earlier
+   * message's record confirms this publish.
+   */
+  private boolean isKnown(MessageDigest128 digest, PendingPublish pendingPublish) {
     Message known = messages.find(digest);
-    if (known != null && known.home == 0) {
-      known.tickets.add(ticket);
+    if (known != null && known.batch == 0) {
+      known.pendingPublishes.add(pendingPublish);
       return true;
     }
-    if (known != null || messages.hasEnded(digest)) {
-      context.want(new Effect.Confirm(ticket));
+    if (known != null || messages.isCompleted(digest)) {
+      context.emit(new Effect.Confirm(pendingPublish));
       return true;
     }
     return false;
   }
 
-  /** Why a publish is rejected; null: it is accepted. */
+  /** Returns why a publish is rejected, or {@code null} if it is accepted. */
   private PublishRejection rejection(QueueState queue, int propertyBytes, int bodyBytes) {
     if (queue == null) {
       return PublishRejection.NO_SUCH_QUEUE;
@@ -110,40 +115,42 @@
     if (!accepting) {
       return PublishRejection.NOT_NOW;
     }
-    if (bodyBytes > limits.mostBody() || propertyBytes > MAX_PROPERTIES_BYTES) {
+    if (bodyBytes > limits.maxBodyBytes() || propertyBytes > MAX_PROPERTIES_BYTES) {
       return PublishRejection.TOO_LARGE;
     }
     return isFull(queue, propertyBytes + bodyBytes) ? PublishRejection.FULL : null;
   }
 
   private boolean isFull(QueueState queue, int bytes) {
-    // A result must always fit, so the bound of the results' queue is enforced here.
+    // Checks the limit of the results queue here, because a result must always fit later.
     QueueId resultsId = queue.policy.results();
     QueueState results = resultsId == null ? null : queues.get(resultsId);
-    long memory = messages.memory() + bytes + Message.OVERHEAD;
+    long memory = messages.memoryBytes() + bytes + Message.OVERHEAD_BYTES;
     return queue.messages >= queue.policy.mostWaiting()
-        || memory > limits.mostBytes()
+        || memory > limits.maxMemoryBytes()
         || (results != null && results.messages >= results.policy.mostWaiting());
   }
 
   private long expiry(QueuePolicy policy, long ttlMs) {
-    long longest = policy.timeToLive() == null ? Long.MAX_VALUE : policy.timeToLive().ms();
-    long span = ttlMs < 0 ? longest : Math.min(longest, ttlMs);
-    return span > Long.MAX_VALUE - context.wallMs ? Message.NEVER : context.wallMs + span;
+    long maxTtlMs = policy.timeToLive() == null ? Long.MAX_VALUE : policy.timeToLive().ms();
+    long effectiveTtlMs = ttlMs < 0 ? maxTtlMs : Math.min(maxTtlMs, ttlMs);
+    return effectiveTtlMs > Long.MAX_VALUE - context.wallMs
+        ? Message.NEVER
+        : context.wallMs + effectiveTtlMs;
   }
 
   private void onRecorded(Message message) {
-    messages.home(message, context.recorder.number());
+    messages.setBatch(message, context.recorder.batchNumber());
     context.confirm(message);
     if (message.queue.policy.machines()) {
-      machines.begin(message);
+      messageJobs.requestAdmission(message);
     } else {
       makeAvailable.accept(message);
     }
   }
 
   private void onNotRecorded(Message message) {
-    context.refuse(message);
-    messages.forget(message);
+    context.reject(message);
+    messages.remove(message);
   }
 }
--- a/src/main/java/io/saltflow/queues/PublishRejection.java
+++ b/src/main/java/io/saltflow/queues/PublishRejection.java
@@ -5,9 +5,9 @@
   NO_SUCH_QUEUE,
   /** Only the service itself publishes to this queue. */
   INWARD,
-  /** This queue or its results' queue is full. */
+  /** The queue, its results queue or the memory for messages is full. */
   FULL,
   TOO_LARGE,
-  /** Nothing can be recorded at the moment. */
+  /** Entries cannot be recorded at the moment. */
   NOT_NOW
 }
--- a/src/main/java/io/saltflow/queues/QueueContext.java
+++ b/src/main/java/io/saltflow/queues/QueueContext.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the parts of the core share: the current time, the effects and the recorder. */
+/** The current time, the pending effects and the recorder, shared by the parts of the core. */
 final class QueueContext {
   final Recorder recorder;
   MonotonicTime now;
@@ -15,33 +15,33 @@
     this.recorder = recorder;
   }
 
-  void at(MonotonicTime time, long wall) {
+  void setTime(MonotonicTime time, long wallMs) {
     now = time;
-    wallMs = wall;
+    this.wallMs = wallMs;
   }
 
-  void want(Effect effect) {
+  void emit(Effect effect) {
     effects.add(effect);
   }
 
-  List<Effect> taken() {
+  List<Effect> takeEffects() {
     List<Effect> out = effects;
     effects = new ArrayList<>();
     return out;
   }
 
-  /** Records entries that can't be rejected any more. */
-  void record(Entry entry, Runnable then) {
-    recorder.add(List.of(entry), then, null);
+  /** Records an entry that can no longer be rejected. */
+  void record(Entry entry, Runnable onRecorded) {
+    recorder.add(List.of(entry), onRecorded, null);
   }
 
   void confirm(Message message) {
-    message.tickets.forEach(t -> want(new Effect.Confirm(t)));
-    message.tickets.clear();
+    message.pendingPublishes.forEach(t -> emit(new Effect.Confirm(t)));
+    message.pendingPublishes.clear();
   }
 
-  void refuse(Message message) {
-    message.tickets.forEach(t -> want(new Effect.Refuse(t, PublishRejection.NOT_NOW)));
-    message.tickets.clear();
+  void reject(Message message) {
+    message.pendingPublishes.forEach(t -> emit(new Effect.Refuse(t, PublishRejection.NOT_NOW)));
+    message.pendingPublishes.clear();
   }
 }
--- a/src/main/java/io/saltflow/queues/QueueCore.java
+++ b/src/main/java/io/saltflow/queues/QueueCore.java
@@ -11,19 +11,26 @@
 import java.util.TreeMap;
 
 /**
- * The leader's work queues as a deterministic core: events and times in, batches to record and
- * effects out. It has no sockets and no clock.
+ * Deterministic core of the leader's work queues. It receives events with their times, and returns
+ * batches to record and effects to carry out. It uses no sockets and no clock.
  *
- * <p>Nothing is acknowledged before it is durable: a publish is confirmed, a delivery sent and a
- * result offered only when the batch that records it is.
+ * <p>Nothing is acknowledged before it is durable. A publish is confirmed, a delivery is sent and a
+ * result is made available only after the batch that records it is durable.
  */
 public final class QueueCore {
-  /** How long a consumer may keep a delivery of a queue that is no longer configured. */
+  /** Delivery timeout of a queue that is no longer configured. */
   private static final TimeSpan UNCONFIGURED_DELIVERY_TIMEOUT = TimeSpan.seconds(1800);
 
-  /** Limits: total memory, bytes of one body, number and age of completed ids, clock skew. */
+  /**
+   * Limits on the total memory, the size of a message body, the number and age of completed ids,
+   * and the clock skew between nodes.
+   */
   public record Limits(
-      long mostBytes, int mostBody, int remembered, TimeSpan rememberedFor, TimeSpan skew) {}
+      long maxMemoryBytes,
+      int maxBodyBytes,
+      int maxCompletedIds,
+      TimeSpan completedIdRetention,
+      TimeSpan clockSkew) {}
 
   /** How a consumer settles a delivery. */
   public enum Settlement {
@@ -32,46 +39,51 @@
     REQUEUE
   }
 
-  private final SegmentCleaner ring;
+  private final SegmentCleaner cleaner;
   private final Messages messages;
   private final Recorder recorder;
   private final QueueContext context;
   private final Deliveries deliveries;
-  private final MessageJobs machines;
+  private final MessageJobs messageJobs;
   private final Map<QueueId, QueueState> queues = new TreeMap<>();
-  private final PublishHandler publishing;
+  private final PublishHandler publishHandler;
 
-  /** Creates a core without messages; the record is replayed into it before it serves. */
+  /** Creates a core without messages. The log must be replayed before the core serves clients. */
   public QueueCore(
       Collection<QueuePolicy> policies,
       Limits limits,
-      QuotaView room,
+      QuotaView quota,
       MessageJobFactory jobs,
-      ResultEncoder form,
+      ResultEncoder resultEncoder,
       Term term) {
     policies.forEach(p -> queues.put(p.id(), new QueueState(p)));
-    ring = new SegmentCleaner();
+    cleaner = new SegmentCleaner();
     messages =
         new Messages(
-            ring, new DeduplicationWindow(limits.remembered(), limits.rememberedFor(), ring));
-    recorder = new Recorder(ring, messages);
+            cleaner,
+            new DeduplicationWindow(
+                limits.maxCompletedIds(), limits.completedIdRetention(), cleaner));
+    recorder = new Recorder(cleaner, messages);
     context = new QueueContext(recorder);
-    MessageCompletion endings = new MessageCompletion(context, messages, queues, form, this::waits);
-    deliveries = new Deliveries(context, messages, queues, endings, room, limits.skew());
-    machines = new MessageJobs(context, messages, endings, jobs);
-    publishing = new PublishHandler(context, messages, queues, machines, this::waits, limits, term);
+    MessageCompletion completion =
+        new MessageCompletion(context, messages, queues, resultEncoder, this::makeAvailable);
+    deliveries = new Deliveries(context, messages, queues, completion, quota, limits.clockSkew());
+    messageJobs = new MessageJobs(context, messages, completion, jobs);
+    publishHandler =
+        new PublishHandler(
+            context, messages, queues, messageJobs, this::makeAvailable, limits, term);
   }
 
-  /** Takes the effects since the last call. */
+  /** Returns and clears the effects since the last call. */
   public List<Effect> effects() {
-    return context.taken();
+    return context.takeEffects();
   }
 
   // ---- Replay of the log
 
   /** Replays one batch of the log, in order and before {@link #begin}. */
   public void replay(long number, int chunks, List<Entry> entries) {
-    ring.recorded(number, chunks, EntryCodec.size(entries));
+    cleaner.recorded(number, chunks, EntryCodec.size(entries));
     for (Entry entry : entries) {
       if (entry instanceof Entry.Kept kept) {
         replayKept(kept, number);
@@ -80,9 +92,9 @@
       } else if (entry instanceof Entry.Returned returned) {
         replayAttempts(returned.no(), returned.attempts(), false);
       } else if (entry instanceof Entry.Ended ended) {
-        messages.forget(messages.find(ended.no()));
+        messages.remove(messages.find(ended.no()));
       } else if (entry instanceof Entry.Known known) {
-        messages.remember(known.digest(), known.wallMs(), number);
+        messages.addCompleted(known.digest(), known.wallMs(), number);
       }
     }
   }
@@ -95,30 +107,30 @@
             id ->
                 new QueueState(
                     QueuePolicy.inward(id, UNCONFIGURED_DELIVERY_TIMEOUT, Integer.MAX_VALUE)));
-    messages.forget(messages.find(kept.no()));
+    messages.remove(messages.find(kept.no()));
     Message message = new Message(kept, queue);
-    messages.enter(message);
-    messages.home(message, number);
+    messages.add(message);
+    messages.setBatch(message, number);
   }
 
   private void replayAttempts(MessageNo no, int attempts, boolean out) {
     Message message = messages.find(no);
     if (message != null) {
       message.attempts = attempts;
-      message.out = out;
+      message.maybeDelivered = out;
     }
   }
 
-  /** The log has been replayed: deliveries of earlier leaders are no longer valid. */
-  public void begin(MonotonicTime time, long wall) {
-    context.at(time, wall);
+  /** Ends the replay of the log. Deliveries of earlier leaders are no longer valid. */
+  public void begin(MonotonicTime time, long wallMs) {
+    context.setTime(time, wallMs);
     for (Message message : messages.all()) {
       if (message.queue.policy.machines()) {
-        machines.begin(message);
-      } else if (message.out) {
-        deliveries.lost(message, "its consumer was lost with the leader that served it");
+        messageJobs.requestAdmission(message);
+      } else if (message.maybeDelivered) {
+        deliveries.consumerLost(message, "its consumer was lost with the leader that served it");
       } else {
-        deliveries.waits(message);
+        deliveries.enqueue(message);
       }
     }
     deliveries.dispatch();
@@ -126,161 +138,173 @@
 
   // ---- Publishing
 
-  /** Publishes a message. It is answered by an effect, now or once it is recorded. */
+  /** Publishes a message. An effect answers the publish, either at once or after it is recorded. */
   public void publish(
-      PendingPublish ticket, PublishRequest request, MonotonicTime time, long wall) {
-    context.at(time, wall);
-    publishing.publish(ticket, request);
+      PendingPublish ticket, PublishRequest request, MonotonicTime time, long wallMs) {
+    context.setTime(time, wallMs);
+    publishHandler.publish(ticket, request);
   }
 
-  private void waits(Message message) {
-    deliveries.waits(message);
+  private void makeAvailable(Message message) {
+    deliveries.enqueue(message);
   }
 
-  /**
-   * Sets whether anything can be recorded; if not, publishes that are not in flight are rejected.
-   */
-  public void taking(boolean may) {
-    publishing.setAccepting(may);
-    if (!may) {
-      recorder.drop();
-      // Publishes in flight may yet be recorded. Their publishers are rejected all the same: a
-      // repeated publish under the same id is answered by the record.
-      messages.view().stream().filter(m -> m.home == 0).forEach(context::refuse);
+  /** Sets whether entries can be recorded. If not, pending publishes are rejected. */
+  public void setAccepting(boolean accepting) {
+    publishHandler.setAccepting(accepting);
+    if (!accepting) {
+      recorder.dropPendingPublishes();
+      // Publishes in flight may still be recorded. They are rejected as well, because a retry
+      // with the same id is answered from the log.
+      messages.view().stream().filter(m -> m.batch == 0).forEach(context::reject);
     }
   }
 
   // ---- Consumers
 
-  /** Adds a consumer with a prefetch limit; false: the queue has no consumers. */
+  /**
+   * Adds a consumer with a prefetch limit. Returns whether the queue exists and allows consumers.
+   */
   public boolean consume(
-      ConsumerId id, QueueId queueId, boolean noAck, int limit, MonotonicTime time, long wall) {
-    context.at(time, wall);
-    boolean taken = deliveries.consume(id, queueId, noAck, limit);
+      ConsumerId id, QueueId queueId, boolean noAck, int limit, MonotonicTime time, long wallMs) {
+    context.setTime(time, wallMs);
+    boolean added = deliveries.consume(id, queueId, noAck, limit);
     deliveries.dispatch();
-    return taken;
+    return added;
   }
 
-  /** Cancels a consumer. What it holds may still be settled. */
+  /** Cancels a consumer. Its outstanding deliveries may still be settled. */
   public void cancel(ConsumerId id) {
     deliveries.cancel(id);
   }
 
   /** Sets the prefetch limit that all consumers of a channel share. */
-  public void share(long session, int channel, int limit, MonotonicTime time, long wall) {
-    context.at(time, wall);
-    deliveries.share(session, channel, limit);
+  public void setChannelLimit(
+      long session, int channel, int limit, MonotonicTime time, long wallMs) {
+    context.setTime(time, wallMs);
+    deliveries.setChannelLimit(session, channel, limit);
     deliveries.dispatch();
   }
 
-  /** Pauses or resumes deliveries to a peer. */
-  public void paused(long session, boolean paused, MonotonicTime time, long wall) {
-    context.at(time, wall);
-    deliveries.paused(session, paused);
+  /** Pauses or resumes deliveries to a connection. */
+  public void setPaused(long session, boolean paused, MonotonicTime time, long wallMs) {
+    context.setTime(time, wallMs);
+    deliveries.setPaused(session, paused);
     deliveries.dispatch();
   }
 
-  /** Removes a channel's consumers and requeues what they held. */
-  public void channelClosed(long session, int channel, MonotonicTime time, long wall) {
-    context.at(time, wall);
+  /** Removes a channel's consumers and releases their outstanding deliveries. */
+  public void channelClosed(long session, int channel, MonotonicTime time, long wallMs) {
+    context.setTime(time, wallMs);
     deliveries.channelClosed(session, channel);
     deliveries.dispatch();
   }
 
-  /** As {@link #channelClosed} for all of a connection's channels. */
-  public void sessionGone(long session, MonotonicTime time, long wall) {
-    context.at(time, wall);
-    deliveries.sessionGone(session);
+  /**
+   * Removes the consumers of all channels of a connection, as {@link #channelClosed} does for one
+   * channel.
+   */
+  public void sessionClosed(long session, MonotonicTime time, long wallMs) {
+    context.setTime(time, wallMs);
+    deliveries.sessionClosed(session);
     deliveries.dispatch();
   }
 
-  /** Gets one message, if there is one; answered by an effect. */
+  /** Requests one message. The answer is an effect, also if the queue is empty. */
   public void get(
-      long session, int channel, QueueId queueId, boolean noAck, MonotonicTime time, long wall) {
-    context.at(time, wall);
+      long session, int channel, QueueId queueId, boolean noAck, MonotonicTime time, long wallMs) {
+    context.setTime(time, wallMs);
     deliveries.get(session, channel, queueId, noAck);
   }
 
-  /** Settles a delivery; false when it is no longer this consumer's, and nothing changes. */
-  public boolean settle(DeliveryId id, Settlement how, MonotonicTime time, long wall) {
-    context.at(time, wall);
-    boolean counted = deliveries.settle(id, how);
+  /**
+   * Settles a delivery. Returns {@code false} and has no effect if the consumer no longer holds it.
+   */
+  public boolean settle(DeliveryId id, Settlement settlement, MonotonicTime time, long wallMs) {
+    context.setTime(time, wallMs);
+    boolean settled = deliveries.settle(id, settlement);
     deliveries.dispatch();
-    return counted;
+    return settled;
   }
 
-  /** A delivery could not be sent: nobody has seen it, and the attempt does not count. */
-  public void notSent(DeliveryId id, MonotonicTime time, long wall) {
-    context.at(time, wall);
-    deliveries.notSent(id);
+  /** Requeues a delivery that could not be sent. The attempt does not count. */
+  public void deliveryNotSent(DeliveryId id, MonotonicTime time, long wallMs) {
+    context.setTime(time, wallMs);
+    deliveries.deliveryNotSent(id);
     deliveries.dispatch();
   }
 
-  // ---- Machines
+  // ---- Jobs
 
-  /** The jobs of messages that are not completed. */
+  /** Returns the jobs of messages that are not completed. */
   public Map<MessageNo, JobId> jobs() {
-    return machines.jobs();
+    return messageJobs.jobs();
   }
 
   /** Reports the number of failures of a job so far. */
-  public void jobErrors(MessageNo no, int errors, MonotonicTime time, long wall) {
-    context.at(time, wall);
-    machines.errors(no, errors);
+  public void jobFailures(MessageNo no, int errors, MonotonicTime time, long wallMs) {
+    context.setTime(time, wallMs);
+    messageJobs.jobFailures(no, errors);
   }
 
   /**
-   * A job has ended: done, cancelled, or never admitted.
+   * Completes the message of a job that is done, was cancelled or was never admitted.
    *
-   * @param refused why it was not admitted; null if it was
+   * @param refused the reason why the job was not admitted, or null if it was admitted
    */
-  public void jobOver(
-      MessageNo no, boolean done, String refused, int errors, MonotonicTime time, long wall) {
-    context.at(time, wall);
-    machines.over(no, done, refused, errors);
+  public void jobEnded(
+      MessageNo no, boolean done, String refused, int errors, MonotonicTime time, long wallMs) {
+    context.setTime(time, wallMs);
+    messageJobs.jobEnded(no, done, refused, errors);
   }
 
   // ---- Recording, time
 
-  /** Whether {@link #nextBatch} would return a batch. */
+  /** Returns whether {@link #nextBatch} would return a batch. */
   public boolean hasPending() {
     return recorder.hasPending();
   }
 
   /**
-   * The next batch to record, of about the given size; null while one is in flight, or if there is
-   * none.
+   * Returns the next batch to record, of about the given size. Returns {@code null} while a batch
+   * is in flight or if there is nothing to record.
    */
-  public RecordBatch nextBatch(int mostBytes, long wall) {
+  public RecordBatch nextBatch(int maxBytes, long wallMs) {
     if (recorder.hasPending()) {
-      messages.forgetOld(wall);
+      messages.expireCompletedIds(wallMs);
     }
-    return recorder.next(mostBytes);
+    return recorder.next(maxBytes);
   }
 
-  /** The batch in flight is durable, in a number of chunks. */
-  public void recorded(int chunks, MonotonicTime time, long wall) {
-    context.at(time, wall);
+  /** Marks the batch in flight as durable. It takes the given number of chunks. */
+  public void recorded(int chunks, MonotonicTime time, long wallMs) {
+    context.setTime(time, wallMs);
     recorder.recorded(chunks);
     deliveries.dispatch();
   }
 
-  /** The batch in flight was certainly not recorded, and never will be. */
+  /**
+   * Returns the entries of the batch in flight to the queue. The batch must be known never to
+   * become durable.
+   */
   public void notRecorded() {
     recorder.notRecorded();
-    if (!publishing.accepting()) {
-      recorder.drop();
+    if (!publishHandler.accepting()) {
+      recorder.dropPendingPublishes();
     }
   }
 
-  /** The batch in flight is too large to be recorded; false: it can't be made smaller. */
+  /**
+   * Handles a batch in flight that is too large to be recorded. Returns whether recording can
+   * continue, either with smaller batches or after the oversized publish was rejected.
+   */
   public boolean tooLarge() {
     return recorder.tooLarge();
   }
 
-  /** Handles timeouts: retry pauses, times to live and overdue deliveries. */
-  public void tick(MonotonicTime time, long wall) {
-    context.at(time, wall);
+  /** Handles expired retry delays, times to live and delivery timeouts. */
+  public void tick(MonotonicTime time, long wallMs) {
+    context.setTime(time, wallMs);
     deliveries.tick();
     deliveries.dispatch();
   }
@@ -290,18 +314,18 @@
   /** The numbers of waiting messages and of consumers of a queue. */
   public record Status(int waiting, int consumers) {}
 
-  /** The status of a queue; null: there is no such queue. */
+  /** Returns the status of a queue, or {@code null} if the queue does not exist. */
   public Status status(QueueId id) {
     QueueState queueState = queues.get(id);
     return queueState == null ? null : new Status(queueState.waiting.size(), queueState.consumers);
   }
 
-  /** The ids of all queues. */
+  /** Returns the ids of all queues. */
   public Collection<QueueId> queueIds() {
     return queues.keySet();
   }
 
-  /** What the messages of each queue use, and would use, of the teams' quotas. */
+  /** Returns the quota that the messages of each queue use and request. */
   public List<Demand> demands() {
     List<Demand> out = new ArrayList<>();
     for (QueueState queueState : queues.values()) {
@@ -313,23 +337,23 @@
     return out;
   }
 
-  /** The number of messages that are not completed. */
+  /** Returns the number of messages that are not completed. */
   public int size() {
     return messages.size();
   }
 
-  /** Their estimated memory in bytes. */
+  /** Returns the estimated memory of these messages in bytes. */
   public long bytes() {
-    return messages.memory();
+    return messages.memoryBytes();
   }
 
-  /** The number of settlements that arrived too late to have an effect. */
+  /** Returns the number of settlements that arrived too late to have an effect. */
   public long staleSettlements() {
-    return deliveries.stale();
+    return deliveries.staleSettlements();
   }
 
-  /** The number of chunks that the log takes. */
+  /** Returns the number of chunks that the log takes. */
   public long usedChunks() {
-    return ring.usedChunks();
+    return cleaner.usedChunks();
   }
 }
--- a/src/main/java/io/saltflow/queues/QueueId.java
+++ b/src/main/java/io/saltflow/queues/QueueId.java
@@ -1,6 +1,6 @@
 package io.saltflow.queues;
 
-/** A queue's name within its virtual host. */
+/** Identifies a queue by its virtual host and name. */
 public record QueueId(String vhost, String name) implements Comparable<QueueId> {
   @Override
   public int compareTo(QueueId other) {
--- a/src/main/java/io/saltflow/queues/QueuePolicy.java
+++ b/src/main/java/io/saltflow/queues/QueuePolicy.java
@@ -5,17 +5,17 @@
 import io.saltflow.model.TimeSpan;
 
 /**
- * What operators set for a queue. {@code results}, {@code deadLetters} and {@code timeToLive} may
- * be null: none.
+ * Configuration of a queue. {@code results}, {@code deadLetters} and {@code timeToLive} are null if
+ * they are not set.
  *
- * @param machines a message becomes a job on rented machines; else connected consumers do the work
- * @param size what one delivery counts against its team's limit
- * @param attempts the most deliveries, or failures of a job
- * @param pause after a failed attempt; doubles with each further one
- * @param repeats whether a message may be delivered again after a consumer may have begun it
- * @param delivery how long a consumer may keep a delivery
- * @param mostWaiting the most messages that are not over
- * @param inward only the service itself puts messages here: results and dead letters
+ * @param machines whether each message runs as a job on machines instead of going to a consumer
+ * @param size the resources that one delivery uses of its team's quota
+ * @param attempts the maximum number of deliveries, or of failures of a job
+ * @param pause the delay after the first failed attempt, doubled after each further one
+ * @param repeats whether a message may be redelivered after a consumer may have started on it
+ * @param delivery the time within which a consumer must settle a delivery
+ * @param mostWaiting the maximum number of messages that are not completed
+ * @param inward whether only the service itself publishes to the queue (results and dead letters)
  */
 public record QueuePolicy(
     QueueId id,
@@ -36,7 +36,7 @@
 
   private static final int MAX_DOUBLINGS = 10;
 
-  /** A queue that results or dead letters go to: each is kept until somebody takes it. */
+  /** Returns the policy of a queue for results or dead letters, which never expire. */
   public static QueuePolicy inward(QueueId id, TimeSpan delivery, int mostWaiting) {
     return new QueuePolicy(
         id,
@@ -56,8 +56,8 @@
         true);
   }
 
-  /** The pause after so many attempts. */
-  TimeSpan pauseAfter(int attempt) {
+  /** Returns the retry delay after this number of attempts. */
+  TimeSpan retryDelayAfter(int attempt) {
     return pause.times(1 << Math.min(MAX_DOUBLINGS, Math.max(0, attempt - 1)));
   }
 }
--- a/src/main/java/io/saltflow/queues/QueueState.java
+++ b/src/main/java/io/saltflow/queues/QueueState.java
@@ -4,81 +4,84 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** One queue: what waits, in order, and who could take it. */
+/** The waiting messages of one queue in order, and its consumers that can take a delivery. */
 final class QueueState {
   final QueuePolicy policy;
   final TreeMap<MessageNo, Message> waiting = new TreeMap<>();
-  private final TreeSet<Consumer> free =
-      new TreeSet<>(Comparator.comparingLong((Consumer c) -> c.place));
+  private final TreeSet<Consumer> ready =
+      new TreeSet<>(Comparator.comparingLong((Consumer c) -> c.turn));
   int consumers;
 
-  /** Messages that are not over. */
+  /** Number of messages that are not completed. */
   int messages;
 
-  /** Messages that consumers have, which count against the team's limit. */
-  int out;
+  /** Number of messages held by consumers. They count against the team's quota. */
+  int outstanding;
 
-  private long places;
+  private long lastTurn;
 
   QueueState(QueuePolicy policy) {
     this.policy = policy;
   }
 
-  /** The next consumer in turn, or null. */
+  /** Returns the next consumer in turn, or {@code null} if none can take a delivery. */
   Consumer nextConsumer() {
-    return free.isEmpty() ? null : free.first();
+    return ready.isEmpty() ? null : ready.first();
   }
 
   /**
-   * To be called whenever what a consumer may take has changed. One that was given something goes
-   * behind the others, so that a large prefetch does not take all.
+   * Updates the consumer's place in the rotation after its capacity has changed. It moves to the
+   * end, so that a consumer with a large prefetch limit does not receive every message.
    */
-  void refresh(Consumer consumer) {
-    free.remove(consumer);
-    if (consumer.free()) {
-      consumer.place = ++places;
-      free.add(consumer);
+  void updateReadiness(Consumer consumer) {
+    ready.remove(consumer);
+    if (consumer.hasCapacity()) {
+      consumer.turn = ++lastTurn;
+      ready.add(consumer);
     }
   }
 
   void remove(Consumer consumer) {
-    free.remove(consumer);
+    ready.remove(consumer);
   }
 
   Message head() {
     return waiting.isEmpty() ? null : waiting.firstEntry().getValue();
   }
 
-  /** What it uses, and would use, of its team's limit; null: nothing. */
+  /**
+   * Returns the quota that this queue's messages use and request, or {@code null} if there is none.
+   */
   Demand demand() {
-    boolean sizeless = policy.size().cores() <= 0 && policy.size().gpus() <= 0;
-    if (policy.team().isEmpty() || sizeless || policy.machines()) {
+    boolean countsNoResources = policy.size().cores() <= 0 && policy.size().gpus() <= 0;
+    if (policy.team().isEmpty() || countsNoResources || policy.machines()) {
       return null;
     }
-    int wanted = wanted();
-    if (out == 0 && wanted == 0) {
+    int wanted = deliverable();
+    if (outstanding == 0 && wanted == 0) {
       return null;
     }
-    long arrived = head() == null ? Message.NEVER : head().arrivedWallMs;
+    long arrivedWallMs = head() == null ? Message.NEVER : head().arrivedWallMs;
     return new Demand(
         policy.team(),
         policy.priority(),
-        policy.size().times(out),
+        policy.size().times(outstanding),
         policy.size().times(wanted),
-        arrived);
+        arrivedWallMs);
   }
 
-  /** How many of the waiting messages could be taken now. */
-  private int wanted() {
-    int room = 0;
-    for (Consumer consumer : free) {
-      room +=
+  /** Returns the number of waiting messages that consumers could take now. */
+  private int deliverable() {
+    int capacity = 0;
+    for (Consumer consumer : ready) {
+      capacity +=
           Math.min(
-              consumer.limit - consumer.held.size(), consumer.share.limit - consumer.share.out);
-      if (room >= waiting.size()) {
+              consumer.limit - consumer.held.size(),
+              consumer.window.limit - consumer.window.outstanding);
+      if (capacity >= waiting.size()) {
         return waiting.size();
       }
     }
-    return room;
+    return capacity;
   }
 }
--- a/src/main/java/io/saltflow/queues/QuotaView.java
+++ b/src/main/java/io/saltflow/queues/QuotaView.java
@@ -1,7 +1,10 @@
 package io.saltflow.queues;
 
-/** The team limits that messages share with native jobs. */
+/** The team quotas that messages share with native jobs. */
 public interface QuotaView {
-  /** Whether one more delivery of the queue may go out, before the native jobs that wait. */
+  /**
+   * Returns whether one more message of the queue may be delivered ahead of the waiting native
+   * jobs.
+   */
   boolean mayStart(QueuePolicy queue, long arrivedWallMs);
 }
--- a/src/main/java/io/saltflow/queues/Recorder.java
+++ b/src/main/java/io/saltflow/queues/Recorder.java
@@ -5,46 +5,47 @@
 import java.util.List;
 
 /**
- * What is to be recorded, in order and in batches of which one is under way at a time, and what
- * follows once it is. Entries of one unit are recorded together or not at all.
+ * Queues log entries, groups them into batches of which at most one is in flight, and runs
+ * callbacks after they are recorded. The entries of one unit are recorded together or not at all.
  */
 final class Recorder {
-  /** What else keeps the log short: the entry that a name needs now, and where it went. */
-  interface Living {
-    Entry entry(Object name);
+  /** The live entries of the log, by key. Cleaning rewrites them into later batches. */
+  interface LiveEntries {
+    Entry entry(Object key);
 
-    void moved(Object name, long batch);
+    void moved(Object key, long batch);
 
-    /** About how many bytes the entries of all that lives take. */
-    long bytes();
+    /** Returns the estimated size of all live entries, in bytes. */
+    long liveBytes();
   }
 
   /**
-   * @param dropped what to do when it is refused instead; null: it can't be refused
+   * @param onDropped called if the unit is rejected, or null if it cannot be rejected
    */
-  private record Unit(List<Entry> entries, Runnable recorded, Runnable dropped) {
+  private record Unit(List<Entry> entries, Runnable onRecorded, Runnable onDropped) {
     int size() {
       return EntryCodec.size(entries);
     }
   }
 
-  private final SegmentCleaner ring;
-  private final Living living;
+  private final SegmentCleaner cleaner;
+  private final LiveEntries liveEntries;
 
   /**
-   * What happens to messages that are recorded, and new ones. They are independent of each other: a
-   * message's first entry is durable before it has another. Deliveries and ends would else wait
-   * behind whatever a publisher pours in.
+   * Units of messages that are already recorded. They are queued apart from new publishes, so that
+   * deliveries and completions do not wait behind a burst of publishes. The order between the two
+   * queues does not matter, because the first entry of a message is durable before the message has
+   * another.
    */
-  private final ArrayDeque<Unit> changes = new ArrayDeque<>();
+  private final ArrayDeque<Unit> updates = new ArrayDeque<>();
 
   private final ArrayDeque<Unit> publishes = new ArrayDeque<>();
   private List<Unit> inFlight;
   private RecordBatch batch;
 
-  Recorder(SegmentCleaner ring, Living living) {
-    this.ring = ring;
-    this.living = living;
+  Recorder(SegmentCleaner cleaner, LiveEntries liveEntries) {
+    this.cleaner = cleaner;
+    this.liveEntries = liveEntries;
   }
 
   void add(List<Entry> entries, Runnable recorded, Runnable dropped) {
@@ -53,50 +54,51 @@
   }
 
   private ArrayDeque<Unit> queueOf(Unit unit) {
-    return unit.dropped == null ? changes : publishes;
+    return unit.onDropped == null ? updates : publishes;
   }
 
   boolean hasPending() {
-    return batch == null && !(changes.isEmpty() && publishes.isEmpty());
+    return batch == null && !(updates.isEmpty() && publishes.isEmpty());
   }
 
-  /** The number of the batch under way. */
-  long number() {
+  /** Returns the number of the batch in flight. */
+  long batchNumber() {
     return batch.number();
   }
 
-  /** Units that are not on their way and can be refused are. */
-  void drop() {
+  /** Rejects all publishes that are not in the batch in flight. */
+  void dropPendingPublishes() {
     while (!publishes.isEmpty()) {
-      publishes.poll().dropped.run();
+      publishes.poll().onDropped.run();
     }
   }
 
   /**
-   * At least one unit, further ones up to about so many bytes, and in what is left of these what
-   * still lives of the oldest batch, if the log has grown too long. Null: nothing to record now.
+   * Returns the next batch, or {@code null} if there is nothing to record now. The batch holds at
+   * least one unit and further units up to about {@code maxBytes}. If the log needs cleaning, the
+   * remaining bytes are used for live entries of the oldest batch.
    */
-  RecordBatch next(int mostBytes) {
+  RecordBatch next(int maxBytes) {
     if (!hasPending()) {
       return null;
     }
-    ring.trim();
+    cleaner.discardDeadBatches();
     inFlight = new ArrayList<>();
     List<Entry> entries = new ArrayList<>();
-    // Neither kind is starved by the other.
-    int size = take(changes, 0, publishes.isEmpty() ? mostBytes : mostBytes / 2, entries);
-    size = take(publishes, size, mostBytes, entries);
-    size = take(changes, size, mostBytes, entries);
-    if (ring.tooLong(living.bytes())) {
-      clean(entries, mostBytes - size);
+    // Reserves half of the batch for publishes, so that updates cannot starve them.
+    int size = take(updates, 0, publishes.isEmpty() ? maxBytes : maxBytes / 2, entries);
+    size = take(publishes, size, maxBytes, entries);
+    size = take(updates, size, maxBytes, entries);
+    if (cleaner.needsCleaning(liveEntries.liveBytes())) {
+      clean(entries, maxBytes - size);
     }
-    batch = new RecordBatch(ring.next(), ring.tail(), entries);
+    batch = new RecordBatch(cleaner.next(), cleaner.tail(), entries);
     return batch;
   }
 
-  private int take(ArrayDeque<Unit> from, int before, int mostBytes, List<Entry> entries) {
+  private int take(ArrayDeque<Unit> from, int before, int maxBytes, List<Entry> entries) {
     int size = before;
-    while (!from.isEmpty() && (inFlight.isEmpty() || size + from.peek().size() <= mostBytes)) {
+    while (!from.isEmpty() && (inFlight.isEmpty() || size + from.peek().size() <= maxBytes)) {
       Unit unit = from.poll();
       size += unit.size();
       inFlight.add(unit);
@@ -105,48 +107,49 @@
     return size;
   }
 
-  private void clean(List<Entry> entries, int room) {
-    int left = room;
-    for (Object name : ring.oldest()) {
-      Entry entry = living.entry(name);
-      left -= EntryCodec.size(entry);
-      if (left < 0) {
+  private void clean(List<Entry> entries, int maxBytes) {
+    int remaining = maxBytes;
+    for (Object key : cleaner.liveInOldestBatch()) {
+      Entry entry = liveEntries.entry(key);
+      remaining -= EntryCodec.size(entry);
+      if (remaining < 0) {
         return;
       }
       entries.add(entry);
-      inFlight.add(new Unit(List.of(), () -> living.moved(name, number()), null));
+      inFlight.add(new Unit(List.of(), () -> liveEntries.moved(key, batchNumber()), null));
     }
   }
 
-  /** The batch is durable. */
+  /** Marks the batch in flight as durable and runs the callbacks of its units. */
   void recorded(int chunks) {
-    ring.recorded(batch.number(), chunks, EntryCodec.size(batch.entries()));
+    cleaner.recorded(batch.number(), chunks, EntryCodec.size(batch.entries()));
     List<Unit> units = inFlight;
     inFlight = null;
-    units.forEach(u -> u.recorded.run());
+    units.forEach(u -> u.onRecorded.run());
     batch = null;
   }
 
   /**
-   * It is more than is taken at once. One unit that is so by itself is refused if it can be. False:
-   * it can't, and no smaller batch can be tried before it.
+   * Handles a batch that exceeds the size of a transaction. A single unit that is too large is
+   * rejected if possible. Returns {@code false} if it cannot be rejected, so that no smaller batch
+   * can be recorded.
    */
   boolean tooLarge() {
-    List<Unit> real = inFlight.stream().filter(u -> !u.entries.isEmpty()).toList();
+    List<Unit> nonEmpty = inFlight.stream().filter(u -> !u.entries.isEmpty()).toList();
     notRecorded();
-    if (real.size() > 1) {
+    if (nonEmpty.size() > 1) {
       return true;
     }
-    Unit alone = real.get(0);
-    if (alone.dropped == null) {
+    Unit oversized = nonEmpty.get(0);
+    if (oversized.onDropped == null) {
       return false;
     }
-    publishes.remove(alone);
-    alone.dropped.run();
+    publishes.remove(oversized);
+    oversized.onDropped.run();
     return true;
   }
 
-  /** It is certainly not, and never will be: its units come again, first. */
+  /** Returns the units of a batch that will never become durable to the front of their queues. */
   void notRecorded() {
     List<Unit> units = inFlight;
     inFlight = null;
--- a/src/main/java/io/saltflow/queues/ResultEncoder.java
+++ b/src/main/java/io/saltflow/queues/ResultEncoder.java
@@ -1,10 +1,10 @@
 package io.saltflow.queues;
 
-/** How a result is written for whoever takes it. */
+/** Encodes the result message of a completed message. */
 public interface ResultEncoder {
-  /** The body of the result. {@code reason} may be null. */
+  /** Returns the body of the result. {@code reason} may be null. */
   byte[] body(String id, Outcome outcome, int attempts, String reason);
 
-  /** The properties that go with it. */
+  /** Returns the encoded properties of the result. */
   byte[] properties(String id);
 }
--- a/src/main/java/io/saltflow/queues/SegmentCleaner.java
+++ b/src/main/java/io/saltflow/queues/SegmentCleaner.java
@@ -8,22 +8,22 @@
 import java.util.TreeMap;
 
 /**
- * Which batches still hold what is needed, after the log-structured file system of Rosenblum and
- * Ousterhout ("The Design and Implementation of a Log-Structured File System", 1992): what is alive
- * in the oldest batches is written again, and they go.
+ * Tracks which batches of the log still hold live entries, after the segment cleaner of Rosenblum
+ * and Ousterhout ("The Design and Implementation of a Log-Structured File System", 1992). Live
+ * entries of the oldest batches are rewritten, so that those batches can be deleted.
  */
 final class SegmentCleaner {
-  /** So many chunks are never too many. */
-  private static final int FEW = 16;
+  /** Number of chunks up to which the log is never cleaned. */
+  private static final int MIN_CHUNKS_TO_CLEAN = 16;
 
-  /** The log may be so many times as long as what is alive in it. */
-  private static final int SLACK = 3;
+  /** Largest allowed ratio of the log's size to the size of its live entries. */
+  private static final int MAX_LOG_TO_LIVE_RATIO = 3;
 
-  /** A batch in so many chunks, of so many bytes before they were packed. */
-  private record Length(int chunks, long bytes) {}
+  /** The size of a batch in chunks and in bytes before compression. */
+  private record BatchSize(int chunks, long bytes) {}
 
-  private final TreeMap<Long, Set<Object>> alive = new TreeMap<>();
-  private final TreeMap<Long, Length> lengths = new TreeMap<>();
+  private final TreeMap<Long, Set<Object>> live = new TreeMap<>();
+  private final TreeMap<Long, BatchSize> batchSizes = new TreeMap<>();
   private long next = 1;
   private long usedChunks;
   private long usedBytes;
@@ -32,51 +32,56 @@
     return next;
   }
 
-  /** Batches before it hold nothing that is alive. */
+  /** Returns the first batch that may hold live entries. Earlier batches hold none. */
   long tail() {
-    return alive.isEmpty() ? next : alive.firstKey();
+    return live.isEmpty() ? next : live.firstKey();
   }
 
-  /** A batch was recorded, or is found recorded. */
+  /** Adds a batch that was recorded or found during replay. */
   void recorded(long number, int chunks, long bytes) {
     next = number + 1;
-    lengths.put(number, new Length(chunks, bytes));
+    batchSizes.put(number, new BatchSize(chunks, bytes));
     usedChunks += chunks;
     usedBytes += bytes;
   }
 
-  /** What is named is alive in that batch, and no more in the one before (0: there was none). */
-  void moved(Object name, long from, long to) {
-    gone(name, from);
-    alive.computeIfAbsent(to, n -> new LinkedHashSet<>()).add(name);
+  /**
+   * Moves the live entry of a key to another batch. A {@code from} of 0 means that it had no entry.
+   */
+  void moveLive(Object key, long from, long to) {
+    removeLive(key, from);
+    live.computeIfAbsent(to, n -> new LinkedHashSet<>()).add(key);
   }
 
-  void gone(Object name, long from) {
-    Set<Object> there = alive.get(from);
-    if (there != null && there.remove(name) && there.isEmpty()) {
-      alive.remove(from);
+  void removeLive(Object key, long from) {
+    Set<Object> keys = live.get(from);
+    if (keys != null && keys.remove(key) && keys.isEmpty()) {
+      live.remove(from);
     }
   }
 
-  /** Lets go of the batches before the tail; not in the middle of one, whose own may come yet. */
-  void trim() {
-    Map.Entry<Long, Length> oldest = lengths.firstEntry();
+  /**
+   * Discards the sizes of batches before the tail. Must not be called while a batch is being
+   * processed, because its live entries may not have been added yet.
+   */
+  void discardDeadBatches() {
+    Map.Entry<Long, BatchSize> oldest = batchSizes.firstEntry();
     while (oldest != null && oldest.getKey() < tail()) {
-      Length gone = lengths.pollFirstEntry().getValue();
-      usedChunks -= gone.chunks;
-      usedBytes -= gone.bytes;
-      oldest = lengths.firstEntry();
+      BatchSize discarded = batchSizes.pollFirstEntry().getValue();
+      usedChunks -= discarded.chunks;
+      usedBytes -= discarded.bytes;
+      oldest = batchSizes.firstEntry();
     }
   }
 
-  /** Whether the log is longer than it need be, for so many bytes that are alive, unpacked. */
-  boolean tooLong(long aliveBytes) {
-    return usedChunks > FEW && usedBytes > SLACK * aliveBytes;
+  /** Returns whether the log is too long for this number of live bytes before compression. */
+  boolean needsCleaning(long liveBytes) {
+    return usedChunks > MIN_CHUNKS_TO_CLEAN && usedBytes > MAX_LOG_TO_LIVE_RATIO * liveBytes;
   }
 
-  /** What is alive in the oldest batch. */
-  List<Object> oldest() {
-    return alive.isEmpty() ? List.of() : new ArrayList<>(alive.firstEntry().getValue());
+  /** Returns the keys of the live entries in the oldest batch. */
+  List<Object> liveInOldestBatch() {
+    return live.isEmpty() ? List.of() : new ArrayList<>(live.firstEntry().getValue());
   }
 
   long usedChunks() {
--- a/src/test/java/io/saltflow/broker/JobTemplatesTest.java
+++ b/src/test/java/io/saltflow/broker/JobTemplatesTest.java
@@ -29,7 +29,7 @@
               PASSES,
               "{\"cores\": \"${cores}\", \"expectS\": 5, \"bundle\": \"pass-${lang}-${n}\"}"));
 
-  private JobSpec make(QueueId queue, String body) throws MessageJobFactory.BadJob {
+  private JobSpec make(QueueId queue, String body) throws MessageJobFactory.InvalidJobException {
     QueuePolicy policy =
         new QueuePolicy(
             queue,
@@ -47,12 +47,13 @@
             10,
             null,
             false);
-    return templates.make(policy, ID, body.getBytes(StandardCharsets.UTF_8));
+    return templates.createJob(policy, ID, body.getBytes(StandardCharsets.UTF_8));
   }
 
   /** What the queue says holds for all its messages, whatever these say. */
   @Test
-  void aDescriptionIsTakenUnderItsQueuesTeamAndPriority() throws MessageJobFactory.BadJob {
+  void aDescriptionIsTakenUnderItsQueuesTeamAndPriority()
+      throws MessageJobFactory.InvalidJobException {
     JobSpec job = make(PLAIN, "{\"expectS\": 3, \"crew\": \"other\", \"urgency\": \"critical\"}");
     assertEquals(ID, job.id());
     assertEquals("team", job.team());
@@ -61,7 +62,8 @@
   }
 
   @Test
-  void parametersKeepTheirTypeAloneAndAreFilledIntoTexts() throws MessageJobFactory.BadJob {
+  void parametersKeepTheirTypeAloneAndAreFilledIntoTexts()
+      throws MessageJobFactory.InvalidJobException {
     JobSpec job = make(PASSES, "{\"cores\": 1.5, \"lang\": \"kk$1\", \"n\": 12, \"more\": true}");
     assertEquals(1.5, job.size().cores());
     assertEquals("pass-kk$1-12", job.image());
@@ -81,8 +83,9 @@
         "passes | {\"cores\": {}, \"lang\": \"kk\", \"n\": 1} | parameter 'cores' is missing"
       })
   void whatMakesNoJobSaysWhy(String queue, String body, String why) {
-    MessageJobFactory.BadJob badJob =
-        assertThrows(MessageJobFactory.BadJob.class, () -> make(new QueueId("/", queue), body));
+    MessageJobFactory.InvalidJobException badJob =
+        assertThrows(
+            MessageJobFactory.InvalidJobException.class, () -> make(new QueueId("/", queue), body));
     assertEquals("no job can be made of it: " + why, badJob.getMessage());
   }
 }
--- a/src/test/java/io/saltflow/queues/DeliveryHistory.java
+++ b/src/test/java/io/saltflow/queues/DeliveryHistory.java
@@ -8,11 +8,11 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What clients saw of a night, and what of it must never be. */
+/** The events that clients observed in a simulation, and the violations found among them. */
 final class DeliveryHistory {
   private record Result(String body, MessageNo no) {}
 
-  private final List<String> faults = new ArrayList<>();
+  private final List<String> violations = new ArrayList<>();
   private final Set<String> published = new HashSet<>();
   private final Set<String> acked = new HashSet<>();
   private final Map<String, Integer> deliveries = new HashMap<>();
@@ -27,21 +27,21 @@
   void confirmed(String id, boolean recorded) {
     events++;
     if (!recorded) {
-      faults.add(id + " is confirmed ahead of its record");
+      violations.add(id + " was confirmed before it was recorded");
     }
   }
 
   void delivered(String id, QueueId queue) {
     events++;
-    int n = deliveries.merge(id, 1, Integer::sum);
+    int count = deliveries.merge(id, 1, Integer::sum);
     if (results.containsKey(id)) {
-      faults.add(id + " is delivered after its final answer");
+      violations.add(id + " was delivered after its result");
     }
-    if (queue.equals(QueueSimulation.ONCE) && n > 1) {
-      faults.add(id + " is repeated in a class that allows none");
+    if (queue.equals(QueueSimulation.AT_MOST_ONCE) && count > 1) {
+      violations.add(id + " was redelivered from a queue that forbids redelivery");
     }
-    if (n > QueueSimulation.ATTEMPTS) {
-      faults.add(id + " is delivered " + n + " times");
+    if (count > QueueSimulation.ATTEMPTS) {
+      violations.add(id + " was delivered " + count + " times");
     }
   }
 
@@ -55,32 +55,32 @@
     Result result = new Result(body, no);
     Result before = results.putIfAbsent(id, result);
     if (!published.contains(id)) {
-      faults.add(id + " has a result and was never published");
+      violations.add(id + " has a result but was never published");
     }
     if (before != null && !before.equals(result)) {
-      faults.add("two final answers: " + before + ", " + result);
+      violations.add("two different results: " + before + ", " + result);
     }
     if (body.contains(" done ") && !acked.contains(id)) {
-      faults.add(id + " is called done and nobody said so");
+      violations.add(id + " has the outcome done but was never acknowledged");
     }
   }
 
-  /** Everything has come to its end: what was confirmed has its answer. */
-  void quiet(Set<String> confirmed) {
+  /** Checks at the end of a run that every message was confirmed and has a result. */
+  void checkCompleted(Set<String> confirmed) {
     for (String id : confirmed) {
       if (!results.containsKey(id)) {
-        faults.add(id + " was confirmed and is lost");
+        violations.add(id + " was confirmed but has no result");
       }
     }
     for (String id : published) {
       if (!confirmed.contains(id)) {
-        faults.add(id + " is never confirmed");
+        violations.add(id + " was never confirmed");
       }
     }
   }
 
-  List<String> faults() {
-    return faults;
+  List<String> violations() {
+    return violations;
   }
 
   int events() {
--- a/src/test/java/io/saltflow/queues/QueueCoreTest.java
+++ b/src/test/java/io/saltflow/queues/QueueCoreTest.java
@@ -24,15 +24,15 @@
 import org.apache.avro.io.DecoderFactory;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of messages, told line by line; and the record that it leaves. */
+/** Tests of message outcomes, and of the log that they leave. */
 class QueueCoreTest {
   private static final QueueId WORK = QueueSimulation.WORK;
-  private static final QueueId ONCE = QueueSimulation.ONCE;
+  private static final QueueId ONCE = QueueSimulation.AT_MOST_ONCE;
 
   private final List<String> lines = new ArrayList<>();
   private final TreeMap<Long, byte[]> record = new TreeMap<>();
   private MonotonicTime now = new MonotonicTime(0);
-  private QuotaView room = (queue, arrived) -> true;
+  private QuotaView quota = (queue, arrived) -> true;
   private QueueCore core = leader(1, QueueSimulation.policies());
   private DeliveryId last;
   private int published;
@@ -41,39 +41,39 @@
     return new QueueCore(
         policies,
         new QueueCore.Limits(100_000, 1000, 100, TimeSpan.seconds(60), TimeSpan.millis(10)),
-        (queue, arrived) -> room.mayStart(queue, arrived),
+        (queue, arrived) -> quota.mayStart(queue, arrived),
         (queue, id, body) -> null,
-        QueueSimulation.FORM,
+        QueueSimulation.RESULT_ENCODER,
         new Term(term));
   }
 
-  private void takeOver(long term) throws InvalidMessageException {
+  private void failOver(long term) throws InvalidMessageException {
     core = leader(term, QueueSimulation.policies());
     for (var entry : record.entrySet()) {
       core.replay(entry.getKey(), 1, EntryCodec.decode(entry.getValue()));
     }
-    core.begin(now, wall());
-    settle();
+    core.begin(now, wallMs());
+    drain();
   }
 
-  private long wall() {
+  private long wallMs() {
     return 1_000_000 + now.ms();
   }
 
-  private void later(long ms) {
+  private void advance(long ms) {
     now = now.plus(TimeSpan.millis(ms));
-    core.tick(now, wall());
-    settle();
+    core.tick(now, wallMs());
+    drain();
   }
 
-  /** Records and does what follows until nothing is left to do. */
-  private void settle() {
+  /** Records batches and collects effects until nothing is pending. */
+  private void drain() {
     do {
       effects();
-      RecordBatch recordBatch = core.nextBatch(4000, wall());
-      if (recordBatch != null) {
-        record.put(recordBatch.number(), EntryCodec.encode(recordBatch.entries()));
-        core.recorded(1, now, wall());
+      RecordBatch batch = core.nextBatch(4000, wallMs());
+      if (batch != null) {
+        record.put(batch.number(), EntryCodec.encode(batch.entries()));
+        core.recorded(1, now, wallMs());
       }
     } while (core.hasPending());
     effects();
@@ -107,10 +107,10 @@
     byte[] body = ("body of " + id).getBytes(StandardCharsets.UTF_8);
     core.publish(
         pendingPublish,
-        new PublishRequest(queue, id, ttlMs, QueueSimulation.NOTHING, body),
+        new PublishRequest(queue, id, ttlMs, QueueSimulation.EMPTY, body),
         now,
-        wall());
-    settle();
+        wallMs());
+    drain();
   }
 
   private void publish(QueueId queue, String id) {
@@ -119,72 +119,72 @@
 
   private void consume(long session, QueueId queue, int limit) {
     ConsumerId id = new ConsumerId(session, 1, "c");
-    core.consume(id, queue, false, limit, now, wall());
-    settle();
+    core.consume(id, queue, false, limit, now, wallMs());
+    drain();
   }
 
-  private boolean say(QueueCore.Settlement how) {
-    boolean counted = core.settle(last, how, now, wall());
-    settle();
-    return counted;
+  private boolean settleLast(QueueCore.Settlement settlement) {
+    boolean settled = core.settle(last, settlement, now, wallMs());
+    drain();
+    return settled;
   }
 
-  private void gone(long session) {
-    core.sessionGone(session, now, wall());
-    settle();
+  private void closeSession(long session) {
+    core.sessionClosed(session, now, wallMs());
+    drain();
   }
 
   @Test
-  void aNightOfQueuesIsKept() throws IOException, InvalidMessageException {
+  void failureScenariosMatchTheGoldenTrace() throws IOException, InvalidMessageException {
     lines.add("# a client vanishes mid-delivery and comes back; its late word changes nothing");
     publish(WORK, "a");
     consume(1, WORK, 1);
-    DeliveryId first = last;
-    gone(1);
-    later(20);
+    DeliveryId lost = last;
+    closeSession(1);
+    advance(20);
     consume(2, WORK, 1);
-    lines.add("late: " + core.settle(first, QueueCore.Settlement.ACK, now, wall()));
-    lines.add("in time: " + say(QueueCore.Settlement.ACK));
-    lines.add("twice: " + say(QueueCore.Settlement.ACK));
+    lines.add("late: " + core.settle(lost, QueueCore.Settlement.ACK, now, wallMs()));
+    lines.add("in time: " + settleLast(QueueCore.Settlement.ACK));
+    lines.add("twice: " + settleLast(QueueCore.Settlement.ACK));
     publish(WORK, "a");
     lines.add("# where no repeat is allowed, a consumer that vanished leaves the end unknown");
     publish(ONCE, "b");
     consume(3, ONCE, 1);
-    gone(3);
+    closeSession(3);
     consume(4, ONCE, 1);
     lines.add("# one that gives back for ever ends with the dead letters");
-    publish(QueueSimulation.PICKY, "c");
-    consume(5, QueueSimulation.PICKY, 1);
+    publish(QueueSimulation.DEAD_LETTERING, "c");
+    consume(5, QueueSimulation.DEAD_LETTERING, 1);
     for (int i = 0; i < 3; i++) {
-      say(QueueCore.Settlement.REQUEUE);
-      later(100);
+      settleLast(QueueCore.Settlement.REQUEUE);
+      advance(100);
     }
     lines.add("# time to live, by a clock that may be off by the skew of both");
-    publish(QueueSimulation.BRIEF, "d");
-    publish(QueueSimulation.BRIEF, "e", 100);
-    later(110);
-    later(20);
-    later(200);
+    publish(QueueSimulation.EXPIRING, "d");
+    publish(QueueSimulation.EXPIRING, "e", 100);
+    advance(110);
+    advance(20);
+    advance(200);
     lines.add("# a leader dies with deliveries out");
     publish(WORK, "f");
     publish(ONCE, "g");
-    takeOver(2);
-    later(100);
+    failOver(2);
+    advance(100);
     consume(6, WORK, 9);
-    say(QueueCore.Settlement.ACK);
+    settleLast(QueueCore.Settlement.ACK);
     lines.add("# results");
     consume(7, QueueSimulation.RESULTS, 50);
-    consume(8, QueueSimulation.DEAD, 50);
+    consume(8, QueueSimulation.DEAD_LETTERS, 50);
     GoldenTraces.check("queue-failures", lines);
   }
 
   @Test
-  void fullQueuesAndLargeMessagesAreRefusedAtOnce() {
+  void publishIsRejectedForFullQueueOversizedMessageOrOutage() {
     core.publish(
         new PendingPublish(9, 1, 1),
-        new PublishRequest(WORK, "big", -1, QueueSimulation.NOTHING, new byte[1001]),
+        new PublishRequest(WORK, "big", -1, QueueSimulation.EMPTY, new byte[1001]),
         now,
-        wall());
+        wallMs());
     core.publish(
         new PendingPublish(9, 1, 2),
         new PublishRequest(new QueueId("/", "none"), "x", -1, new byte[0], new byte[0]),
@@ -194,18 +194,18 @@
         new PendingPublish(9, 1, 3),
         new PublishRequest(QueueSimulation.RESULTS, "x", -1, new byte[0], new byte[0]),
         now,
-        wall());
-    core.taking(false);
+        wallMs());
+    core.setAccepting(false);
     publish(WORK, "now");
-    core.taking(true);
+    core.setAccepting(true);
     for (int i = 0; i < 120; i++) {
       core.publish(
           new PendingPublish(9, 2, i),
           new PublishRequest(WORK, null, -1, new byte[0], new byte[600]),
           now,
-          wall());
+          wallMs());
     }
-    settle();
+    drain();
     assertEquals("refuse 9.1/1: TOO_LARGE", lines.get(0));
     assertEquals("refuse 9.1/2: NO_SUCH_QUEUE", lines.get(1));
     assertEquals("refuse 9.1/3: INWARD", lines.get(2));
@@ -214,88 +214,90 @@
     assertEquals(9, lines.stream().filter(l -> l.endsWith(": FULL")).count());
   }
 
-  /** In an outage what is not on its way is refused; what is, is not kept waiting for either. */
+  /** Guards against publishers that wait for a confirm throughout an outage. */
   @Test
-  void nobodyIsKeptWaitingInAnOutage() {
+  void pendingPublishesAreRejectedWhenOutageStarts() {
     core.publish(
         new PendingPublish(9, 1, 1),
         new PublishRequest(WORK, "x", -1, new byte[0], new byte[0]),
         now,
-        wall());
-    RecordBatch underWay = core.nextBatch(1000, wall());
+        wallMs());
+    RecordBatch inFlight = core.nextBatch(1000, wallMs());
     core.publish(
         new PendingPublish(9, 1, 2),
         new PublishRequest(WORK, "y", -1, new byte[0], new byte[0]),
         now,
-        wall());
-    core.taking(false);
+        wallMs());
+    core.setAccepting(false);
     effects();
     assertEquals(List.of("refuse 9.1/2: NOT_NOW", "refuse 9.1/1: NOT_NOW"), lines);
-    assertEquals(1, underWay.entries().size());
-    core.recorded(1, now, wall());
-    core.taking(true);
+    assertEquals(1, inFlight.entries().size());
+    core.recorded(1, now, wallMs());
+    core.setAccepting(true);
     lines.clear();
     publish(WORK, "x");
-    assertEquals(List.of("confirm 9.1/1"), lines, "it was recorded after all, once");
+    assertEquals(List.of("confirm 9.1/1"), lines, "the message is recorded once");
     assertEquals(1, core.size());
   }
 
   @Test
-  void prefetchIsKeptAndOneClientDoesNotTakeAll() {
+  void deliveriesRespectPrefetchAndAlternateBetweenConsumers() {
     consume(1, WORK, 2);
     consume(2, WORK, 65535);
-    core.share(3, 1, 3, now, wall());
-    core.consume(new ConsumerId(3, 1, "x"), WORK, false, 50, now, wall());
-    core.consume(new ConsumerId(3, 1, "y"), WORK, false, 50, now, wall());
+    core.setChannelLimit(3, 1, 3, now, wallMs());
+    core.consume(new ConsumerId(3, 1, "x"), WORK, false, 50, now, wallMs());
+    core.consume(new ConsumerId(3, 1, "y"), WORK, false, 50, now, wallMs());
     for (int i = 0; i < 20; i++) {
       publish(WORK, "m" + i);
     }
     assertEquals(2, lines.stream().filter(l -> l.contains(" to 1.1 c")).count());
     assertEquals(3, lines.stream().filter(l -> l.contains(" to 3.1 ")).count());
     assertEquals(15, lines.stream().filter(l -> l.contains(" to 2.1 c")).count());
-    assertTrue(lines.get(1).contains(" to 1.1") && lines.get(3).contains(" to 2.1"), "in turn");
+    assertTrue(
+        lines.get(1).contains(" to 1.1") && lines.get(3).contains(" to 2.1"),
+        "consumers alternate");
   }
 
-  /** A peer that reads slowly has at most so many bytes under way, whatever its prefetch. */
+  /** Guards against deliveries to a connection whose peer reads too slowly. */
   @Test
-  void aSlowPeerIsNotFlooded() {
-    core.paused(2, true, now, wall());
+  void pausedConnectionReceivesNoDeliveries() {
+    core.setPaused(2, true, now, wallMs());
     consume(2, WORK, 100);
     publish(WORK, "x");
     assertTrue(lines.stream().noneMatch(l -> l.startsWith("deliver")), lines.toString());
-    core.paused(2, false, now, wall());
-    settle();
+    core.setPaused(2, false, now, wallMs());
+    drain();
     assertTrue(lines.stream().anyMatch(l -> l.startsWith("deliver x")), lines.toString());
   }
 
   @Test
-  void aDeliveryKeptTooLongClosesItsChannel() {
+  void overdueDeliveryClosesChannel() {
     publish(WORK, "x");
     consume(1, WORK, 1);
-    DeliveryId kept = last;
-    later(400);
+    DeliveryId overdue = last;
+    advance(400);
     assertTrue(lines.get(lines.size() - 1).startsWith("Overdue"), lines.toString());
-    later(100);
+    advance(100);
     consume(2, WORK, 1);
-    assertFalse(core.settle(kept, QueueCore.Settlement.ACK, now, wall()));
-    assertTrue(say(QueueCore.Settlement.ACK));
+    assertFalse(core.settle(overdue, QueueCore.Settlement.ACK, now, wallMs()));
+    assertTrue(settleLast(QueueCore.Settlement.ACK));
   }
 
   @Test
-  void messagesGoByPriorityThenArrivalWithinTheirTeamsLimit() {
+  void dispatchFollowsPriorityWithinTeamQuota() {
     QueueId low = new QueueId("/", "low");
     QueueId high = new QueueId("/", "high");
     core = leader(1, List.of(sized(low, Priority.LOW), sized(high, Priority.HIGH)));
-    int[] left = {0};
-    room = (queue, arrived) -> left[0]-- > 0;
+    int[] allowed = {0};
+    quota = (queue, arrived) -> allowed[0]-- > 0;
     publish(low, "l");
     publish(high, "h");
-    core.consume(new ConsumerId(1, 1, "l"), low, false, 5, now, wall());
-    core.consume(new ConsumerId(1, 1, "h"), high, false, 5, now, wall());
-    settle();
+    core.consume(new ConsumerId(1, 1, "l"), low, false, 5, now, wallMs());
+    core.consume(new ConsumerId(1, 1, "h"), high, false, 5, now, wallMs());
+    drain();
     lines.clear();
-    left[0] = 1;
-    later(1);
+    allowed[0] = 1;
+    advance(1);
     assertTrue(lines.get(0).startsWith("deliver h"), lines.toString());
     assertEquals(new Resources(2, 0, 0), core.demands().get(0).held());
     assertEquals(new Resources(2, 0, 0), core.demands().get(1).wanted());
@@ -320,9 +322,9 @@
         false);
   }
 
-  /** The schema is what others read the record by. */
+  /** Guards against log entries that cannot be read with the published schema. */
   @Test
-  void theRecordIsAvroByItsSchema() throws IOException, InvalidMessageException {
+  void entriesMatchTheAvroSchema() throws IOException, InvalidMessageException {
     List<Entry> entries =
         List.of(
             new Entry.Kept(
--- a/src/test/java/io/saltflow/queues/QueueSimulation.java
+++ b/src/test/java/io/saltflow/queues/QueueSimulation.java
@@ -19,34 +19,34 @@
 import java.util.TreeMap;
 
 /**
- * Leaders, publishers and consumers around a record, in memory and by one seed: answers are lost,
- * writes come late, consumers vanish and come back, leaders crash or are deposed unawares. What
- * clients see goes into a history.
+ * Seeded simulation of leaders, publishers and consumers that share a log in memory. Answers are
+ * lost, writes are delayed, consumers disconnect and reconnect, and leaders crash or lose their
+ * leadership unnoticed. The events that clients observe are added to a history.
  */
 final class QueueSimulation {
-  /** Mistakes that a test plants around the core, to see that the checker notices. */
+  /** Bugs that a test injects around the core to check that the history detects them. */
   enum Bug {
     NONE,
-    CONFIRMED_BEFORE_RECORDED,
-    STARTS_NOT_RECORDED,
-    WRITES_NOT_FENCED,
-    IDS_FORGOTTEN,
-    RECORD_CUT_TOO_FAR,
-    DELIVERY_TAKEN_BACK
+    CONFIRM_BEFORE_RECORD,
+    ATTEMPT_START_NOT_RECORDED,
+    WRITE_NOT_FENCED,
+    COMPLETED_ID_NOT_RECORDED,
+    LOG_TRUNCATED_TOO_FAR,
+    SENT_DELIVERY_REVERTED
   }
 
-  static final byte[] NOTHING = new byte[0];
+  static final byte[] EMPTY = new byte[0];
   static final QueueId WORK = new QueueId("/", "work");
-  static final QueueId ONCE = new QueueId("/", "once");
-  static final QueueId PICKY = new QueueId("/", "picky");
-  static final QueueId BRIEF = new QueueId("/", "brief");
+  static final QueueId AT_MOST_ONCE = new QueueId("/", "once");
+  static final QueueId DEAD_LETTERING = new QueueId("/", "picky");
+  static final QueueId EXPIRING = new QueueId("/", "brief");
   static final QueueId RESULTS = new QueueId("/", "results");
-  static final QueueId DEAD = new QueueId("/", "dead");
+  static final QueueId DEAD_LETTERS = new QueueId("/", "dead");
   static final int ATTEMPTS = 3;
 
   private static final int CHUNK = 200;
   private static final TimeSpan SKEW = TimeSpan.millis(10);
-  private static final List<QueueId> INPUTS = List.of(WORK, ONCE, PICKY, BRIEF);
+  private static final List<QueueId> INPUTS = List.of(WORK, AT_MOST_ONCE, DEAD_LETTERING, EXPIRING);
 
   static QueuePolicy policy(QueueId id, boolean repeats, QueueId dead, TimeSpan ttl) {
     return new QueuePolicy(
@@ -70,15 +70,15 @@
   static List<QueuePolicy> policies() {
     return List.of(
         policy(WORK, true, null, null),
-        policy(ONCE, false, null, null),
-        policy(PICKY, true, DEAD, null),
-        policy(BRIEF, true, null, TimeSpan.millis(300)),
+        policy(AT_MOST_ONCE, false, null, null),
+        policy(DEAD_LETTERING, true, DEAD_LETTERS, null),
+        policy(EXPIRING, true, null, TimeSpan.millis(300)),
         QueuePolicy.inward(RESULTS, TimeSpan.millis(400), 1000),
-        QueuePolicy.inward(DEAD, TimeSpan.millis(400), 1000));
+        QueuePolicy.inward(DEAD_LETTERS, TimeSpan.millis(400), 1000));
   }
 
-  /** {@code id outcome attempts}, so that a test can read it. */
-  static final ResultEncoder FORM =
+  /** Encodes results as {@code id outcome attempts}. */
+  static final ResultEncoder RESULT_ENCODER =
       new ResultEncoder() {
         @Override
         public byte[] body(String id, Outcome outcome, int attempts, String reason) {
@@ -87,14 +87,14 @@
 
         @Override
         public byte[] properties(String id) {
-          return NOTHING;
+          return EMPTY;
         }
       };
 
-  /** One leader's process. */
+  /** The process of one leader. */
   private final class Leader {
     final QueueCore core;
-    RecordBatch unanswered;
+    RecordBatch unacknowledgedBatch;
     boolean dead;
 
     Leader(Term term) {
@@ -104,17 +104,17 @@
               new QueueCore.Limits(1 << 20, 1 << 16, 50, TimeSpan.seconds(1000), SKEW),
               (queue, arrived) -> true,
               (queue, id, body) -> null,
-              FORM,
+              RESULT_ENCODER,
               term);
       record.forEach((number, bytes) -> core.replay(number, chunks(bytes), decoded(bytes)));
-      core.begin(now, wall());
+      core.begin(now, wallMs());
     }
   }
 
-  /** A connection with one consumer, to whichever leader it was made. */
+  /** A connection with one consumer, and the leader that it connected to. */
   private record Worker(long session, ConsumerId id, Leader leader) {}
 
-  private record Held(Worker worker, DeliveryId id, QueueId queue, String message) {}
+  private record HeldDelivery(Worker worker, DeliveryId id, QueueId queue, String message) {}
 
   final DeliveryHistory history = new DeliveryHistory();
   private final SplittableRandom random;
@@ -125,7 +125,7 @@
   private final Set<String> confirmed = new HashSet<>();
   private final Map<PendingPublish, String> tickets = new HashMap<>();
   private final List<Worker> workers = new ArrayList<>();
-  private final List<Held> held = new ArrayList<>();
+  private final List<HeldDelivery> held = new ArrayList<>();
   private final List<Leader> leaders = new ArrayList<>();
   private long term;
   private long sessions;
@@ -135,10 +135,10 @@
   QueueSimulation(long seed, Bug bug) {
     random = new SplittableRandom(seed);
     this.bug = bug;
-    takeOver();
+    failOver();
   }
 
-  private long wall() {
+  private long wallMs() {
     return 1_000_000 + now.ms();
   }
 
@@ -154,11 +154,11 @@
     }
   }
 
-  private boolean chance(double p) {
+  private boolean withProbability(double p) {
     return random.nextDouble() < p;
   }
 
-  private <T> T any(List<T> list) {
+  private <T> T pick(List<T> list) {
     return list.get(random.nextInt(list.size()));
   }
 
@@ -166,17 +166,17 @@
     return leaders.get(leaders.size() - 1);
   }
 
-  /** Another process leads; the former may not know it yet. */
-  private void takeOver() {
+  /** Makes another process the leader. The former leader may not have noticed yet. */
+  private void failOver() {
     leaders.removeIf(l -> l.dead);
     term++;
     leaders.add(new Leader(new Term(term)));
   }
 
-  /** Steps of a night with faults, then a quiet end in which everything must come to its end. */
+  /** Runs steps with faults, then steps without faults in which every message must be completed. */
   void run(int steps) {
     for (int i = 0; i < 12; i++) {
-      QueueId queue = any(INPUTS);
+      QueueId queue = pick(INPUTS);
       toPublish.put(queue.name() + "-" + i, queue);
     }
     for (int i = 0; i < steps; i++) {
@@ -186,7 +186,7 @@
         serve(leader, 0.3);
       }
     }
-    takeOver();
+    failOver();
     leaders.removeIf(l -> l != newest());
     workers.clear();
     held.clear();
@@ -195,64 +195,64 @@
       republish();
       consumeAll();
       serve(newest(), 0);
-      for (Held otherHeld : List.copyOf(held)) {
-        settle(otherHeld, QueueCore.Settlement.ACK);
+      for (HeldDelivery delivery : List.copyOf(held)) {
+        settle(delivery, QueueCore.Settlement.ACK);
       }
     }
-    history.quiet(confirmed);
+    history.checkCompleted(confirmed);
   }
 
   private void step() {
     switch (random.nextInt(12)) {
       case 0, 1, 2 -> republish();
       case 3, 4 -> connect(newest());
-      case 5 -> connect(any(leaders));
-      case 6, 7, 8 -> act();
-      case 9 -> vanish();
+      case 5 -> connect(pick(leaders));
+      case 6, 7, 8 -> settleRandomDelivery();
+      case 9 -> disconnectWorker();
       case 10 -> {
-        if (chance(0.3)) {
-          newest().dead = chance(0.5);
-          takeOver();
+        if (withProbability(0.3)) {
+          newest().dead = withProbability(0.5);
+          failOver();
         }
       }
       default -> {
-        Leader leader = any(leaders);
-        leader.core.taking(chance(0.7));
+        Leader leader = pick(leaders);
+        leader.core.setAccepting(withProbability(0.7));
       }
     }
   }
 
   private void republish() {
     for (Map.Entry<String, QueueId> entry : toPublish.entrySet()) {
-      if (confirmed.contains(entry.getKey()) && !chance(0.02)) {
+      if (confirmed.contains(entry.getKey()) && !withProbability(0.02)) {
         continue;
       }
       Leader leader = newest();
       PendingPublish ticket = new PendingPublish(0, 0, ++published);
       tickets.put(ticket, entry.getKey());
       history.published(entry.getKey());
-      if (bug == Bug.CONFIRMED_BEFORE_RECORDED) {
+      if (bug == Bug.CONFIRM_BEFORE_RECORD) {
         history.confirmed(entry.getKey(), recordedIds.contains(entry.getKey()));
         confirmed.add(entry.getKey());
       }
       byte[] body = entry.getKey().getBytes(StandardCharsets.UTF_8);
       leader.core.publish(
           ticket,
-          new PublishRequest(entry.getValue(), entry.getKey(), -1, NOTHING, body),
+          new PublishRequest(entry.getValue(), entry.getKey(), -1, EMPTY, body),
           now,
-          wall());
+          wallMs());
     }
   }
 
   private void connect(Leader leader) {
-    QueueId queue = chance(0.3) ? RESULTS : any(INPUTS);
+    QueueId queue = withProbability(0.3) ? RESULTS : pick(INPUTS);
     consume(leader, queue, 1 + random.nextInt(3));
   }
 
   private void consume(Leader leader, QueueId queue, int limit) {
     ConsumerId id = new ConsumerId(++sessions, 1, queue.name());
     workers.add(new Worker(id.session(), id, leader));
-    leader.core.consume(id, queue, false, limit, now, wall());
+    leader.core.consume(id, queue, false, limit, now, wallMs());
   }
 
   private void consumeAll() {
@@ -263,57 +263,57 @@
     }
   }
 
-  /** A consumer settles something that it holds or once held, in any way, perhaps twice. */
-  private void act() {
+  /** Settles a random current or former delivery in a random way, possibly twice. */
+  private void settleRandomDelivery() {
     if (held.isEmpty()) {
       return;
     }
-    Held otherHeld = any(held);
-    settle(otherHeld, any(List.of(QueueCore.Settlement.values())));
-    if (chance(0.3)) {
-      settle(otherHeld, QueueCore.Settlement.ACK);
+    HeldDelivery delivery = pick(held);
+    settle(delivery, pick(List.of(QueueCore.Settlement.values())));
+    if (withProbability(0.3)) {
+      settle(delivery, QueueCore.Settlement.ACK);
     }
   }
 
-  private void settle(Held otherHeld, QueueCore.Settlement how) {
-    // Results are always taken: whoever reads them gives none back.
-    boolean result = otherHeld.queue.equals(RESULTS);
-    QueueCore.Settlement said = result ? QueueCore.Settlement.ACK : how;
-    boolean counted = otherHeld.worker.leader.core.settle(otherHeld.id, said, now, wall());
-    if (counted && !result && said == QueueCore.Settlement.ACK) {
-      history.acked(otherHeld.message);
+  private void settle(HeldDelivery delivery, QueueCore.Settlement requested) {
+    // Consumers of results always acknowledge them.
+    boolean result = delivery.queue.equals(RESULTS);
+    QueueCore.Settlement settlement = result ? QueueCore.Settlement.ACK : requested;
+    boolean settled = delivery.worker.leader.core.settle(delivery.id, settlement, now, wallMs());
+    if (settled && !result && settlement == QueueCore.Settlement.ACK) {
+      history.acked(delivery.message);
     }
-    if (!chance(0.2)) {
-      held.remove(otherHeld);
+    if (!withProbability(0.2)) {
+      held.remove(delivery);
     }
   }
 
-  private void vanish() {
+  private void disconnectWorker() {
     if (workers.isEmpty()) {
       return;
     }
-    Worker worker = any(workers);
+    Worker worker = pick(workers);
     workers.remove(worker);
-    worker.leader.core.sessionGone(worker.session, now, wall());
+    worker.leader.core.sessionClosed(worker.session, now, wallMs());
   }
 
-  /** The leader's process goes on: effects, writes, time. */
+  /** Advances a leader: timeouts, effects and writes. */
   private void serve(Leader leader, double faults) {
     if (leader.dead) {
       return;
     }
     if (faults == 0) {
-      leader.core.taking(true);
+      leader.core.setAccepting(true);
     }
-    leader.core.tick(now, wall());
+    leader.core.tick(now, wallMs());
     for (int i = 0; i < 3 && !leader.dead; i++) {
-      perform(leader);
+      applyEffects(leader);
       write(leader, faults);
     }
-    perform(leader);
+    applyEffects(leader);
   }
 
-  private void perform(Leader leader) {
+  private void applyEffects(Leader leader) {
     for (Effect effect : leader.core.effects()) {
       if (effect instanceof Effect.Confirm confirm) {
         String id = tickets.get(confirm.ticket());
@@ -328,83 +328,86 @@
   }
 
   private void deliver(Leader leader, Effect.Deliver deliver) {
-    Worker there = null;
+    Worker target = null;
     for (Worker worker : workers) {
       if (worker.id.equals(deliver.id().consumer())) {
-        there = worker;
+        target = worker;
       }
     }
-    if (there == null) {
-      leader.core.notSent(deliver.id(), now, wall());
+    if (target == null) {
+      leader.core.deliveryNotSent(deliver.id(), now, wallMs());
       return;
     }
-    held.add(new Held(there, deliver.id(), deliver.queue(), deliver.messageId()));
+    held.add(new HeldDelivery(target, deliver.id(), deliver.queue(), deliver.messageId()));
     if (deliver.queue().equals(RESULTS)) {
       history.result(
           deliver.messageId(),
           new String(deliver.body(), StandardCharsets.UTF_8),
           deliver.id().message());
-    } else if (!deliver.queue().equals(DEAD)) {
+    } else if (!deliver.queue().equals(DEAD_LETTERS)) {
       history.delivered(deliver.messageId(), deliver.queue());
     }
-    if (bug == Bug.DELIVERY_TAKEN_BACK && chance(0.2)) {
-      leader.core.notSent(deliver.id(), now, wall());
+    if (bug == Bug.SENT_DELIVERY_REVERTED && withProbability(0.2)) {
+      leader.core.deliveryNotSent(deliver.id(), now, wallMs());
     }
   }
 
   private void write(Leader leader, double faults) {
-    RecordBatch recordBatch =
-        leader.unanswered != null ? leader.unanswered : leader.core.nextBatch(300, wall());
-    if (recordBatch == null) {
+    RecordBatch batch =
+        leader.unacknowledgedBatch != null
+            ? leader.unacknowledgedBatch
+            : leader.core.nextBatch(300, wallMs());
+    if (batch == null) {
       return;
     }
-    byte[] already = record.get(recordBatch.number());
-    boolean ours = already != null && Arrays.equals(already, stored(recordBatch));
-    if (leader != newest() && bug != Bug.WRITES_NOT_FENCED) {
-      // Guarded by a leader's key that is gone. Nothing that it has not answered is answered.
+    byte[] existing = record.get(batch.number());
+    boolean alreadyStored = existing != null && Arrays.equals(existing, stored(batch));
+    if (leader != newest() && bug != Bug.WRITE_NOT_FENCED) {
+      // The write fails its guard on the leader's key, which was deleted. Pending requests of
+      // this leader are never answered.
       leader.dead = true;
       return;
     }
-    if (!ours && chance(faults)) {
-      // Not carried out: the refusal is heard, or it is only certain that no answer came.
-      leader.unanswered = chance(0.5) ? recordBatch : null;
-      if (leader.unanswered == null) {
+    if (!alreadyStored && withProbability(faults)) {
+      // The write is not applied. Either the leader receives the failure or it gets no answer.
+      leader.unacknowledgedBatch = withProbability(0.5) ? batch : null;
+      if (leader.unacknowledgedBatch == null) {
         leader.core.notRecorded();
       }
       return;
     }
-    apply(recordBatch);
-    if (chance(faults)) {
-      leader.unanswered = recordBatch;
+    store(batch);
+    if (withProbability(faults)) {
+      leader.unacknowledgedBatch = batch;
       return;
     }
-    leader.unanswered = null;
-    leader.core.recorded(chunks(record.get(recordBatch.number())), now, wall());
+    leader.unacknowledgedBatch = null;
+    leader.core.recorded(chunks(record.get(batch.number())), now, wallMs());
   }
 
-  private byte[] stored(RecordBatch recordBatch) {
-    List<Entry> entries = new ArrayList<>(recordBatch.entries());
-    if (bug == Bug.STARTS_NOT_RECORDED) {
+  private byte[] stored(RecordBatch batch) {
+    List<Entry> entries = new ArrayList<>(batch.entries());
+    if (bug == Bug.ATTEMPT_START_NOT_RECORDED) {
       entries.removeIf(e -> e instanceof Entry.Started);
     }
-    if (bug == Bug.IDS_FORGOTTEN) {
+    if (bug == Bug.COMPLETED_ID_NOT_RECORDED) {
       entries.removeIf(e -> e instanceof Entry.Known);
     }
     return EntryCodec.encode(entries);
   }
 
-  private void apply(RecordBatch recordBatch) {
-    record.put(recordBatch.number(), stored(recordBatch));
-    long tail = bug == Bug.RECORD_CUT_TOO_FAR ? recordBatch.tail() + 2 : recordBatch.tail();
-    record.headMap(Math.min(tail, recordBatch.number())).clear();
-    for (Entry entry : recordBatch.entries()) {
+  private void store(RecordBatch batch) {
+    record.put(batch.number(), stored(batch));
+    long tail = bug == Bug.LOG_TRUNCATED_TOO_FAR ? batch.tail() + 2 : batch.tail();
+    record.headMap(Math.min(tail, batch.number())).clear();
+    for (Entry entry : batch.entries()) {
       if (entry instanceof Entry.Kept kept) {
         recordedIds.add(kept.id());
       }
     }
   }
 
-  long chunksUsed() {
+  long usedChunks() {
     return newest().core.usedChunks();
   }
 
