--- a/src/main/java/io/saltflow/amqp/AmqpChannel.java
+++ b/src/main/java/io/saltflow/amqp/AmqpChannel.java
@@ -7,22 +7,22 @@
 
 /** One channel of a connection: its consumers, unsettled deliveries and publisher confirms. */
 final class AmqpChannel {
-  private static final String DEFAULT = "";
-  private static final String DIRECT = "amq.direct";
+  private static final String DEFAULT_EXCHANGE = "";
+  private static final String DIRECT_EXCHANGE = "amq.direct";
   private static final int MAX_CONSUMERS = 256;
 
   private final int id;
   private final AmqpSession session;
   private final BrokerSession broker;
-  private final int maxBody;
+  private final int maxBodyBytes;
   private final Set<String> tags = new HashSet<>();
   private final UnsettledDeliveries unsettled = new UnsettledDeliveries();
   private final PublisherConfirms confirms = new PublisherConfirms();
   private long lastPublish;
-  private boolean confirming;
+  private boolean confirmMode;
   private boolean closing;
-  private boolean getting;
-  private int madeTags;
+  private boolean getPending;
+  private int generatedTags;
   private String lastQueue = "";
   private IncomingPublish incoming;
 
@@ -30,7 +30,7 @@
     this.id = id;
     this.session = session;
     this.broker = broker;
-    this.maxBody = maxBody;
+    this.maxBodyBytes = maxBody;
   }
 
   private void send(MethodKind kind, Object... arguments) {
@@ -38,10 +38,10 @@
   }
 
   /** Processes a method; false: the channel is closed. */
-  boolean take(Method method) throws AmqpException {
+  boolean handle(Method method) throws AmqpException {
     if (method.kind() == MethodKind.CHANNEL_CLOSE) {
       if (!closing) {
-        broker.closed(id);
+        broker.channelClosed(id);
       }
       send(MethodKind.CHANNEL_CLOSE_OK);
       return false;
@@ -54,17 +54,17 @@
       throw new AmqpException(ReplyCode.UNEXPECTED_FRAME, "a method where content was expected");
     }
     switch (method.kind().classId()) {
-      case 20 -> channel(method);
-      case 40 -> exchange(method);
-      case 50 -> queue(method);
-      case 85 -> confirm(method);
+      case 20 -> handleChannelMethod(method);
+      case 40 -> handleExchangeMethod(method);
+      case 50 -> handleQueueMethod(method);
+      case 85 -> handleConfirmMethod(method);
       case 90 -> throw new AmqpException(ReplyCode.NOT_IMPLEMENTED, "transactions are not served");
-      default -> basic(method);
+      default -> handleBasicMethod(method);
     }
     return true;
   }
 
-  private void channel(Method method) throws AmqpException {
+  private void handleChannelMethod(Method method) throws AmqpException {
     switch (method.kind()) {
       case CHANNEL_FLOW -> {
         if (!method.flag(0)) {
@@ -78,12 +78,12 @@
     }
   }
 
-  private void exchange(Method method) throws AmqpException {
+  private void handleExchangeMethod(Method method) throws AmqpException {
     if (method.kind() != MethodKind.EXCHANGE_DECLARE) {
       throw new AmqpException(
-          ReplyCode.NOT_IMPLEMENTED, "only " + DIRECT + " and the default are served");
+          ReplyCode.NOT_IMPLEMENTED, "only " + DIRECT_EXCHANGE + " and the default are served");
     }
-    if (!served(method.text(1))) {
+    if (!isSupportedExchange(method.text(1))) {
       boolean passive = method.flag(3);
       throw new AmqpException(
           passive ? ReplyCode.NOT_FOUND : ReplyCode.ACCESS_REFUSED,
@@ -95,18 +95,19 @@
     }
   }
 
-  private static boolean served(String exchange) {
-    return exchange.equals(DEFAULT) || exchange.equals(DIRECT);
+  private static boolean isSupportedExchange(String exchange) {
+    return exchange.equals(DEFAULT_EXCHANGE) || exchange.equals(DIRECT_EXCHANGE);
   }
 
-  private void queue(Method method) throws AmqpException {
+  private void handleQueueMethod(Method method) throws AmqpException {
     switch (method.kind()) {
       case QUEUE_DECLARE -> declare(method);
       case QUEUE_BIND -> {
-        String queue = named(method.text(1));
-        if (!method.text(2).equals(DIRECT) || !method.text(3).equals(queue)) {
+        String queue = resolveQueue(method.text(1));
+        if (!method.text(2).equals(DIRECT_EXCHANGE) || !method.text(3).equals(queue)) {
           throw new AmqpException(
-              ReplyCode.ACCESS_REFUSED, "each queue is bound by its own name to " + DIRECT);
+              ReplyCode.ACCESS_REFUSED,
+              "each queue is bound by its own name to " + DIRECT_EXCHANGE);
         }
         boolean noWait = method.flag(4);
         if (!noWait) {
@@ -128,7 +129,7 @@
       throw new AmqpException(
           ReplyCode.ACCESS_REFUSED, "queues are kept by the operators' settings");
     }
-    String queue = named(method.text(1));
+    String queue = resolveQueue(method.text(1));
     if (!passive && (exclusive || autoDelete)) {
       ReplyCode code = exclusive ? ReplyCode.RESOURCE_LOCKED : ReplyCode.PRECONDITION_FAILED;
       throw new AmqpException(code, "'" + queue + "' is shared and stays");
@@ -141,7 +142,7 @@
   }
 
   /** The queue of a name, or the last one declared if the name is empty; it must exist. */
-  private String named(String queue) throws AmqpException {
+  private String resolveQueue(String queue) throws AmqpException {
     String name = queue.isEmpty() ? lastQueue : queue;
     if (broker.status(name) == null) {
       throw new AmqpException(ReplyCode.NOT_FOUND, "no queue '" + name + "'");
@@ -149,17 +150,17 @@
     return name;
   }
 
-  private void confirm(Method method) throws AmqpException {
+  private void handleConfirmMethod(Method method) throws AmqpException {
     if (method.kind() != MethodKind.CONFIRM_SELECT) {
       throw new AmqpException(ReplyCode.COMMAND_INVALID, method.kind() + " is the server's");
     }
-    confirming = true;
+    confirmMode = true;
     if (!method.flag(0)) {
       send(MethodKind.CONFIRM_SELECT_OK);
     }
   }
 
-  private void basic(Method method) throws AmqpException {
+  private void handleBasicMethod(Method method) throws AmqpException {
     switch (method.kind()) {
       case BASIC_QOS -> {
         if (method.number(0) != 0) {
@@ -180,11 +181,11 @@
       case BASIC_CANCEL_OK -> {}
       case BASIC_PUBLISH -> publish(method);
       case BASIC_GET -> {
-        if (getting) {
+        if (getPending) {
           throw new AmqpException(ReplyCode.CHANNEL_ERROR, "a get is under way");
         }
-        String queue = named(method.text(1));
-        getting = true;
+        String queue = resolveQueue(method.text(1));
+        getPending = true;
         broker.get(id, queue, method.flag(2));
       }
       case BASIC_ACK -> settle(method.number(0), method.flag(1), BrokerSession.Settlement.ACK);
@@ -206,8 +207,8 @@
   }
 
   private void consume(Method method) throws AmqpException {
-    String queue = named(method.text(1));
-    String tag = method.text(2).isEmpty() ? "ctag-" + id + "." + ++madeTags : method.text(2);
+    String queue = resolveQueue(method.text(1));
+    String tag = method.text(2).isEmpty() ? "ctag-" + id + "." + ++generatedTags : method.text(2);
     boolean noAck = method.flag(4);
     boolean exclusive = method.flag(5);
     boolean noWait = method.flag(6);
@@ -234,14 +235,14 @@
     if (immediate) {
       throw new AmqpException(ReplyCode.NOT_IMPLEMENTED, "immediate is not served");
     }
-    if (!served(method.text(1))) {
+    if (!isSupportedExchange(method.text(1))) {
       throw new AmqpException(ReplyCode.NOT_FOUND, "no exchange '" + method.text(1) + "'");
     }
     incoming = new IncomingPublish(method.text(1), method.text(2), mandatory);
   }
 
   /** Processes a content header; the body follows, unless it is empty. */
-  void header(ByteBuffer in) throws AmqpException {
+  void readHeader(ByteBuffer in) throws AmqpException {
     if (closing) {
       return;
     }
@@ -249,18 +250,18 @@
       throw new AmqpException(ReplyCode.UNEXPECTED_FRAME, "a content header without a publish");
     }
     try {
-      incoming.readHeader(in, maxBody);
+      incoming.readHeader(in, maxBodyBytes);
     } catch (AmqpException exception) {
       if (exception.code() == ReplyCode.CONTENT_TOO_LARGE) {
         incoming = null;
       }
       throw exception;
     }
-    published();
+    publishIfComplete();
   }
 
   /** Processes a frame of the content body. */
-  void body(ByteBuffer in) throws AmqpException {
+  void readBody(ByteBuffer in) throws AmqpException {
     if (closing) {
       return;
     }
@@ -268,16 +269,16 @@
       throw new AmqpException(ReplyCode.UNEXPECTED_FRAME, "a content body without its header");
     }
     incoming.readBody(in);
-    published();
+    publishIfComplete();
   }
 
-  private void published() throws AmqpException {
+  private void publishIfComplete() throws AmqpException {
     if (!incoming.complete()) {
       return;
     }
     IncomingPublish whole = incoming;
     incoming = null;
-    long number = confirming ? confirms.next() : --lastPublish;
+    long number = confirmMode ? confirms.next() : --lastPublish;
     if (broker.status(whole.routingKey()) != null) {
       broker.publish(
           id,
@@ -292,18 +293,18 @@
           whole.exchange(),
           whole.routingKey());
       session.sendContent(id, whole.properties().bytes(), whole.body());
-      if (confirming) {
-        confirmed(List.of(number));
+      if (confirmMode) {
+        confirmPublishes(List.of(number));
       }
     } else {
-      refused(
+      rejectPublish(
           number, new AmqpException(ReplyCode.NOT_FOUND, "no queue '" + whole.routingKey() + "'"));
     }
   }
 
   /** Confirms publishes, combining them into as few acks as possible. */
-  void confirmed(List<Long> numbers) {
-    if (closing || !confirming) {
+  void confirmPublishes(List<Long> numbers) {
+    if (closing || !confirmMode) {
       return;
     }
     for (PublisherConfirms.Ack ack : confirms.acks(numbers)) {
@@ -312,11 +313,11 @@
   }
 
   /** Rejects a publish: with confirms by a nack, without them by closing the channel. */
-  void refused(long number, AmqpException why) {
+  void rejectPublish(long number, AmqpException why) {
     if (closing) {
       return;
     }
-    if (number > 0 && confirms.refused(number)) {
+    if (number > 0 && confirms.reject(number)) {
       send(MethodKind.BASIC_NACK, number, false, false);
     } else if (number < 0) {
       close(why, MethodKind.BASIC_PUBLISH);
@@ -339,18 +340,18 @@
         tag,
         unsettled.add(delivery),
         delivery.redelivered(),
-        DEFAULT,
+        DEFAULT_EXCHANGE,
         delivery.queue());
     session.sendContent(id, delivery.properties(), delivery.body());
     return true;
   }
 
   /** Answers a get; a null delivery: the queue is empty. False: no get is pending. */
-  boolean got(OutgoingDelivery delivery, int left) {
-    if (closing || !getting) {
+  boolean answerGet(OutgoingDelivery delivery, int left) {
+    if (closing || !getPending) {
       return false;
     }
-    getting = false;
+    getPending = false;
     if (delivery == null) {
       send(MethodKind.BASIC_GET_EMPTY, "");
       return true;
@@ -359,7 +360,7 @@
         MethodKind.BASIC_GET_OK,
         unsettled.add(delivery),
         delivery.redelivered(),
-        DEFAULT,
+        DEFAULT_EXCHANGE,
         delivery.queue(),
         (long) left);
     session.sendContent(id, delivery.properties(), delivery.body());
@@ -367,7 +368,7 @@
   }
 
   /** Cancels a consumer on the server's side, and notifies a peer that understands it. */
-  void cancelled(String tag, boolean tell) {
+  void cancelConsumer(String tag, boolean tell) {
     if (!closing && tags.remove(tag) && tell) {
       send(MethodKind.BASIC_CANCEL, tag, true);
     }
@@ -380,11 +381,11 @@
     }
     closing = true;
     incoming = null;
-    broker.closed(id);
+    broker.channelClosed(id);
     send(
         MethodKind.CHANNEL_CLOSE,
         (long) why.code().number(),
-        why.text(),
+        why.replyText(),
         cause == null ? 0L : (long) cause.classId(),
         cause == null ? 0L : (long) cause.methodId());
   }
--- a/src/main/java/io/saltflow/amqp/AmqpException.java
+++ b/src/main/java/io/saltflow/amqp/AmqpException.java
@@ -18,7 +18,7 @@
   }
 
   /** The reply text, short enough for a short string. */
-  String text() {
+  String replyText() {
     String text = getMessage();
     return text.length() <= MAX_TEXT_LENGTH ? text : text.substring(0, MAX_TEXT_LENGTH);
   }
--- a/src/main/java/io/saltflow/amqp/AmqpSession.java
+++ b/src/main/java/io/saltflow/amqp/AmqpSession.java
@@ -17,7 +17,7 @@
   private static final String MECHANISMS = "PLAIN";
 
   /** The limits offered to clients. Frames and bodies in bytes; heartbeat 0: none. */
-  public record Limits(int channels, int frameMax, TimeSpan heartbeat, int mostBody) {}
+  public record Limits(int channels, int frameMax, TimeSpan heartbeat, int maxBodyBytes) {}
 
   /** The output of a session. */
   public interface Out {
@@ -29,7 +29,7 @@
   }
 
   private enum State {
-    GREETING,
+    AWAITING_PROTOCOL_HEADER,
     STARTING,
     TUNING,
     OPENING,
@@ -41,16 +41,16 @@
   private final Limits limits;
   private final Authenticator authenticator;
   private final Out out;
-  private final MonotonicTime began;
+  private final MonotonicTime startedAt;
   private final FrameReader reader;
   private final Map<Integer, AmqpChannel> channels = new HashMap<>();
-  private State state = State.GREETING;
+  private State state = State.AWAITING_PROTOCOL_HEADER;
   private BrokerSession broker;
   private String user = "";
   private Capabilities clientCapabilities = Capabilities.NONE;
   private boolean blocked;
   private TuneParameters tuning = TuneParameters.INITIAL;
-  private MonotonicTime lastHeard;
+  private MonotonicTime lastReceived;
   private MonotonicTime lastSent;
   private MonotonicTime closingSince;
   private MonotonicTime now;
@@ -61,9 +61,9 @@
     this.limits = limits;
     this.authenticator = authenticator;
     this.out = out;
-    this.began = now;
+    this.startedAt = now;
     this.now = now;
-    this.lastHeard = now;
+    this.lastReceived = now;
     this.lastSent = now;
     // Before tuning a peer may only send the small frames of the handshake.
     this.reader = new FrameReader(TuneParameters.MIN_FRAME_MAX);
@@ -87,29 +87,29 @@
   /** Processes bytes from the peer, which may be split anywhere. */
   public void feed(ByteBuffer in, MonotonicTime at) {
     now = at;
-    lastHeard = at;
+    lastReceived = at;
     try {
       while (state != State.CLOSED) {
-        boolean greeted = reader.greeted();
+        boolean greeted = reader.protocolHeaderRead();
         Frame frame = reader.next(in);
-        if (!greeted && reader.greeted()) {
-          start();
+        if (!greeted && reader.protocolHeaderRead()) {
+          sendStart();
         }
         if (frame == null) {
           break;
         }
-        take(frame);
+        handleFrame(frame);
       }
-    } catch (FrameReader.NotAmqp exception) {
-      out.send(FrameReader.greeting());
-      closed();
+    } catch (FrameReader.ProtocolMismatchException exception) {
+      out.send(FrameReader.protocolHeader());
+      finish();
     } catch (AmqpException exception) {
       close(exception);
     }
     flush();
   }
 
-  private void start() {
+  private void sendStart() {
     state = State.STARTING;
     send(
         0,
@@ -122,16 +122,16 @@
             "en_US"));
   }
 
-  private void take(Frame frame) throws AmqpException {
+  private void handleFrame(Frame frame) throws AmqpException {
     switch (frame.type()) {
-      case Frame.METHOD -> method(frame.channel(), Method.decode(frame.payload()));
+      case Frame.METHOD -> handleMethod(frame.channel(), Method.decode(frame.payload()));
       case Frame.HEADER -> {
-        AmqpChannel channel = content(frame);
-        softly(channel, MethodKind.BASIC_PUBLISH, () -> channel.header(frame.payload()));
+        AmqpChannel channel = contentChannel(frame);
+        runOnChannel(channel, MethodKind.BASIC_PUBLISH, () -> channel.readHeader(frame.payload()));
       }
       case Frame.BODY -> {
-        AmqpChannel channel = content(frame);
-        softly(channel, MethodKind.BASIC_PUBLISH, () -> channel.body(frame.payload()));
+        AmqpChannel channel = contentChannel(frame);
+        runOnChannel(channel, MethodKind.BASIC_PUBLISH, () -> channel.readBody(frame.payload()));
       }
       case Frame.HEARTBEAT -> {
         if (frame.channel() != 0 || frame.payload().hasRemaining()) {
@@ -143,7 +143,7 @@
     }
   }
 
-  private AmqpChannel content(Frame frame) throws AmqpException {
+  private AmqpChannel contentChannel(Frame frame) throws AmqpException {
     AmqpChannel channel = channels.get(frame.channel());
     if (channel == null && state != State.CLOSING) {
       throw new AmqpException(ReplyCode.CHANNEL_ERROR, "content on a channel that is not open");
@@ -156,7 +156,7 @@
   }
 
   /** An error that the protocol calls soft ends the channel, a hard one the connection. */
-  private void softly(AmqpChannel channel, MethodKind cause, Step step) throws AmqpException {
+  private void runOnChannel(AmqpChannel channel, MethodKind cause, Step step) throws AmqpException {
     if (state == State.CLOSING) {
       return;
     }
@@ -170,9 +170,9 @@
     }
   }
 
-  private void method(int channel, Method method) throws AmqpException {
+  private void handleMethod(int channel, Method method) throws AmqpException {
     if (channel == 0) {
-      connection(method);
+      handleConnectionMethod(method);
       return;
     }
     if (state == State.CLOSING) {
@@ -186,7 +186,7 @@
       if (open != null) {
         throw new AmqpException(ReplyCode.CHANNEL_ERROR, "channel " + channel + " is open");
       }
-      channels.put(channel, new AmqpChannel(channel, this, broker, limits.mostBody));
+      channels.put(channel, new AmqpChannel(channel, this, broker, limits.maxBodyBytes));
       send(channel, Method.of(MethodKind.CHANNEL_OPEN_OK, ""));
       return;
     }
@@ -196,24 +196,24 @@
       }
       throw new AmqpException(ReplyCode.CHANNEL_ERROR, "channel " + channel + " is not open");
     }
-    softly(
+    runOnChannel(
         open,
         method.kind(),
         () -> {
-          if (!open.take(method)) {
+          if (!open.handle(method)) {
             channels.remove(channel);
           }
         });
   }
 
-  private void connection(Method method) throws AmqpException {
+  private void handleConnectionMethod(Method method) throws AmqpException {
     if (method.kind() == MethodKind.CONNECTION_CLOSE) {
       send(0, Method.of(MethodKind.CONNECTION_CLOSE_OK));
-      closed();
+      finish();
       return;
     }
     if (method.kind() == MethodKind.CONNECTION_CLOSE_OK) {
-      closed();
+      finish();
       return;
     }
     if (state == State.CLOSING) {
@@ -230,8 +230,8 @@
       throw new AmqpException(ReplyCode.COMMAND_INVALID, method.kind() + " is out of place");
     }
     switch (state) {
-      case STARTING -> login(method);
-      case TUNING -> tuned(method);
+      case STARTING -> handleStartOk(method);
+      case TUNING -> handleTuneOk(method);
       default -> {
         broker = authenticator.open(user, method.text(0), this);
         state = State.OPEN;
@@ -240,7 +240,7 @@
     }
   }
 
-  private void login(Method method) throws AmqpException {
+  private void handleStartOk(Method method) throws AmqpException {
     clientCapabilities = Capabilities.ofClient(method.table(0));
     user = authenticator.login(method.text(1), method.text(2));
     state = State.TUNING;
@@ -253,7 +253,7 @@
             limits.heartbeat.ms() / 1000));
   }
 
-  private void tuned(Method method) throws AmqpException {
+  private void handleTuneOk(Method method) throws AmqpException {
     tuning = TuneParameters.negotiate(limits, method);
     reader.frameMax(tuning.frameMax());
     state = State.OPENING;
@@ -265,13 +265,13 @@
     TimeSpan heartbeat = tuning.heartbeat();
     boolean late =
         switch (state) {
-          case OPEN -> heartbeat.ms() > 0 && now.since(lastHeard).longerThan(heartbeat.times(2));
+          case OPEN -> heartbeat.ms() > 0 && now.since(lastReceived).longerThan(heartbeat.times(2));
           case CLOSING -> now.since(closingSince).longerThan(CLOSE_TIMEOUT);
           case CLOSED -> true;
-          default -> now.since(began).longerThan(HANDSHAKE_TIMEOUT);
+          default -> now.since(startedAt).longerThan(HANDSHAKE_TIMEOUT);
         };
     if (late) {
-      gone();
+      disconnected();
       return false;
     }
     if (state == State.OPEN
@@ -284,19 +284,19 @@
   }
 
   /** The socket has been closed, or is to be: unsettled deliveries are requeued. */
-  public void gone() {
+  public void disconnected() {
     state = State.CLOSED;
     channels.clear();
     if (broker != null) {
       BrokerSession brokerSession = broker;
       broker = null;
-      brokerSession.gone();
+      brokerSession.connectionClosed();
     }
   }
 
-  private void closed() {
+  private void finish() {
     flush();
-    gone();
+    disconnected();
     out.close();
   }
 
@@ -305,12 +305,15 @@
     if (state == State.CLOSING || state == State.CLOSED) {
       return;
     }
-    if (state == State.GREETING) {
-      closed();
+    if (state == State.AWAITING_PROTOCOL_HEADER) {
+      finish();
       return;
     }
-    send(0, Method.of(MethodKind.CONNECTION_CLOSE, (long) why.code().number(), why.text(), 0L, 0L));
-    gone();
+    send(
+        0,
+        Method.of(
+            MethodKind.CONNECTION_CLOSE, (long) why.code().number(), why.replyText(), 0L, 0L));
+    disconnected();
     state = State.CLOSING;
     closingSince = now;
     flush();
@@ -328,24 +331,24 @@
   public void flush() {
     if (pending.size() > 0) {
       lastSent = now;
-      out.send(pending.buffer());
+      out.send(pending.toBuffer());
       pending = new ByteWriter();
     }
   }
 
   /** Confirms publishes of a channel, which are recorded. */
-  public void confirmed(int channel, List<Long> numbers) {
+  public void confirmPublishes(int channel, List<Long> numbers) {
     AmqpChannel open = channels.get(channel);
     if (open != null) {
-      open.confirmed(numbers);
+      open.confirmPublishes(numbers);
     }
   }
 
   /** Rejects a publish of a channel, of which nothing is kept. */
-  public void refused(int channel, long number, AmqpException why) {
+  public void rejectPublish(int channel, long number, AmqpException why) {
     AmqpChannel open = channels.get(channel);
     if (open != null) {
-      open.refused(number, why);
+      open.rejectPublish(number, why);
     }
   }
 
@@ -356,16 +359,16 @@
   }
 
   /** Answers a get; a null delivery: the queue is empty. False: the channel is gone. */
-  public boolean got(int channel, OutgoingDelivery delivery, int left) {
+  public boolean answerGet(int channel, OutgoingDelivery delivery, int left) {
     AmqpChannel open = channels.get(channel);
-    return open != null && open.got(delivery, left);
+    return open != null && open.answerGet(delivery, left);
   }
 
   /** Cancels a consumer on the server's side. */
-  public void cancelled(int channel, String tag) {
+  public void cancelConsumer(int channel, String tag) {
     AmqpChannel open = channels.get(channel);
     if (open != null) {
-      open.cancelled(tag, clientCapabilities.cancelNotify());
+      open.cancelConsumer(tag, clientCapabilities.cancelNotify());
     }
   }
 
@@ -378,7 +381,7 @@
   }
 
   /** Tells publishers that nothing is accepted for now (a reason) or again (null). */
-  public void block(String reason) {
+  public void setBlocked(String reason) {
     if (state != State.OPEN || blocked == (reason != null)) {
       return;
     }
--- a/src/main/java/io/saltflow/amqp/BrokerSession.java
+++ b/src/main/java/io/saltflow/amqp/BrokerSession.java
@@ -23,8 +23,8 @@
   Status status(String queue);
 
   /**
-   * Answered by {@link AmqpSession#confirmed} or {@link AmqpSession#refused}, confirms asked for or
-   * not.
+   * Answered by {@link AmqpSession#confirmPublishes} or {@link AmqpSession#rejectPublish}, confirms
+   * asked for or not.
    */
   void publish(int channel, long number, String queue, Content content);
 
@@ -34,7 +34,7 @@
   /** Cancels a consumer; what it holds may still be settled. */
   void cancel(int channel, String tag);
 
-  /** Answered by {@link AmqpSession#got}. */
+  /** Answered by {@link AmqpSession#answerGet}. */
   void get(int channel, String queue, boolean noAck) throws AmqpException;
 
   /** How many deliveries may be unacknowledged, of each consumer to come or of the channel. */
@@ -44,8 +44,8 @@
   void settle(int channel, Object handle, Settlement how);
 
   /** The channel has ended, with its consumers; deliveries not settled are given back. */
-  void closed(int channel);
+  void channelClosed(int channel);
 
-  /** The connection has ended: as {@link #closed} for each channel. Called once. */
-  void gone();
+  /** The connection has ended: as {@link #channelClosed} for each channel. Called once. */
+  void connectionClosed();
 }
--- a/src/main/java/io/saltflow/amqp/ByteWriter.java
+++ b/src/main/java/io/saltflow/amqp/ByteWriter.java
@@ -8,14 +8,14 @@
   private byte[] bytes = new byte[64];
   private int size;
 
-  private void room(int more) {
+  private void ensureCapacity(int more) {
     if (size + more > bytes.length) {
       bytes = Arrays.copyOf(bytes, Math.max(size + more, bytes.length * 2));
     }
   }
 
   ByteWriter u8(int value) {
-    room(1);
+    ensureCapacity(1);
     bytes[size++] = (byte) value;
     return this;
   }
@@ -32,12 +32,12 @@
     return u32(value >> 32).u32(value);
   }
 
-  ByteWriter all(byte[] more) {
-    return all(more, 0, more.length);
+  ByteWriter write(byte[] more) {
+    return write(more, 0, more.length);
   }
 
-  ByteWriter all(byte[] more, int from, int length) {
-    room(length);
+  ByteWriter write(byte[] more, int from, int length) {
+    ensureCapacity(length);
     System.arraycopy(more, from, bytes, size, length);
     size += length;
     return this;
@@ -48,7 +48,7 @@
   }
 
   /** Writes a length over the four bytes at the given place. */
-  void lengthAt(int at) {
+  void patchLength(int at) {
     long length = (long) size - at - 4;
     bytes[at] = (byte) (length >> 24);
     bytes[at + 1] = (byte) (length >> 16);
@@ -56,12 +56,12 @@
     bytes[at + 3] = (byte) length;
   }
 
-  byte[] copy() {
+  byte[] toByteArray() {
     return Arrays.copyOf(bytes, size);
   }
 
   /** What was written, without copying; nothing may be written afterwards. */
-  ByteBuffer buffer() {
+  ByteBuffer toBuffer() {
     return ByteBuffer.wrap(bytes, 0, size);
   }
 }
--- a/src/main/java/io/saltflow/amqp/Capabilities.java
+++ b/src/main/java/io/saltflow/amqp/Capabilities.java
@@ -14,7 +14,7 @@
   /** What a client supports that has not said anything. */
   static final Capabilities NONE = new Capabilities(false, false);
 
-  private static final List<String> SERVER =
+  private static final List<String> SERVER_CAPABILITIES =
       List.of(
           "publisher_confirms",
           "basic.nack",
@@ -26,7 +26,7 @@
   /** The server's properties in connection.start: its product name and its own capabilities. */
   static Map<String, Object> serverProperties() {
     Map<String, Object> capabilities = new HashMap<>();
-    for (String name : SERVER) {
+    for (String name : SERVER_CAPABILITIES) {
       capabilities.put(name, true);
     }
     return Map.of("product", "saltflow", "capabilities", capabilities);
--- a/src/main/java/io/saltflow/amqp/FieldTables.java
+++ b/src/main/java/io/saltflow/amqp/FieldTables.java
@@ -108,12 +108,12 @@
     if (bytes.length > MAX_SHORT_STRING) {
       throw new IllegalArgumentException("longer than a short string");
     }
-    out.u8(bytes.length).all(bytes);
+    out.u8(bytes.length).write(bytes);
   }
 
   static void longString(ByteWriter out, String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    out.u32(bytes.length).all(bytes);
+    out.u32(bytes.length).write(bytes);
   }
 
   /** Texts, booleans, longs and maps of these: what the server has to say. */
@@ -124,7 +124,7 @@
       shortString(out, entry.getKey());
       value(out, entry.getValue());
     }
-    out.lengthAt(at);
+    out.patchLength(at);
   }
 
   @SuppressWarnings("unchecked")
--- a/src/main/java/io/saltflow/amqp/Frame.java
+++ b/src/main/java/io/saltflow/amqp/Frame.java
@@ -11,7 +11,7 @@
   static final int END = 0xCE;
 
   /** Bytes of a frame besides its payload. */
-  static final int OVERHEAD = 8;
+  static final int OVERHEAD_BYTES = 8;
 
   static void method(ByteWriter out, int channel, Method method) {
     int at = begin(out, METHOD, channel);
@@ -22,12 +22,12 @@
   /** A content's header and body, in frames no longer than the peer takes. */
   static void content(ByteWriter out, int channel, byte[] properties, byte[] body, int frameMax) {
     int at = begin(out, HEADER, channel);
-    out.u16(MethodKind.BASIC_CLASS).u16(0).u64(body.length).all(properties);
+    out.u16(MethodKind.BASIC_CLASS).u16(0).u64(body.length).write(properties);
     end(out, at);
-    int most = frameMax - OVERHEAD;
+    int most = frameMax - OVERHEAD_BYTES;
     for (int from = 0; from < body.length; from += most) {
       at = begin(out, BODY, channel);
-      out.all(body, from, Math.min(most, body.length - from));
+      out.write(body, from, Math.min(most, body.length - from));
       end(out, at);
     }
   }
@@ -42,7 +42,7 @@
   }
 
   private static void end(ByteWriter out, int at) {
-    out.lengthAt(at);
+    out.patchLength(at);
     out.u8(END);
   }
 }
--- a/src/main/java/io/saltflow/amqp/MessageProperties.java
+++ b/src/main/java/io/saltflow/amqp/MessageProperties.java
@@ -18,7 +18,7 @@
   private static final int EXPIRATION = 8;
   private static final int MESSAGE_ID = 7;
   private static final int TIMESTAMP = 6;
-  private static final int LAST = 2;
+  private static final int LOWEST_PROPERTY = 2;
   private static final int PERSISTENT = 2;
 
   /** Reads the flags and values of a content header, which must fill the rest of it. */
@@ -31,7 +31,7 @@
       if ((flags & 1) != 0) {
         throw new AmqpException(ReplyCode.SYNTAX_ERROR, "unknown properties");
       }
-      for (int bit = CONTENT_TYPE; bit >= LAST; bit--) {
+      for (int bit = CONTENT_TYPE; bit >= LOWEST_PROPERTY; bit--) {
         if ((flags & 1 << bit) == 0) {
           continue;
         }
@@ -59,6 +59,6 @@
     out.u8(PERSISTENT);
     FieldTables.shortString(out, id);
     FieldTables.shortString(out, id);
-    return out.copy();
+    return out.toByteArray();
   }
 }
--- a/src/main/java/io/saltflow/amqp/PublisherConfirms.java
+++ b/src/main/java/io/saltflow/amqp/PublisherConfirms.java
@@ -10,30 +10,32 @@
   /** One basic.ack. */
   record Ack(long number, boolean multiple) {}
 
-  private final TreeSet<Long> open = new TreeSet<>();
-  private long last;
+  private final TreeSet<Long> unconfirmed = new TreeSet<>();
+  private long lastNumber;
 
   /** The number of the next publish. */
   long next() {
-    open.add(++last);
-    return last;
+    unconfirmed.add(++lastNumber);
+    return lastNumber;
   }
 
-  boolean refused(long number) {
-    return open.remove(number);
+  boolean reject(long number) {
+    return unconfirmed.remove(number);
   }
 
   /** What to send for these: all up to one that leaves none open before it, then single ones. */
   Collection<Ack> acks(Collection<Long> numbers) {
     TreeSet<Long> known = new TreeSet<>();
     for (long n : numbers) {
-      if (open.remove(n)) {
+      if (unconfirmed.remove(n)) {
         known.add(n);
       }
     }
     List<Ack> out = new ArrayList<>();
     Long upTo =
-        open.isEmpty() ? (known.isEmpty() ? null : known.last()) : known.lower(open.first());
+        unconfirmed.isEmpty()
+            ? (known.isEmpty() ? null : known.last())
+            : known.lower(unconfirmed.first());
     if (upTo != null) {
       int together = known.headSet(upTo, true).size();
       out.add(new Ack(upTo, together > 1));
--- a/src/main/java/io/saltflow/broker/AmqpServer.java
+++ b/src/main/java/io/saltflow/broker/AmqpServer.java
@@ -30,16 +30,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The AMQP server of one node. Any node accepts connections; the leader serves them, others name
- * the leader and close, so that clients that know all nodes try the next.
+ * The AMQP server of one node. Every node accepts connections, but only the leader serves them.
+ * Other nodes close a connection with a reply that names the leader, so that clients configured
+ * with all nodes try the next one.
  */
 public final class AmqpServer extends Routine {
   private static final Logger LOG = LoggerFactory.getLogger(AmqpServer.class);
   private static final TimeSpan STATUS_CHECK_INTERVAL = TimeSpan.millis(500);
-  private static final TimeSpan STATE_TROUBLE = TimeSpan.seconds(2);
-  private static final int PAUSE_AT = 256 * 1024;
-  private static final int MAX_WAITING_BYTES = 4 << 20;
-  private static final double NEARLY_FULL = 0.9;
+  private static final TimeSpan STORE_OUTAGE_TOLERANCE = TimeSpan.seconds(2);
+  private static final int PAUSE_BYTES = 256 * 1024;
+  private static final int MAX_UNSENT_BYTES = 4 << 20;
+  private static final double MEMORY_BLOCK_RATIO = 0.9;
 
   private final EventLoop loop;
   private final AmqpSettings settings;
@@ -49,9 +50,9 @@
   private final StreamServer server;
   private final Map<Long, Connection> serving = new LinkedHashMap<>();
   private final Set<Connection> connections = new LinkedHashSet<>();
-  private final Set<Connection> touched = new LinkedHashSet<>();
+  private final Set<Connection> toFlush = new LinkedHashSet<>();
   private final Map<Connection, Map<Integer, List<Long>>> confirms = new LinkedHashMap<>();
-  private QueueController duty;
+  private QueueController controller;
   private long lastSession;
 
   /** Binds the address and starts to listen. */
@@ -59,7 +60,7 @@
       Routine parent,
       EventLoop loop,
       AmqpSettings settings,
-      int mostConnections,
+      int maxConnections,
       QueueNode node,
       Supplier<String> leaderName)
       throws IOException {
@@ -71,62 +72,66 @@
     authenticator = new PasswordAuthenticator(settings, loop.now());
     server =
         new StreamServer(
-            this, loop, settings.listen(), mostConnections, MAX_WAITING_BYTES, Connection::new);
-    loop.scheduleRepeating(STATUS_CHECK_INTERVAL, this, this::look);
+            this, loop, settings.listen(), maxConnections, MAX_UNSENT_BYTES, Connection::new);
+    loop.scheduleRepeating(STATUS_CHECK_INTERVAL, this, this::checkStatus);
   }
 
-  /** The port that the server listens on. */
+  /** Returns the port that the server listens on. */
   public int port() {
     return server.port();
   }
 
-  /** Whether messages can be published here. */
+  /** Returns whether this node serves the queues, so that clients can publish. */
   public boolean ready() {
-    return duty != null && duty.core() != null;
+    return controller != null && controller.core() != null;
   }
 
-  /** Serves the queues of a leader's term, which ends with its parent. */
+  /** Starts to serve the queues during a leader's term. Serving ends with the given routine. */
   public void lead(Routine term, LeaderCore leader) {
-    duty = new QueueController(term, loop, node, leader, settings, this::canRecord, this::perform);
-    duty.start();
+    controller =
+        new QueueController(term, loop, node, leader, settings, this::canRecord, this::applyEffect);
+    controller.start();
   }
 
-  /** The term has ended: connected clients are sent to the next leader. */
+  /**
+   * Closes all connections after the end of the term, so that clients connect to the next leader.
+   */
   public void deposed() {
-    duty = null;
-    AmqpException why = elsewhere();
+    controller = null;
+    AmqpException reason = notLeaderError();
     for (Connection connection : new ArrayList<>(connections)) {
-      connection.session.close(why);
+      connection.session.close(reason);
     }
     serving.clear();
     confirms.clear();
   }
 
   private boolean canRecord() {
-    return !node.state().outageDuration().longerThan(STATE_TROUBLE);
+    return !node.state().outageDuration().longerThan(STORE_OUTAGE_TOLERANCE);
   }
 
-  private AmqpException elsewhere() {
+  private AmqpException notLeaderError() {
     String name = leaderName.get();
     if (name == null || name.equals(node.host())) {
       return new AmqpException(
           ReplyCode.CONNECTION_FORCED, "no leader serves yet, come back in a second");
     }
-    String at = settings.addresses().get(name);
+    String address = settings.addresses().get(name);
     return new AmqpException(
         ReplyCode.CONNECTION_FORCED,
-        name + " leads" + (at == null ? "" : ", its queues are at " + at));
+        name + " leads" + (address == null ? "" : ", its queues are at " + address));
   }
 
-  private void look() {
+  private void checkStatus() {
     String reason = null;
     if (!canRecord()) {
       reason = "nothing can be recorded now";
-    } else if (ready() && duty.core().bytes() > settings.bounds().mostBytes() * NEARLY_FULL) {
+    } else if (ready()
+        && controller.core().bytes() > settings.bounds().mostBytes() * MEMORY_BLOCK_RATIO) {
       reason = "as many messages wait as there is room for";
     }
     for (Connection connection : new ArrayList<>(connections)) {
-      connection.session.block(reason);
+      connection.session.setBlocked(reason);
       connection.session.flush();
       if (!connection.session.tick(loop.now())) {
         connection.stream.cancel();
@@ -134,39 +139,42 @@
     }
   }
 
-  /** Carries out an effect of the queues; null marks the end of a group. */
-  private void perform(Effect effect) {
+  /** Carries out an effect of the queue core. A {@code null} effect marks the end of a group. */
+  private void applyEffect(Effect effect) {
     if (effect == null) {
-      tellConfirms();
-      List<Connection> now = new ArrayList<>(touched);
-      touched.clear();
-      now.forEach(Connection::flush);
+      sendConfirms();
+      List<Connection> flushing = new ArrayList<>(toFlush);
+      toFlush.clear();
+      flushing.forEach(Connection::flush);
     } else if (effect instanceof Effect.Confirm confirm) {
-      Connection to = answered(confirm.ticket());
-      if (to != null) {
+      Connection target = publishAnswered(confirm.ticket());
+      if (target != null) {
         confirms
-            .computeIfAbsent(to, x -> new LinkedHashMap<>())
+            .computeIfAbsent(target, x -> new LinkedHashMap<>())
             .computeIfAbsent(confirm.ticket().channel(), x -> new ArrayList<>())
             .add(confirm.ticket().number());
       }
     } else if (effect instanceof Effect.Refuse refuse) {
-      Connection to = answered(refuse.ticket());
-      if (to != null) {
-        to.session.refused(
-            refuse.ticket().channel(), refuse.ticket().number(), error(refuse.why()));
+      Connection target = publishAnswered(refuse.ticket());
+      if (target != null) {
+        target.session.rejectPublish(
+            refuse.ticket().channel(), refuse.ticket().number(), rejectionError(refuse.why()));
       }
     } else if (effect instanceof Effect.Deliver deliver) {
       deliver(deliver);
     } else if (effect instanceof Effect.GetEmpty getEmpty) {
-      Connection to = find(getEmpty.session());
-      if (to != null) {
-        to.session.got(getEmpty.channel(), null, 0);
+      Connection target = find(getEmpty.session());
+      if (target != null) {
+        target.session.answerGet(getEmpty.channel(), null, 0);
       }
     } else if (effect instanceof Effect.Overdue overdue) {
-      LOG.info("{} kept a message of {} for too long", overdue.consumer(), overdue.queue());
-      Connection to = find(overdue.consumer().session());
-      if (to != null) {
-        to.session.closeChannel(
+      LOG.info(
+          "delivery timeout: consumer {} did not settle a message of queue {}",
+          overdue.consumer(),
+          overdue.queue());
+      Connection target = find(overdue.consumer().session());
+      if (target != null) {
+        target.session.closeChannel(
             overdue.consumer().channel(),
             new AmqpException(
                 ReplyCode.PRECONDITION_FAILED, "a delivery was not acknowledged in time"));
@@ -174,29 +182,30 @@
     }
   }
 
-  private void tellConfirms() {
-    confirms.forEach((c, byChannel) -> byChannel.forEach(c.session::confirmed));
+  private void sendConfirms() {
+    confirms.forEach(
+        (connection, byChannel) -> byChannel.forEach(connection.session::confirmPublishes));
     confirms.clear();
   }
 
   private Connection find(long session) {
     Connection connection = serving.get(session);
     if (connection != null) {
-      touched.add(connection);
+      toFlush.add(connection);
     }
     return connection;
   }
 
-  private Connection answered(PendingPublish ticket) {
-    Connection connection = find(ticket.session());
+  private Connection publishAnswered(PendingPublish pendingPublish) {
+    Connection connection = find(pendingPublish.session());
     if (connection != null) {
-      connection.broker.answered(ticket);
+      connection.broker.publishAnswered(pendingPublish);
     }
     return connection;
   }
 
-  private static AmqpException error(PublishRejection why) {
-    return switch (why) {
+  private static AmqpException rejectionError(PublishRejection rejection) {
+    return switch (rejection) {
       case NO_SUCH_QUEUE -> new AmqpException(ReplyCode.NOT_FOUND, "no such queue");
       case INWARD ->
           new AmqpException(
@@ -210,7 +219,7 @@
 
   private void deliver(Effect.Deliver deliver) {
     DeliveryId id = deliver.id();
-    Connection to = find(id.consumer().session());
+    Connection target = find(id.consumer().session());
     OutgoingDelivery delivery =
         new OutgoingDelivery(
             id,
@@ -221,11 +230,11 @@
             deliver.body());
     int channel = id.consumer().channel();
     boolean sent =
-        to != null
+        target != null
             && (deliver.get()
-                ? to.session.got(channel, delivery, deliver.left())
-                : to.session.deliver(channel, id.consumer().tag(), delivery));
-    QueueCore core = duty.core();
+                ? target.session.answerGet(channel, delivery, deliver.left())
+                : target.session.deliver(channel, id.consumer().tag(), delivery));
+    QueueCore core = controller.core();
     if (!sent) {
       core.deliveryNotSent(id, loop.now(), node.wallMs().getAsLong());
     } else if (deliver.noAck()) {
@@ -233,7 +242,7 @@
     }
   }
 
-  /** One client connection: its socket and its session. */
+  /** A client connection with its socket and AMQP session. */
   private final class Connection implements StreamServer.Peer, AmqpSession.Out, Authenticator {
     private final StreamServer.Stream stream;
     private final AmqpSession session;
@@ -270,9 +279,9 @@
 
     void flush() {
       session.flush();
-      if (!paused && broker != null && stream.waitingBytes() > PAUSE_AT) {
+      if (!paused && broker != null && stream.waitingBytes() > PAUSE_BYTES) {
         paused = true;
-        broker.paused(true);
+        broker.setPaused(true);
       }
     }
 
@@ -280,7 +289,7 @@
     public void onDrained() {
       if (paused) {
         paused = false;
-        broker.paused(false);
+        broker.setPaused(false);
       }
     }
 
@@ -289,8 +298,8 @@
       connections.remove(this);
       serving.values().remove(this);
       confirms.remove(this);
-      touched.remove(this);
-      session.gone();
+      toFlush.remove(this);
+      session.disconnected();
     }
 
     @Override
@@ -301,24 +310,24 @@
     @Override
     public BrokerSession open(String user, String vhost, AmqpSession opened) throws AmqpException {
       InetAddress from = stream.remote();
-      authenticator.enter(user, vhost, from);
-      if (duty == null || duty.core() == null) {
-        if (duty != null && duty.broken()) {
+      authenticator.authorize(user, vhost, from);
+      if (controller == null || controller.core() == null) {
+        if (controller != null && controller.logUnreadable()) {
           throw new AmqpException(ReplyCode.INTERNAL_ERROR, "the queues' record can't be read");
         }
-        throw elsewhere();
+        throw notLeaderError();
       }
-      QueueController serves = duty;
+      QueueController current = controller;
       long id = ++lastSession;
       broker =
           new QueueBrokerSession(
               id,
               vhost,
-              serves.core(),
+              current.core(),
               settings.bounds(),
               opened,
               new QueueBrokerSession.Clocks(loop::now, node.wallMs()),
-              serves::pump);
+              current::pump);
       serving.put(id, this);
       return broker;
     }
--- a/src/main/java/io/saltflow/broker/AmqpSettings.java
+++ b/src/main/java/io/saltflow/broker/AmqpSettings.java
@@ -8,11 +8,11 @@
 import java.util.Map;
 
 /**
- * Operators' settings of the AMQP server and its queues.
+ * Configuration of the AMQP server and its queues.
  *
  * @param listen the address to listen on
- * @param addresses the AMQP addresses of all nodes by node name; may be empty
- * @param templates the job that a message of a queue stands for, by queue, as JSON
+ * @param addresses the AMQP addresses of all nodes by node name, possibly empty
+ * @param templates the job templates by queue, as JSON
  */
 public record AmqpSettings(
     InetSocketAddress listen,
@@ -24,8 +24,8 @@
     Map<QueueId, String> templates) {
 
   /**
-   * Limits of one node, in bytes and counts; {@code rememberedFor} is for ids of completed
-   * messages.
+   * Limits of one node, in bytes and counts. {@code remembered} and {@code rememberedFor} bound the
+   * number and age of the ids of completed messages.
    */
   public record Bounds(
       int connections,
@@ -45,7 +45,7 @@
   /** A virtual host and the networks that may connect to it, as addresses with prefixes. */
   public record VirtualHost(String name, List<String> networks) {}
 
-  /** A copy of these settings that listens on another address. */
+  /** Returns a copy of these settings with another listen address. */
   public AmqpSettings withListen(InetSocketAddress address) {
     return new AmqpSettings(address, addresses, bounds, users, hosts, queues, templates);
   }
--- a/src/main/java/io/saltflow/broker/JobTemplates.java
+++ b/src/main/java/io/saltflow/broker/JobTemplates.java
@@ -21,9 +21,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Jobs of messages. A queue without a template takes descriptions; with one, a message is a map of
- * parameters that stand in the template as {@code ${name}}: alone in a field the parameter keeps
- * its type, within a text it is filled in.
+ * Creates jobs from messages. Without a template, a message is a job description. With a template,
+ * a message is a map of parameters that the template references as {@code ${name}}. A parameter
+ * that is a whole field keeps its type. Within a longer text it is inserted as text.
  */
 final class JobTemplates implements MessageJobFactory {
   private static final Pattern PARAMETER = Pattern.compile("\\$\\{([A-Za-z_][A-Za-z0-9_]*)}");
@@ -40,8 +40,9 @@
     JsonNode message = read(body);
     String template = templates.get(queue.id());
     ObjectNode fields =
-        template == null ? ((ObjectNode) message).deepCopy() : filled(template, message);
-    // The queue's own settings hold for all its messages, and the id is derived from the message's.
+        template == null ? ((ObjectNode) message).deepCopy() : fill(template, message);
+    // The queue's settings override those of the message. The job id is derived from the message
+    // id.
     fields.put(Wire.ID, id.text());
     fields.put(Wire.JOB_CLASS, queue.jobClass());
     fields.put(Wire.TEAM, queue.team());
@@ -69,23 +70,24 @@
     return node;
   }
 
-  private ObjectNode filled(String template, JsonNode parameters) throws InvalidJobException {
+  private ObjectNode fill(String template, JsonNode parameters) throws InvalidJobException {
     ObjectNode out;
     try {
       out = (ObjectNode) json.readTree(template);
     } catch (JsonProcessingException exception) {
-      throw new IllegalStateException("templates are read when the settings are", exception);
+      throw new IllegalStateException(
+          "job template is not valid JSON although it was checked with the settings", exception);
     }
     for (Iterator<Map.Entry<String, JsonNode>> it = out.fields(); it.hasNext(); ) {
       Map.Entry<String, JsonNode> field = it.next();
       if (field.getValue().isTextual()) {
-        field.setValue(filled(field.getValue(), parameters));
+        field.setValue(fill(field.getValue(), parameters));
       }
     }
     return out;
   }
 
-  private JsonNode filled(JsonNode text, JsonNode parameters) throws InvalidJobException {
+  private JsonNode fill(JsonNode text, JsonNode parameters) throws InvalidJobException {
     Matcher matcher = PARAMETER.matcher(text.textValue());
     if (matcher.matches()) {
       return parameter(matcher.group(1), parameters);
--- a/src/main/java/io/saltflow/broker/JsonResultEncoder.java
+++ b/src/main/java/io/saltflow/broker/JsonResultEncoder.java
@@ -7,7 +7,7 @@
 import io.saltflow.queues.Outcome;
 import io.saltflow.queues.ResultEncoder;
 
-/** Results as JSON: {@code {"id":"m-1","outcome":"done","attempts":1}}. */
+/** Encodes results as JSON, for example {@code {"id":"m-1","outcome":"done","attempts":1}}. */
 final class JsonResultEncoder implements ResultEncoder {
   private final ObjectMapper json = new ObjectMapper();
 
@@ -21,7 +21,7 @@
     try {
       return json.writeValueAsBytes(node);
     } catch (JsonProcessingException exception) {
-      throw new IllegalStateException("a tree has a JSON form", exception);
+      throw new IllegalStateException("cannot encode a result as JSON", exception);
     }
   }
 
--- a/src/main/java/io/saltflow/broker/PasswordAuthenticator.java
+++ b/src/main/java/io/saltflow/broker/PasswordAuthenticator.java
@@ -20,25 +20,25 @@
 import java.util.Map;
 
 /**
- * Authenticates users by SASL PLAIN (RFC 4616) against salted hashes, and admits them to virtual
- * hosts by network.
+ * Authenticates users by SASL PLAIN (RFC 4616) against salted password hashes, and authorizes
+ * access to virtual hosts by user and network.
  */
 final class PasswordAuthenticator {
-  private static final String WRONG = "login was refused";
+  private static final String LOGIN_REFUSED = "login was refused";
   private static final int MAX_CACHED_LOGINS = 256;
 
   /**
-   * The rate of password checks: a slow hash blocks this thread, too, and guessing must not cost a
-   * leader its lease.
+   * Maximum rate of password checks per second. A check blocks the event loop for the duration of a
+   * slow hash, so unbounded guessing could cost a leader its lease.
    */
-  private static final double TRIES_PER_S = 4;
+  private static final double MAX_CHECKS_PER_S = 4;
 
   private final Map<String, AmqpSettings.User> users = new HashMap<>();
   private final Map<String, List<IPAddress>> networks = new HashMap<>();
-  private final RateLimiter tries;
+  private final RateLimiter checkLimiter;
 
-  /** Digests of verified credentials, so that many connections cost one hash. */
-  private final Map<String, byte[]> proved =
+  /** Digests of verified credentials by user, so that further connections need no slow hash. */
+  private final Map<String, byte[]> verifiedDigests =
       new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, byte[]> eldest) {
@@ -55,46 +55,50 @@
           .forEach(n -> list.add(new IPAddressString(n).getAddress().toPrefixBlock()));
       networks.put(virtualHost.name(), list);
     }
-    tries = new RateLimiter(TRIES_PER_S, TRIES_PER_S, now);
+    checkLimiter = new RateLimiter(MAX_CHECKS_PER_S, MAX_CHECKS_PER_S, now);
   }
 
-  /** The user's name, if the response proves it. */
+  /**
+   * Returns the user's name.
+   *
+   * @throws AmqpException if the credentials are wrong or checks are rate limited
+   */
   String login(String mechanism, String response, MonotonicTime now) throws AmqpException {
     if (!mechanism.equals("PLAIN")) {
       throw new AmqpException(ReplyCode.ACCESS_REFUSED, "only PLAIN is spoken");
     }
     String[] parts = response.split("\0", -1);
-    // The authorization identity may be left out or be the user's own.
+    // The authorization identity may be absent or equal to the user name.
     if (parts.length != 3 || !(parts[0].isEmpty() || parts[0].equals(parts[1]))) {
-      throw new AmqpException(ReplyCode.ACCESS_REFUSED, WRONG);
+      throw new AmqpException(ReplyCode.ACCESS_REFUSED, LOGIN_REFUSED);
     }
     AmqpSettings.User user = users.get(parts[1]);
-    if (user == null || !proves(user, parts[2], now)) {
-      throw new AmqpException(ReplyCode.ACCESS_REFUSED, WRONG);
+    if (user == null || !verify(user, parts[2], now)) {
+      throw new AmqpException(ReplyCode.ACCESS_REFUSED, LOGIN_REFUSED);
     }
     return user.name();
   }
 
-  private boolean proves(AmqpSettings.User user, String password, MonotonicTime now)
+  private boolean verify(AmqpSettings.User user, String password, MonotonicTime now)
       throws AmqpException {
     byte[] digest = digest(user.hash(), password);
-    if (Arrays.equals(digest, proved.get(user.name()))) {
+    if (Arrays.equals(digest, verifiedDigests.get(user.name()))) {
       return true;
     }
-    if (!tries.tryAcquire(1, now)) {
+    if (!checkLimiter.tryAcquire(1, now)) {
       throw new AmqpException(
           ReplyCode.CONNECTION_FORCED, "too many logins, come back in a second");
     }
-    boolean right =
+    boolean verified =
         BCrypt.verifyer()
             .verify(
                 password.getBytes(StandardCharsets.UTF_8),
                 user.hash().getBytes(StandardCharsets.UTF_8))
             .verified;
-    if (right) {
-      proved.put(user.name(), digest);
+    if (verified) {
+      verifiedDigests.put(user.name(), digest);
     }
-    return right;
+    return verified;
   }
 
   private static byte[] digest(String hash, String password) {
@@ -104,21 +108,26 @@
       sha.update((byte) 0);
       return sha.digest(password.getBytes(StandardCharsets.UTF_8));
     } catch (NoSuchAlgorithmException exception) {
-      throw new IllegalStateException("every Java platform has SHA-256", exception);
+      throw new IllegalStateException("SHA-256 is not available on this Java platform", exception);
     }
   }
 
-  /** Rejects a user or a network that may not open the virtual host. */
-  void enter(String user, String host, InetAddress from) throws AmqpException {
-    List<IPAddress> open = networks.get(host);
-    if (open == null) {
+  /**
+   * Checks that the user may open the virtual host from this address.
+   *
+   * @throws AmqpException if the user or the network has no access
+   */
+  void authorize(String user, String host, InetAddress from) throws AmqpException {
+    List<IPAddress> allowed = networks.get(host);
+    if (allowed == null) {
       throw new AmqpException(ReplyCode.NOT_ALLOWED, "no virtual host '" + host + "'");
     }
     IPAddress address = new IPAddressGenerator().from(from);
-    // An IPv4-mapped IPv6 address counts as its IPv4 address.
-    IPAddress plain = address.isIPv4Convertible() ? address.toIPv4() : address;
-    boolean near = open.stream().anyMatch(n -> n.contains(plain) || n.contains(address));
-    if (!near || !users.get(user).hosts().contains(host)) {
+    // An IPv4-mapped IPv6 address is also matched as an IPv4 address.
+    IPAddress unmapped = address.isIPv4Convertible() ? address.toIPv4() : address;
+    boolean networkAllowed =
+        allowed.stream().anyMatch(n -> n.contains(unmapped) || n.contains(address));
+    if (!networkAllowed || !users.get(user).hosts().contains(host)) {
       throw new AmqpException(
           ReplyCode.NOT_ALLOWED,
           "virtual host '" + host + "' is not open to " + user + " from here");
--- a/src/main/java/io/saltflow/broker/QueueBrokerSession.java
+++ b/src/main/java/io/saltflow/broker/QueueBrokerSession.java
@@ -17,20 +17,20 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 
-/** One connection's session with the queues of its virtual host. */
+/** The session of one connection with the queues of its virtual host. */
 final class QueueBrokerSession implements BrokerSession {
   private static final int UNLIMITED = Integer.MAX_VALUE;
 
-  /** The monotonic clock, and the time of day in milliseconds. */
+  /** The monotonic clock and the wall clock in milliseconds. */
   record Clocks(Supplier<MonotonicTime> monotonic, LongSupplier wallMs) {}
 
   private final long id;
-  private final String host;
+  private final String vhost;
   private final QueueCore core;
   private final AmqpSettings.Bounds bounds;
   private final AmqpSession session;
   private final Clocks clocks;
-  private final Runnable afterwards;
+  private final Runnable onCoreChanged;
   private final Map<Integer, Integer> prefetch = new HashMap<>();
   private final Map<PendingPublish, Integer> unconfirmed = new HashMap<>();
   private int unconfirmedBytes;
@@ -44,12 +44,12 @@
       Clocks clocks,
       Runnable afterwards) {
     this.id = id;
-    this.host = host;
+    this.vhost = host;
     this.core = core;
     this.bounds = bounds;
     this.session = session;
     this.clocks = clocks;
-    this.afterwards = afterwards;
+    this.onCoreChanged = afterwards;
   }
 
   AmqpSession session() {
@@ -57,18 +57,18 @@
   }
 
   private QueueId queue(String name) {
-    return new QueueId(host, name);
+    return new QueueId(vhost, name);
   }
 
   @Override
   public Status status(String queue) {
-    QueueCore.Status there = core.status(queue(queue));
-    return there == null ? null : new Status(there.waiting(), there.consumers());
+    QueueCore.Status status = core.status(queue(queue));
+    return status == null ? null : new Status(status.waiting(), status.consumers());
   }
 
   @Override
   public void publish(int channel, long number, String queue, Content content) {
-    PendingPublish ticket = new PendingPublish(id, channel, number);
+    PendingPublish pendingPublish = new PendingPublish(id, channel, number);
     int size = content.body().length + content.properties().bytes().length;
     long ttl;
     try {
@@ -78,17 +78,17 @@
       return;
     }
     if (unconfirmedBytes + size > bounds.unconfirmedBytes() && !unconfirmed.isEmpty()) {
-      session.refused(
+      session.rejectPublish(
           channel,
           number,
           new AmqpException(
               ReplyCode.RESOURCE_LOCKED, "too much is unconfirmed on this connection"));
       return;
     }
-    unconfirmed.put(ticket, size);
+    unconfirmed.put(pendingPublish, size);
     unconfirmedBytes += size;
     core.publish(
-        ticket,
+        pendingPublish,
         new PublishRequest(
             queue(queue),
             content.properties().messageId(),
@@ -97,10 +97,13 @@
             content.body()),
         clocks.monotonic.get(),
         clocks.wallMs.getAsLong());
-    afterwards.run();
+    onCoreChanged.run();
   }
 
-  /** Parses milliseconds given as text, as AMQP brokers accept them; -1: none. */
+  /**
+   * Returns the expiration in milliseconds, which is sent as text by AMQP convention, or -1 if
+   * there is none.
+   */
   private static long expiration(MessageProperties properties) throws AmqpException {
     String text = properties.expiration();
     if (text == null) {
@@ -113,23 +116,23 @@
     return Long.parseLong(text);
   }
 
-  /** The publish was answered. */
-  void answered(PendingPublish ticket) {
-    Integer size = unconfirmed.remove(ticket);
+  /** Removes an answered publish from the unconfirmed ones. */
+  void publishAnswered(PendingPublish pendingPublish) {
+    Integer size = unconfirmed.remove(pendingPublish);
     unconfirmedBytes -= size == null ? 0 : size;
   }
 
   @Override
   public void consume(int channel, String tag, String queue, boolean noAck) throws AmqpException {
-    int asked = prefetch.getOrDefault(channel, 0);
-    int limit = asked == 0 ? bounds.mostUnacked() : Math.min(asked, bounds.mostUnacked());
+    int requested = prefetch.getOrDefault(channel, 0);
+    int limit = requested == 0 ? bounds.mostUnacked() : Math.min(requested, bounds.mostUnacked());
     ConsumerId consumer = new ConsumerId(id, channel, tag);
     if (!core.consume(
         consumer, queue(queue), noAck, limit, clocks.monotonic.get(), clocks.wallMs.getAsLong())) {
       throw new AmqpException(
           ReplyCode.ACCESS_REFUSED, "'" + queue + "' is worked on by rented machines");
     }
-    afterwards.run();
+    onCoreChanged.run();
   }
 
   @Override
@@ -140,7 +143,7 @@
   @Override
   public void get(int channel, String queue, boolean noAck) {
     core.get(id, channel, queue(queue), noAck, clocks.monotonic.get(), clocks.wallMs.getAsLong());
-    afterwards.run();
+    onCoreChanged.run();
   }
 
   @Override
@@ -148,40 +151,41 @@
     if (wholeChannel) {
       int limit = count == 0 ? UNLIMITED : count;
       core.setChannelLimit(id, channel, limit, clocks.monotonic.get(), clocks.wallMs.getAsLong());
-      afterwards.run();
+      onCoreChanged.run();
     } else {
       prefetch.put(channel, count);
     }
   }
 
   @Override
-  public void settle(int channel, Object handle, Settlement how) {
-    QueueCore.Settlement settlement =
-        switch (how) {
+  public void settle(int channel, Object handle, Settlement settlement) {
+    QueueCore.Settlement coreSettlement =
+        switch (settlement) {
           case ACK -> QueueCore.Settlement.ACK;
           case REJECT -> QueueCore.Settlement.REJECT;
           case REQUEUE -> QueueCore.Settlement.REQUEUE;
         };
-    core.settle((DeliveryId) handle, settlement, clocks.monotonic.get(), clocks.wallMs.getAsLong());
-    afterwards.run();
+    core.settle(
+        (DeliveryId) handle, coreSettlement, clocks.monotonic.get(), clocks.wallMs.getAsLong());
+    onCoreChanged.run();
   }
 
   @Override
-  public void closed(int channel) {
+  public void channelClosed(int channel) {
     prefetch.remove(channel);
     core.channelClosed(id, channel, clocks.monotonic.get(), clocks.wallMs.getAsLong());
-    afterwards.run();
+    onCoreChanged.run();
   }
 
   @Override
-  public void gone() {
+  public void connectionClosed() {
     core.sessionClosed(id, clocks.monotonic.get(), clocks.wallMs.getAsLong());
-    afterwards.run();
+    onCoreChanged.run();
   }
 
-  /** The peer's socket is full, or has drained. */
-  void paused(boolean paused) {
+  /** Pauses or resumes deliveries when the peer's socket buffer is full or has drained. */
+  void setPaused(boolean paused) {
     core.setPaused(id, paused, clocks.monotonic.get(), clocks.wallMs.getAsLong());
-    afterwards.run();
+    onCoreChanged.run();
   }
 }
--- a/src/main/java/io/saltflow/broker/QueueController.java
+++ b/src/main/java/io/saltflow/broker/QueueController.java
@@ -32,39 +32,43 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Runs the work queues during a leader's term: the core, its durable log, and the jobs of messages.
+ * Runs the work queues during a leader's term. Connects the queue core to its durable log and to
+ * the jobs of messages.
  */
 final class QueueController extends Routine {
   private static final Logger LOG = LoggerFactory.getLogger(QueueController.class);
   private static final TimeSpan RETRY_DELAY = TimeSpan.millis(300);
-  private static final TimeSpan TICK = TimeSpan.millis(50);
-  private static final TimeSpan JOBS = TimeSpan.seconds(1);
-  private static final TimeSpan SUMMARY = TimeSpan.seconds(30);
+  private static final TimeSpan TICK_INTERVAL = TimeSpan.millis(50);
+  private static final TimeSpan JOB_POLL_INTERVAL = TimeSpan.seconds(1);
+  private static final TimeSpan SUMMARY_INTERVAL = TimeSpan.seconds(30);
 
-  /** The most jobs that are admitted or looked up at a time: users' submissions come first. */
-  private static final int JOBS_AT_ONCE = 8;
+  /**
+   * Maximum number of concurrent job admissions and lookups, so that users' submissions are not
+   * delayed.
+   */
+  private static final int MAX_CONCURRENT_JOB_REQUESTS = 8;
 
   private final EventLoop loop;
   private final JobRepository jobs;
   private final LeaderCore leader;
   private final QueueNode node;
   private final LongSupplier wallMs;
-  private final BooleanSupplier serving;
-  private final Consumer<Effect> perform;
+  private final BooleanSupplier storeAvailable;
+  private final Consumer<Effect> effectHandler;
   private final QueueCore core;
-  private final QueueRepository books;
-  private final ArrayDeque<Effect.Admit> toAdmit = new ArrayDeque<>();
+  private final QueueRepository repository;
+  private final ArrayDeque<Effect.Admit> pendingAdmissions = new ArrayDeque<>();
   private final Map<MessageNo, JobId> admitted = new HashMap<>();
-  private final Set<MessageNo> asking = new HashSet<>();
+  private final Set<MessageNo> pendingRequests = new HashSet<>();
   private boolean ready;
-  private boolean broken;
+  private boolean logUnreadable;
   private boolean pumping;
-  private boolean admitsLater;
-  private boolean refusing;
+  private boolean admissionScheduled;
+  private boolean rejecting;
 
   /**
-   * @param serving whether the key-value store is available, so that entries can be recorded
-   * @param perform carries out an effect on connections
+   * @param storeAvailable whether the key-value store is available, so that entries can be recorded
+   * @param effectHandler carries out an effect on connections; null marks the end of a group
    */
   QueueController(
       Routine parent,
@@ -72,16 +76,16 @@
       QueueNode node,
       LeaderCore leader,
       AmqpSettings settings,
-      BooleanSupplier serving,
-      Consumer<Effect> perform) {
+      BooleanSupplier storeAvailable,
+      Consumer<Effect> effectHandler) {
     super(parent);
     this.loop = loop;
     this.node = node;
     this.jobs = node.jobs();
     this.leader = leader;
     this.wallMs = node.wallMs();
-    this.serving = serving;
-    this.perform = perform;
+    this.storeAvailable = storeAvailable;
+    this.effectHandler = effectHandler;
     CompressedValues chunks = new CompressedValues(node.state().limits());
     AmqpSettings.Bounds bounds = settings.bounds();
     core =
@@ -89,7 +93,7 @@
             settings.queues(),
             new QueueCore.Limits(
                 bounds.mostBytes(),
-                Math.min(bounds.mostBody(), mostBody(chunks)),
+                Math.min(bounds.mostBody(), maxBodyBytes(chunks)),
                 bounds.remembered(),
                 bounds.rememberedFor(),
                 node.skew()),
@@ -97,7 +101,7 @@
             new JobTemplates(settings.templates()),
             new JsonResultEncoder(),
             leader.term());
-    books =
+    repository =
         new QueueRepository(
             this,
             new LeaderContext(loop, node.state(), node.authority(), node.onDeposed()),
@@ -108,8 +112,11 @@
             this::pump);
   }
 
-  /** A message must fit in one transaction with its result and its other entries. */
-  static int mostBody(CompressedValues chunks) {
+  /**
+   * Returns the maximum body size, so that a message fits in one transaction with its result and
+   * its other entries.
+   */
+  static int maxBodyBytes(CompressedValues chunks) {
     return chunks.guaranteedBytes() - 4096;
   }
 
@@ -117,93 +124,96 @@
     return leader.mayDeliver(queue.team(), queue.size(), queue.priority(), arrivedWallMs);
   }
 
-  /** The core; null while the log is being read. */
+  /** Returns the core, or {@code null} while the log is being replayed. */
   QueueCore core() {
     return ready ? core : null;
   }
 
-  /** The log can't be read: nothing is served rather than something wrong. */
-  boolean broken() {
-    return broken;
+  /** Returns whether the log is unreadable. In that case the queues are not served. */
+  boolean logUnreadable() {
+    return logUnreadable;
   }
 
   void start() {
-    books.readInherited(
+    repository.readInherited(
         result -> {
           if (cancelled()) {
             return;
           }
           switch (result) {
-            case REPLAYED -> begin();
+            case REPLAYED -> startServing();
             case UNAVAILABLE -> loop.schedule(RETRY_DELAY, this, this::start);
-            case UNREADABLE -> broken = true;
+            case UNREADABLE -> logUnreadable = true;
           }
         });
   }
 
-  private void begin() {
+  private void startServing() {
     core.begin(loop.now(), wallMs.getAsLong());
     ready = true;
-    LOG.info("queues are served: {} messages were found", core.size());
-    loop.scheduleRepeating(TICK, this, this::tick);
-    loop.scheduleRepeating(JOBS, this, this::askAfterJobs);
-    loop.scheduleRepeating(SUMMARY, this, this::summary);
+    LOG.info("queues started: {} messages recovered", core.size());
+    loop.scheduleRepeating(TICK_INTERVAL, this, this::tick);
+    loop.scheduleRepeating(JOB_POLL_INTERVAL, this, this::pollJobs);
+    loop.scheduleRepeating(SUMMARY_INTERVAL, this, this::logSummary);
     pump();
   }
 
   private void tick() {
-    boolean refuse = !serving.getAsBoolean();
-    if (refuse != refusing) {
-      refusing = refuse;
-      core.setAccepting(!refuse);
+    boolean reject = !storeAvailable.getAsBoolean();
+    if (reject != rejecting) {
+      rejecting = reject;
+      core.setAccepting(!reject);
     }
     core.tick(loop.now(), wallMs.getAsLong());
     pump();
   }
 
-  /** Called after each event for the core: carries out its effects and records its entries. */
+  /**
+   * Carries out the core's effects and records its entries. Must be called after each event for the
+   * core.
+   */
   void pump() {
     if (pumping || !ready || cancelled()) {
       return;
     }
     pumping = true;
     try {
-      for (List<Effect> some = core.effects(); !some.isEmpty(); some = core.effects()) {
-        some.forEach(this::take);
-        perform.accept(null);
+      for (List<Effect> effects = core.effects(); !effects.isEmpty(); effects = core.effects()) {
+        effects.forEach(this::handleEffect);
+        effectHandler.accept(null);
       }
-      leader.setQueueDemands(core.demands().stream().map(QueueController::demand).toList());
-      books.flush();
+      leader.setQueueDemands(core.demands().stream().map(QueueController::toQueueDemand).toList());
+      repository.flush();
     } finally {
       pumping = false;
     }
   }
 
-  private static QueueDemand demand(Demand demand) {
+  private static QueueDemand toQueueDemand(Demand demand) {
     return new QueueDemand(
         demand.team(), demand.priority(), demand.held(), demand.wanted(), demand.arrivedWallMs());
   }
 
-  private void take(Effect effect) {
+  private void handleEffect(Effect effect) {
     if (effect instanceof Effect.Admit admit) {
-      toAdmit.add(admit);
+      pendingAdmissions.add(admit);
       admit();
     } else if (effect instanceof Effect.Withdraw withdraw) {
       jobs.cancel(withdraw.job(), outcome -> {});
     } else {
-      perform.accept(effect);
+      effectHandler.accept(effect);
     }
   }
 
-  /** Schedules a later run; many requests lead to one run. */
+  /** Schedules a retry of the admissions, unless one is scheduled already. */
   private void admitLater() {
-    if (!admitsLater) {
-      admitsLater = true;
+    if (!admissionScheduled) {
+      admissionScheduled = true;
       loop.schedule(
           RETRY_DELAY,
           this,
           () -> {
-            admitsLater = false;
+            admissionScheduled = false;
             admit();
           });
     }
@@ -214,14 +224,14 @@
       admitLater();
       return;
     }
-    while (asking.size() < JOBS_AT_ONCE && !toAdmit.isEmpty()) {
-      Effect.Admit admit = toAdmit.poll();
-      String never = node.neverRuns().apply(admit.spec());
-      if (never != null) {
-        over(admit.message(), false, never, 0);
+    while (pendingRequests.size() < MAX_CONCURRENT_JOB_REQUESTS && !pendingAdmissions.isEmpty()) {
+      Effect.Admit admit = pendingAdmissions.poll();
+      String rejection = node.neverRuns().apply(admit.spec());
+      if (rejection != null) {
+        completeJob(admit.message(), false, rejection, 0);
         continue;
       }
-      asking.add(admit.message());
+      pendingRequests.add(admit.message());
       jobs.admit(
           admit.spec(),
           admit.arrivedWallMs(),
@@ -229,22 +239,22 @@
             if (cancelled()) {
               return;
             }
-            asking.remove(admit.message());
+            pendingRequests.remove(admit.message());
             if (outcome instanceof JobOutcome.Unknown) {
-              toAdmit.add(admit);
+              pendingAdmissions.add(admit);
               admitLater();
               return;
             }
             if (outcome instanceof JobOutcome.TooLarge) {
-              over(admit.message(), false, "its job's description is too large", 0);
+              completeJob(admit.message(), false, "its job's description is too large", 0);
             } else if (outcome instanceof JobOutcome.NeverAccepted refused) {
               String reason =
                   "its job awaits " + refused.dependency() + ", which was never accepted";
-              over(admit.message(), false, reason, 0);
+              completeJob(admit.message(), false, reason, 0);
             } else if (outcome instanceof JobOutcome.CreatedCancelled) {
-              over(admit.message(), false, null, 0);
+              completeJob(admit.message(), false, null, 0);
             } else if (outcome instanceof JobOutcome.Found found) {
-              found(admit.message(), found.status());
+              onJobFound(admit.message(), found.status());
             }
             admitted.put(admit.message(), admit.spec().id());
             admit();
@@ -252,33 +262,34 @@
     }
   }
 
-  private void over(MessageNo no, boolean done, String refused, int errors) {
+  private void completeJob(MessageNo no, boolean done, String refused, int errors) {
     core.jobEnded(no, done, refused, errors, loop.now(), wallMs.getAsLong());
     admitted.remove(no);
     pump();
   }
 
-  private void found(MessageNo no, JobStatus job) {
+  private void onJobFound(MessageNo no, JobStatus job) {
     if (job.phase() != JobPhase.LIVE) {
-      over(no, job.phase() == JobPhase.DONE, null, 0);
+      completeJob(no, job.phase() == JobPhase.DONE, null, 0);
     }
   }
 
-  /** Learns of ended jobs from their records, whoever ended them. */
-  private void askAfterJobs() {
+  /** Polls the records of jobs, to detect jobs that have ended for any reason. */
+  private void pollJobs() {
     Map<MessageNo, JobId> live = core.jobs();
     admitted.keySet().retainAll(live.keySet());
     for (Map.Entry<MessageNo, JobId> entry : Map.copyOf(admitted).entrySet()) {
       Job job = leader.jobs().find(entry.getValue());
       if (job != null) {
         core.jobFailures(entry.getKey(), job.failureCount(), loop.now(), wallMs.getAsLong());
-      } else if (asking.size() < JOBS_AT_ONCE && asking.add(entry.getKey())) {
+      } else if (pendingRequests.size() < MAX_CONCURRENT_JOB_REQUESTS
+          && pendingRequests.add(entry.getKey())) {
         jobs.find(
             entry.getValue(),
             outcome -> {
-              asking.remove(entry.getKey());
+              pendingRequests.remove(entry.getKey());
               if (!cancelled() && outcome instanceof JobOutcome.Found found) {
-                found(entry.getKey(), found.status());
+                onJobFound(entry.getKey(), found.status());
               }
             });
       }
@@ -286,14 +297,14 @@
     pump();
   }
 
-  private void summary() {
+  private void logSummary() {
     if (core.size() > 0) {
       LOG.info(
-          "queues: {} messages are not over, {} KiB; {} answers came too late; {}",
+          "queue status: {} uncompleted messages, {} KiB; {} late settlements; {}",
           core.size(),
           core.bytes() / 1024,
           core.staleSettlements(),
-          books.writeSummary());
+          repository.writeSummary());
     }
   }
 }
--- a/src/main/java/io/saltflow/broker/QueueNode.java
+++ b/src/main/java/io/saltflow/broker/QueueNode.java
@@ -10,10 +10,12 @@
 import java.util.function.LongSupplier;
 
 /**
- * What the queues use of the node that serves them.
+ * The parts of a node that its queues use.
  *
- * @param neverRuns why no machine will ever run a job, or null; only once the types are known
- * @param onDeposed called when a write has shown that this node no longer leads
+ * @param typesKnown whether the machine types are known
+ * @param neverRuns returns why no machine type can run a job, or null; valid only once the machine
+ *     types are known
+ * @param onDeposed called when a failed write shows that this node no longer leads
  */
 public record QueueNode(
     String host,
--- a/src/test/java/io/saltflow/amqp/AmqpForms.java
+++ b/src/test/java/io/saltflow/amqp/AmqpForms.java
@@ -29,7 +29,7 @@
         StoredForm.current("amqp content", Peer.content(CHANNEL, "a body"), AmqpForms::content));
     ByteWriter heartbeat = new ByteWriter();
     Frame.heartbeat(heartbeat);
-    forms.add(StoredForm.current("amqp heartbeat", heartbeat.copy(), AmqpForms::heartbeat));
+    forms.add(StoredForm.current("amqp heartbeat", heartbeat.toByteArray(), AmqpForms::heartbeat));
     forms.add(
         StoredForm.current(
             "amqp properties of a result",
@@ -54,9 +54,10 @@
     return arguments.toArray();
   }
 
-  private static List<Frame> frames(byte[] bytes) throws AmqpException, FrameReader.NotAmqp {
+  private static List<Frame> frames(byte[] bytes)
+      throws AmqpException, FrameReader.ProtocolMismatchException {
     FrameReader reader = new FrameReader(MAX_FRAME_BYTES);
-    reader.next(ByteBuffer.wrap(Peer.greeting()));
+    reader.next(ByteBuffer.wrap(Peer.protocolHeader()));
     List<Frame> frames = new ArrayList<>();
     ByteBuffer in = ByteBuffer.wrap(bytes);
     for (Frame frame = reader.next(in); frame != null; frame = reader.next(in)) {
@@ -65,14 +66,16 @@
     return frames;
   }
 
-  private static byte[] method(byte[] bytes) throws AmqpException, FrameReader.NotAmqp {
+  private static byte[] method(byte[] bytes)
+      throws AmqpException, FrameReader.ProtocolMismatchException {
     Frame frame = frames(bytes).get(0);
     ByteWriter out = new ByteWriter();
     Frame.method(out, frame.channel(), Method.decode(frame.payload()));
-    return out.copy();
+    return out.toByteArray();
   }
 
-  private static byte[] content(byte[] bytes) throws AmqpException, FrameReader.NotAmqp {
+  private static byte[] content(byte[] bytes)
+      throws AmqpException, FrameReader.ProtocolMismatchException {
     List<Frame> frames = frames(bytes);
     ByteBuffer header = frames.get(0).payload();
     header.position(Short.BYTES + Short.BYTES + Long.BYTES);
@@ -82,20 +85,22 @@
     payload.get(body);
     ByteWriter out = new ByteWriter();
     Frame.content(out, frames.get(0).channel(), properties, body, MAX_FRAME_BYTES);
-    return out.copy();
+    return out.toByteArray();
   }
 
-  private static byte[] heartbeat(byte[] bytes) throws AmqpException, FrameReader.NotAmqp {
+  private static byte[] heartbeat(byte[] bytes)
+      throws AmqpException, FrameReader.ProtocolMismatchException {
     Frame frame = frames(bytes).get(0);
     ByteWriter out = new ByteWriter();
     if (frame.type() == Frame.HEARTBEAT) {
       Frame.heartbeat(out);
     }
-    return out.copy();
+    return out.toByteArray();
   }
 
   /** The server's first method: its arguments in order, the table's by name. */
-  public static List<String> connectionStart() throws AmqpException, FrameReader.NotAmqp {
+  public static List<String> connectionStart()
+      throws AmqpException, FrameReader.ProtocolMismatchException {
     ByteWriter sent = new ByteWriter();
     AmqpSession.Out out =
         new AmqpSession.Out() {
@@ -103,16 +108,16 @@
           public void send(ByteBuffer bytes) {
             byte[] copy = new byte[bytes.remaining()];
             bytes.get(copy);
-            sent.all(copy);
+            sent.write(copy);
           }
 
           @Override
           public void close() {}
         };
     AmqpSession session = new AmqpSession(Peer.LIMITS, new Peer(), out, new MonotonicTime(0));
-    session.feed(ByteBuffer.wrap(Peer.greeting()), new MonotonicTime(0));
+    session.feed(ByteBuffer.wrap(Peer.protocolHeader()), new MonotonicTime(0));
     List<String> lines = new ArrayList<>();
-    for (Object argument : Method.decode(frames(sent.copy()).get(0).payload()).arguments()) {
+    for (Object argument : Method.decode(frames(sent.toByteArray()).get(0).payload()).arguments()) {
       lines.add(argument instanceof Map<?, ?> table ? sorted(table) : String.valueOf(argument));
     }
     return lines;
--- a/src/test/java/io/saltflow/amqp/AmqpSessionFuzzTarget.java
+++ b/src/test/java/io/saltflow/amqp/AmqpSessionFuzzTarget.java
@@ -6,7 +6,7 @@
 
 /** A connection whose peer sends anything: it ends in order, or goes on. */
 public final class AmqpSessionFuzzTarget {
-  private static final int MOST_CHANNELS = 10;
+  private static final int MAX_CHANNELS = 10;
 
   private AmqpSessionFuzzTarget() {}
 
@@ -21,15 +21,15 @@
       peer.feed(Arrays.copyOfRange(data, from, Math.min(data.length, from + piece)));
       // The queues say what they have to in between.
       peer.deliver("t");
-      peer.session.got(1, null, 0);
-      peer.session.confirmed(1, List.of(1L, 2L));
+      peer.session.answerGet(1, null, 0);
+      peer.session.confirmPublishes(1, List.of(1L, 2L));
       peer.session.flush();
     }
-    if (peer.session.channelCount() > MOST_CHANNELS) {
+    if (peer.session.channelCount() > MAX_CHANNELS) {
       throw new IllegalStateException("more channels than agreed");
     }
     peer.session.tick(peer.now.plus(TimeSpan.seconds(1)));
-    peer.session.gone();
+    peer.session.disconnected();
     long ended = peer.lines.stream().filter(l -> l.equals("   connection ends")).count();
     if (ended > 1) {
       throw new IllegalStateException("it ended " + ended + " times");
--- a/src/test/java/io/saltflow/amqp/AmqpSessionTest.java
+++ b/src/test/java/io/saltflow/amqp/AmqpSessionTest.java
@@ -17,7 +17,7 @@
 
 /** A connection as its client sees it, and what the queues are asked by it. */
 class AmqpSessionTest {
-  private static final byte[] WORK =
+  private static final byte[] CONVERSATION =
       Peer.join(
           Peer.handshake(),
           Peer.method(
@@ -38,18 +38,18 @@
     return out;
   }
 
-  private static Peer worked(int pieces) {
+  private static Peer sessionFedInPieces(int pieces) {
     Peer peer = new Peer();
-    peer.feedInPieces(WORK, pieces);
+    peer.feedInPieces(CONVERSATION, pieces);
     return peer;
   }
 
   @Test
-  void aConversationIsKept() throws IOException {
+  void conversationMatchesTheGoldenTrace() throws IOException {
     List<String> trace = new ArrayList<>();
-    Peer peer = worked(WORK.length);
-    peer.session.confirmed(1, List.of(1L, 2L));
-    peer.session.refused(1, 3, new AmqpException(ReplyCode.RESOURCE_LOCKED, "full"));
+    Peer peer = sessionFedInPieces(CONVERSATION.length);
+    peer.session.confirmPublishes(1, List.of(1L, 2L));
+    peer.session.rejectPublish(1, 3, new AmqpException(ReplyCode.RESOURCE_LOCKED, "full"));
     peer.deliver("me");
     peer.deliver("me");
     peer.deliver("me");
@@ -72,15 +72,17 @@
 
   /** Frames come cut anywhere: what is done does not depend on it. */
   @Test
-  void bytesMayBeCutAtEachByte() {
-    List<String> whole = sorted(worked(WORK.length));
+  void sessionIsIndependentOfInputFragmentation() {
+    List<String> whole = sorted(sessionFedInPieces(CONVERSATION.length));
     assertTrue(whole.contains("   publish 3 to q: 5000 bytes"), whole.toString());
     for (int size = 1; size < 40; size++) {
-      assertEquals(whole, sorted(worked(size)), "pieces of " + size);
+      assertEquals(whole, sorted(sessionFedInPieces(size)), "pieces of " + size);
     }
-    for (int cut = 1; cut < WORK.length; cut++) {
+    for (int cut = 1; cut < CONVERSATION.length; cut++) {
       Peer peer = new Peer();
-      peer.feed(Arrays.copyOf(WORK, cut), Arrays.copyOfRange(WORK, cut, WORK.length));
+      peer.feed(
+          Arrays.copyOf(CONVERSATION, cut),
+          Arrays.copyOfRange(CONVERSATION, cut, CONVERSATION.length));
       assertEquals(whole, sorted(peer), "cut at " + cut);
     }
   }
@@ -91,45 +93,47 @@
     return String.join("; ", peer.lines);
   }
 
-  private static void refused(String code, byte[]... parts) {
+  private static void assertRejected(String code, byte[]... parts) {
     String answer = answerTo(parts);
     assertTrue(answer.contains(code), answer);
   }
 
   @Test
-  void mistakesGetTheProtocolsCodes() {
+  void protocolErrorsCloseWithTheSpecifiedReplyCode() {
     byte[] publish = Peer.method(1, MethodKind.BASIC_PUBLISH, 0L, "", "q", false, false);
     byte[] broken = Peer.method(1, MethodKind.BASIC_ACK, 1L, false);
     broken[broken.length - 1] = 0;
-    refused("CONNECTION_CLOSE [501", broken);
-    refused("CONNECTION_CLOSE [501", new byte[] {1, 0, 1, 0x7f, 0, 0, 0});
-    refused("CONNECTION_CLOSE [501", new byte[] {9, 0, 1, 0, 0, 0, 0, (byte) 0xCE});
-    refused(
+    assertRejected("CONNECTION_CLOSE [501", broken);
+    assertRejected("CONNECTION_CLOSE [501", new byte[] {1, 0, 1, 0x7f, 0, 0, 0});
+    assertRejected("CONNECTION_CLOSE [501", new byte[] {9, 0, 1, 0, 0, 0, 0, (byte) 0xCE});
+    assertRejected(
         "CONNECTION_CLOSE [502", new byte[] {1, 0, 1, 0, 0, 0, 5, 0, 60, 0, 80, 0, (byte) 0xCE});
-    refused("CONNECTION_CLOSE [540", new byte[] {1, 0, 1, 0, 0, 0, 4, 0, 99, 0, 1, (byte) 0xCE});
-    refused("CONNECTION_CLOSE [505", Peer.content(1, "no publish"));
-    refused("CONNECTION_CLOSE [505", publish, publish);
-    refused("CONNECTION_CLOSE [504", Peer.method(3, MethodKind.BASIC_ACK, 1L, false));
-    refused("CONNECTION_CLOSE [504", Peer.method(11, MethodKind.CHANNEL_OPEN, ""));
-    refused("CONNECTION_CLOSE [504", Peer.method(1, MethodKind.CHANNEL_OPEN, ""));
-    refused("CONNECTION_CLOSE [503", Peer.method(0, MethodKind.CONNECTION_OPEN, "/", "", false));
-    refused("CONNECTION_CLOSE [503", Peer.method(1, MethodKind.BASIC_GET_EMPTY, ""));
-    refused("CONNECTION_CLOSE [540", Peer.method(1, MethodKind.TX_SELECT));
-    refused("CHANNEL_CLOSE [406", Peer.method(1, MethodKind.BASIC_ACK, 1L, false));
-    refused("CHANNEL_CLOSE [406", Peer.method(1, MethodKind.BASIC_ACK, 7L, true));
-    refused("CHANNEL_CLOSE [404", Peer.method(1, MethodKind.BASIC_GET, 0L, "none", false));
-    refused("CHANNEL_CLOSE [311", Peer.publish(1, "q", "x".repeat(10_001)));
-    refused("CHANNEL_CLOSE [403", Peer.method(1, MethodKind.QUEUE_PURGE, 0L, "q", false));
+    assertRejected(
+        "CONNECTION_CLOSE [540", new byte[] {1, 0, 1, 0, 0, 0, 4, 0, 99, 0, 1, (byte) 0xCE});
+    assertRejected("CONNECTION_CLOSE [505", Peer.content(1, "no publish"));
+    assertRejected("CONNECTION_CLOSE [505", publish, publish);
+    assertRejected("CONNECTION_CLOSE [504", Peer.method(3, MethodKind.BASIC_ACK, 1L, false));
+    assertRejected("CONNECTION_CLOSE [504", Peer.method(11, MethodKind.CHANNEL_OPEN, ""));
+    assertRejected("CONNECTION_CLOSE [504", Peer.method(1, MethodKind.CHANNEL_OPEN, ""));
+    assertRejected(
+        "CONNECTION_CLOSE [503", Peer.method(0, MethodKind.CONNECTION_OPEN, "/", "", false));
+    assertRejected("CONNECTION_CLOSE [503", Peer.method(1, MethodKind.BASIC_GET_EMPTY, ""));
+    assertRejected("CONNECTION_CLOSE [540", Peer.method(1, MethodKind.TX_SELECT));
+    assertRejected("CHANNEL_CLOSE [406", Peer.method(1, MethodKind.BASIC_ACK, 1L, false));
+    assertRejected("CHANNEL_CLOSE [406", Peer.method(1, MethodKind.BASIC_ACK, 7L, true));
+    assertRejected("CHANNEL_CLOSE [404", Peer.method(1, MethodKind.BASIC_GET, 0L, "none", false));
+    assertRejected("CHANNEL_CLOSE [311", Peer.publish(1, "q", "x".repeat(10_001)));
+    assertRejected("CHANNEL_CLOSE [403", Peer.method(1, MethodKind.QUEUE_PURGE, 0L, "q", false));
   }
 
   @Test
-  void strangersAreToldTheVersionAndWrongPasswordsRefused() {
+  void otherProtocolsAndWrongPasswordsAreRejected() {
     Peer other = new Peer();
     other.feed("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.UTF_8));
     assertEquals(List.of("<- another greeting", "<- closed"), other.lines);
     Peer wrong = new Peer();
     wrong.feed(
-        Peer.greeting(),
+        Peer.protocolHeader(),
         Peer.method(0, MethodKind.CONNECTION_START_OK, Map.of(), "PLAIN", "\0u\0x", "en"));
     assertTrue(wrong.lines.get(1).contains("CONNECTION_CLOSE [403"), wrong.lines.toString());
     assertFalse(wrong.session.open());
@@ -137,7 +141,7 @@
 
   /** The socket may stay open after the peer has died: heartbeats tell. */
   @Test
-  void silenceEndsAConnection() {
+  void connectionEndsAfterMissedHeartbeatsOrSlowHandshake() {
     Peer peer = new Peer().open();
     peer.now = peer.now.plus(TimeSpan.seconds(10));
     assertTrue(peer.session.tick(peer.now));
@@ -148,12 +152,12 @@
     assertFalse(peer.session.tick(peer.now));
     assertEquals("   connection ends", peer.lines.get(peer.lines.size() - 1));
     Peer slow = new Peer();
-    slow.feed(Peer.greeting());
+    slow.feed(Peer.protocolHeader());
     assertFalse(slow.session.tick(slow.now.plus(TimeSpan.seconds(11))), "a handshake takes 10 s");
   }
 
   @Test
-  void confirmsAreAsFewAsSayItAll() {
+  void confirmsAreCombinedIntoMultipleAcks() {
     PublisherConfirms publisherConfirms = new PublisherConfirms();
     for (int i = 0; i < 6; i++) {
       publisherConfirms.next();
@@ -161,30 +165,30 @@
     assertEquals(
         List.of(new PublisherConfirms.Ack(2, true)), publisherConfirms.acks(List.of(2L, 1L)));
     assertEquals(List.of(new PublisherConfirms.Ack(4, false)), publisherConfirms.acks(List.of(4L)));
-    assertTrue(publisherConfirms.refused(3));
+    assertTrue(publisherConfirms.reject(3));
     assertEquals(
         List.of(new PublisherConfirms.Ack(6, true)), publisherConfirms.acks(List.of(5L, 6L, 6L)));
     assertEquals(List.of(), publisherConfirms.acks(List.of(6L)), "once each");
   }
 
   @Test
-  void aConsumerThatTheServerEndsIsTold() {
+  void peerIsNotifiedWhenServerCancelsConsumer() {
     Peer peer = new Peer().open();
     peer.feed(
         Peer.method(
             1, MethodKind.BASIC_CONSUME, 0L, "q", "me", false, false, false, false, Map.of()));
-    peer.session.cancelled(1, "me");
+    peer.session.cancelConsumer(1, "me");
     peer.session.flush();
     assertEquals("<- 1 BASIC_CANCEL [me, true]", peer.lines.get(peer.lines.size() - 1));
     assertFalse(peer.deliver("me"));
   }
 
   @Test
-  void publishersHearThatNothingIsTakenAndWhenItIsAgain() {
+  void blockedAndUnblockedAreSentOnlyOnChange() {
     Peer peer = new Peer().open();
-    peer.session.block("no room");
-    peer.session.block("no room");
-    peer.session.block(null);
+    peer.session.setBlocked("no room");
+    peer.session.setBlocked("no room");
+    peer.session.setBlocked(null);
     peer.session.flush();
     assertEquals(
         List.of("<- 0 CONNECTION_BLOCKED [no room]", "<- 0 CONNECTION_UNBLOCKED []"), peer.lines);
--- a/src/test/java/io/saltflow/amqp/FrameFuzzTarget.java
+++ b/src/test/java/io/saltflow/amqp/FrameFuzzTarget.java
@@ -13,29 +13,29 @@
   public static void run(byte[] data) {
     FrameReader reader = new FrameReader(FRAME_MAX);
     try {
-      reader.next(ByteBuffer.wrap(Peer.greeting()));
+      reader.next(ByteBuffer.wrap(Peer.protocolHeader()));
       ByteBuffer in = ByteBuffer.wrap(data);
       for (Frame f = reader.next(in); f != null; f = reader.next(in)) {
         if (f.type() == Frame.METHOD) {
-          again(Method.decode(f.payload()));
+          checkRoundTrip(Method.decode(f.payload()));
         } else if (f.type() == Frame.HEADER) {
           MessageProperties.decode(f.payload());
         }
       }
-    } catch (AmqpException | FrameReader.NotAmqp exception) {
+    } catch (AmqpException | FrameReader.ProtocolMismatchException exception) {
       // Refused, as it should be.
     }
   }
 
   /** What was read can be written, unless a text was no text or a table the server never sends. */
-  private static void again(Method method) throws AmqpException {
+  private static void checkRoundTrip(Method method) throws AmqpException {
     boolean plain =
         method.arguments().stream()
             .noneMatch(a -> a instanceof Map<?, ?> || a.toString().indexOf('\ufffd') >= 0);
     if (plain) {
       ByteWriter out = new ByteWriter();
       method.encode(out);
-      if (!Method.decode(out.buffer()).equals(method)) {
+      if (!Method.decode(out.toBuffer()).equals(method)) {
         throw new IllegalStateException(method + " is not read as it was written");
       }
     }
--- a/src/test/java/io/saltflow/amqp/Peer.java
+++ b/src/test/java/io/saltflow/amqp/Peer.java
@@ -19,7 +19,7 @@
   final AmqpSession session;
   MonotonicTime now = new MonotonicTime(0);
   private final FrameReader reader = new FrameReader(1 << 20);
-  private boolean greeted;
+  private boolean headerRead;
   private int deliveries;
 
   Peer() {
@@ -28,20 +28,20 @@
 
   // ---- What the client sends
 
-  static byte[] greeting() {
+  static byte[] protocolHeader() {
     return new byte[] {'A', 'M', 'Q', 'P', 0, 0, 9, 1};
   }
 
   static byte[] method(int channel, MethodKind kind, Object... arguments) {
     ByteWriter out = new ByteWriter();
     Frame.method(out, channel, Method.of(kind, arguments));
-    return out.copy();
+    return out.toByteArray();
   }
 
   static byte[] content(int channel, String body) {
     ByteWriter out = new ByteWriter();
     Frame.content(out, channel, NO_PROPERTIES, body.getBytes(StandardCharsets.UTF_8), 4096);
-    return out.copy();
+    return out.toByteArray();
   }
 
   static byte[] publish(int channel, String queue, String body) {
@@ -53,16 +53,16 @@
   static byte[] join(byte[]... parts) {
     ByteWriter out = new ByteWriter();
     for (byte[] part : parts) {
-      out.all(part);
+      out.write(part);
     }
-    return out.copy();
+    return out.toByteArray();
   }
 
   static byte[] handshake() {
     Map<String, Object> can =
         Map.of("capabilities", Map.of("consumer_cancel_notify", true, "connection.blocked", true));
     return join(
-        greeting(),
+        protocolHeader(),
         method(0, MethodKind.CONNECTION_START_OK, can, "PLAIN", "\0u\0p", "en_US"),
         method(0, MethodKind.CONNECTION_TUNE_OK, 10L, 8192L, 20L),
         method(0, MethodKind.CONNECTION_OPEN, "/", "", false),
@@ -94,23 +94,23 @@
   @Override
   public void send(ByteBuffer bytes) {
     try {
-      if (!greeted) {
-        greeted = true;
-        reader.next(ByteBuffer.wrap(greeting()));
+      if (!headerRead) {
+        headerRead = true;
+        reader.next(ByteBuffer.wrap(protocolHeader()));
       }
       if (bytes.remaining() == 8 && bytes.get(bytes.position()) == 'A') {
         lines.add("<- another greeting");
         return;
       }
       for (Frame f = reader.next(bytes); f != null; f = reader.next(bytes)) {
-        lines.add("<- " + f.channel() + " " + shown(f));
+        lines.add("<- " + f.channel() + " " + describe(f));
       }
-    } catch (AmqpException | FrameReader.NotAmqp exception) {
+    } catch (AmqpException | FrameReader.ProtocolMismatchException exception) {
       throw new IllegalStateException(exception);
     }
   }
 
-  private static String shown(Frame frame) throws AmqpException {
+  private static String describe(Frame frame) throws AmqpException {
     return switch (frame.type()) {
       case Frame.METHOD -> {
         Method method = Method.decode(frame.payload());
@@ -133,7 +133,7 @@
 
   // ---- What the queues are asked
 
-  private void asked(String what) {
+  private void recordCall(String what) {
     lines.add("   " + what);
   }
 
@@ -157,42 +157,42 @@
 
   @Override
   public void publish(int channel, long number, String queue, Content content) {
-    asked("publish " + number + " to " + queue + ": " + content.body().length + " bytes");
+    recordCall("publish " + number + " to " + queue + ": " + content.body().length + " bytes");
   }
 
   @Override
   public void consume(int channel, String tag, String queue, boolean noAck) {
-    asked("consume " + queue + " as " + tag);
+    recordCall("consume " + queue + " as " + tag);
   }
 
   @Override
   public void cancel(int channel, String tag) {
-    asked("cancel " + tag);
+    recordCall("cancel " + tag);
   }
 
   @Override
   public void get(int channel, String queue, boolean noAck) {
-    asked("get from " + queue);
+    recordCall("get from " + queue);
   }
 
   @Override
   public void prefetch(int channel, int count, boolean wholeChannel) {
-    asked("prefetch " + count + (wholeChannel ? " for the channel" : ""));
+    recordCall("prefetch " + count + (wholeChannel ? " for the channel" : ""));
   }
 
   @Override
   public void settle(int channel, Object handle, Settlement how) {
-    asked("settle " + handle + " " + how);
+    recordCall("settle " + handle + " " + how);
   }
 
   @Override
-  public void closed(int channel) {
-    asked("channel " + channel + " ends");
+  public void channelClosed(int channel) {
+    recordCall("channel " + channel + " ends");
   }
 
   @Override
-  public void gone() {
-    asked("connection ends");
+  public void connectionClosed() {
+    recordCall("connection ends");
   }
 
   boolean deliver(String tag) {
--- a/src/test/java/io/saltflow/broker/JobTemplatesTest.java
+++ b/src/test/java/io/saltflow/broker/JobTemplatesTest.java
@@ -17,19 +17,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Messages as jobs: by description, and by a template's parameters. */
+/** Tests of jobs created from job descriptions and from template parameters. */
 class JobTemplatesTest {
   private static final QueueId PLAIN = new QueueId("/", "plain");
-  private static final QueueId PASSES = new QueueId("/", "passes");
+  private static final QueueId TEMPLATED = new QueueId("/", "passes");
   private static final JobId ID = new JobId("req-7");
 
   private final JobTemplates templates =
       new JobTemplates(
           Map.of(
-              PASSES,
+              TEMPLATED,
               "{\"cores\": \"${cores}\", \"expectS\": 5, \"bundle\": \"pass-${lang}-${n}\"}"));
 
-  private JobSpec make(QueueId queue, String body) throws MessageJobFactory.InvalidJobException {
+  private JobSpec createJob(QueueId queue, String body)
+      throws MessageJobFactory.InvalidJobException {
     QueuePolicy policy =
         new QueuePolicy(
             queue,
@@ -50,21 +51,21 @@
     return templates.createJob(policy, ID, body.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** What the queue says holds for all its messages, whatever these say. */
+  /** Guards against messages that run under another team or priority than their queue's. */
   @Test
-  void aDescriptionIsTakenUnderItsQueuesTeamAndPriority()
-      throws MessageJobFactory.InvalidJobException {
-    JobSpec job = make(PLAIN, "{\"expectS\": 3, \"crew\": \"other\", \"urgency\": \"critical\"}");
+  void queueSettingsOverrideJobDescription() throws MessageJobFactory.InvalidJobException {
+    JobSpec job =
+        createJob(PLAIN, "{\"expectS\": 3, \"crew\": \"other\", \"urgency\": \"critical\"}");
     assertEquals(ID, job.id());
     assertEquals("team", job.team());
     assertEquals(Priority.HIGH, job.priority());
-    assertEquals(2, job.size().cores(), "the queue's, when the message names none");
+    assertEquals(2, job.size().cores(), "cores default to the queue's size");
   }
 
   @Test
-  void parametersKeepTheirTypeAloneAndAreFilledIntoTexts()
-      throws MessageJobFactory.InvalidJobException {
-    JobSpec job = make(PASSES, "{\"cores\": 1.5, \"lang\": \"kk$1\", \"n\": 12, \"more\": true}");
+  void parametersKeepTheirTypeOrAreInsertedIntoText() throws MessageJobFactory.InvalidJobException {
+    JobSpec job =
+        createJob(TEMPLATED, "{\"cores\": 1.5, \"lang\": \"kk$1\", \"n\": 12, \"more\": true}");
     assertEquals(1.5, job.size().cores());
     assertEquals("pass-kk$1-12", job.image());
   }
@@ -82,10 +83,11 @@
         "passes | {\"cores\": \"many\", \"lang\": \"kk\", \"n\": 1} | cores: a number is required",
         "passes | {\"cores\": {}, \"lang\": \"kk\", \"n\": 1} | parameter 'cores' is missing"
       })
-  void whatMakesNoJobSaysWhy(String queue, String body, String why) {
-    MessageJobFactory.InvalidJobException badJob =
+  void invalidMessageIsRejectedWithReason(String queue, String body, String reason) {
+    MessageJobFactory.InvalidJobException exception =
         assertThrows(
-            MessageJobFactory.InvalidJobException.class, () -> make(new QueueId("/", queue), body));
-    assertEquals("no job can be made of it: " + why, badJob.getMessage());
+            MessageJobFactory.InvalidJobException.class,
+            () -> createJob(new QueueId("/", queue), body));
+    assertEquals("no job can be made of it: " + reason, exception.getMessage());
   }
 }
--- a/src/test/java/io/saltflow/broker/LoopbackTest.java
+++ b/src/test/java/io/saltflow/broker/LoopbackTest.java
@@ -34,15 +34,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A well-known client library before a real process, which is killed and started again. */
+/** Runs the RabbitMQ Java client against a real process that is killed and restarted. */
 class LoopbackTest {
-  private static final int PATIENCE_S = 30;
+  private static final int TIMEOUT_S = 30;
 
   @TempDir Path data;
   private Process process;
   private int port;
 
-  /** A delivery as a client of the library sees it. */
+  /** A delivery received by the client library. */
   private record Delivery(long tag, boolean redelivered, String id, String body) {}
 
   @BeforeEach
@@ -68,7 +68,7 @@
     BufferedReader out =
         new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
     String ready = out.readLine();
-    assertNotNull(ready, "it is ready");
+    assertNotNull(ready, "the process printed its ready line");
     port = Integer.parseInt(ready.replaceAll(".*amqp 127\\.0\\.0\\.1:(\\d+).*", "$1"));
   }
 
@@ -92,8 +92,8 @@
     channel.basicPublish("", queue, true, properties, body.getBytes(StandardCharsets.UTF_8));
   }
 
-  private static void confirmed(Channel channel) throws Exception {
-    channel.waitForConfirmsOrDie(TimeUnit.SECONDS.toMillis(PATIENCE_S));
+  private static void awaitConfirms(Channel channel) throws Exception {
+    channel.waitForConfirmsOrDie(TimeUnit.SECONDS.toMillis(TIMEOUT_S));
   }
 
   private static BlockingQueue<Delivery> consume(Channel channel, String queue) throws IOException {
@@ -117,27 +117,27 @@
   }
 
   private static Delivery next(BlockingQueue<Delivery> queue) throws InterruptedException {
-    Delivery delivery = queue.poll(PATIENCE_S, TimeUnit.SECONDS);
-    assertNotNull(delivery, "a delivery comes");
+    Delivery delivery = queue.poll(TIMEOUT_S, TimeUnit.SECONDS);
+    assertNotNull(delivery, "no delivery within the timeout");
     return delivery;
   }
 
-  /** Takes results until each of these has one; a result seen again must be the same. */
-  private static void results(
+  /** Consumes results until each wanted id has one. A repeated result must be identical. */
+  private static void collectResults(
       Channel channel, String queue, Set<String> wanted, Map<String, String> found)
       throws Exception {
     BlockingQueue<Delivery> results = consume(channel, queue);
     while (!found.keySet().containsAll(wanted)) {
       Delivery delivery = next(results);
-      assertTrue(wanted.contains(delivery.id), "only what was published has a result: " + delivery);
+      assertTrue(wanted.contains(delivery.id), "result of an unpublished message: " + delivery);
       String before = found.put(delivery.id, delivery.body);
       assertTrue(before == null || before.equals(delivery.body), before + ", " + delivery.body);
       channel.basicAck(delivery.tag, false);
     }
-    assertNull(results.poll(300, TimeUnit.MILLISECONDS), "and no more");
+    assertNull(results.poll(300, TimeUnit.MILLISECONDS), "unexpected additional result");
   }
 
-  /** The ids of what was published, by queue, and those that a consumer was given once. */
+  /** The published message ids by queue, and the ids of queue {@code once} that were delivered. */
   private static final class Published {
     final Set<String> work = new HashSet<>();
     final Set<String> once = new HashSet<>();
@@ -146,7 +146,7 @@
   }
 
   @Test
-  void eachJobHasOneResultThroughDisconnectsDoubleAcksAndAKill() throws Exception {
+  void eachMessageHasOneResultDespiteDisconnectsDoubleAcksAndProcessKill() throws Exception {
     Published published = new Published();
     publishAll(published);
     consumeTenAndDisconnect(published);
@@ -160,102 +160,102 @@
 
   private void publishAll(Published published) throws Exception {
     try (Connection connection = connect()) {
-      Channel ch = connection.createChannel();
-      ch.confirmSelect();
+      Channel channel = connection.createChannel();
+      channel.confirmSelect();
       for (int i = 0; i < 60; i++) {
-        publish(ch, "work", "w-" + i, "page " + i);
-        publish(ch, "once", "o-" + i, "page " + i);
+        publish(channel, "work", "w-" + i, "page " + i);
+        publish(channel, "once", "o-" + i, "page " + i);
         published.work.add("w-" + i);
         published.once.add("o-" + i);
         if (i % 7 == 0) {
-          publish(ch, "work", "w-" + i, "page " + i);
+          publish(channel, "work", "w-" + i, "page " + i);
         }
       }
-      publish(ch, "jobs", "j-ok", "{\"cores\": 1, \"expectS\": 0.2}");
-      publish(ch, "jobs", "j-bad", "{\"cores\": 1}");
-      confirmed(ch);
+      publish(channel, "jobs", "j-ok", "{\"cores\": 1, \"expectS\": 0.2}");
+      publish(channel, "jobs", "j-bad", "{\"cores\": 1}");
+      awaitConfirms(channel);
     }
   }
 
-  /** This consumer takes ten of each, settles half of them, and is gone. */
+  /** Receives ten messages from each queue, acknowledges channel of them and disconnects. */
   private void consumeTenAndDisconnect(Published published) throws Exception {
     try (Connection connection = connect()) {
-      Channel ch = connection.createChannel();
-      ch.basicQos(10);
-      BlockingQueue<Delivery> w = consume(ch, "work");
-      BlockingQueue<Delivery> o = consume(ch, "once");
+      Channel channel = connection.createChannel();
+      channel.basicQos(10);
+      BlockingQueue<Delivery> work = consume(channel, "work");
+      BlockingQueue<Delivery> once = consume(channel, "once");
       for (int i = 0; i < 10; i++) {
-        Delivery dw = next(w);
-        Delivery d1 = next(o);
-        assertTrue(published.seenOnce.add(d1.id));
+        Delivery workDelivery = next(work);
+        Delivery onceDelivery = next(once);
+        assertTrue(published.seenOnce.add(onceDelivery.id));
         if (i % 2 == 0) {
-          ch.basicAck(dw.tag, false);
-          ch.basicAck(d1.tag, false);
+          channel.basicAck(workDelivery.tag, false);
+          channel.basicAck(onceDelivery.tag, false);
         }
       }
     }
   }
 
-  /** A second acknowledgement ends the channel, as the protocol says, and changes nothing. */
+  /** Acknowledges a delivery twice, which must close the channel without any other effect. */
   private void acknowledgeTwice() throws Exception {
     try (Connection connection = connect()) {
-      Channel ch = connection.createChannel();
-      ch.basicQos(1);
-      Delivery delivery = next(consume(ch, "work"));
-      ch.basicAck(delivery.tag, false);
-      ch.basicAck(delivery.tag, false);
-      ShutdownSignalException closed =
+      Channel channel = connection.createChannel();
+      channel.basicQos(1);
+      Delivery delivery = next(consume(channel, "work"));
+      channel.basicAck(delivery.tag, false);
+      channel.basicAck(delivery.tag, false);
+      ShutdownSignalException shutdown =
           assertThrows(
               ShutdownSignalException.class,
               () -> {
-                for (int i = 0; i < PATIENCE_S * 10; i++) {
+                for (int i = 0; i < TIMEOUT_S * 10; i++) {
                   Thread.sleep(100);
-                  ch.basicQos(1);
+                  channel.basicQos(1);
                 }
               });
-      assertTrue(closed.getMessage().contains("PRECONDITION_FAILED"), closed.getMessage());
+      assertTrue(shutdown.getMessage().contains("PRECONDITION_FAILED"), shutdown.getMessage());
     }
   }
 
-  /** Fifteen are delivered on a connection that lasts until the process is killed. */
+  /** Receives 15 messages on a connection that stays open until the process is killed. */
   private void holdUnsettled(Published published) throws Exception {
-    Connection cut = connect();
-    Channel half = cut.createChannel();
-    half.basicQos(15);
-    BlockingQueue<Delivery> held = consume(half, "once");
+    Connection connection = connect();
+    Channel channel = connection.createChannel();
+    channel.basicQos(15);
+    BlockingQueue<Delivery> held = consume(channel, "once");
     for (int i = 0; i < 15; i++) {
-      assertTrue(published.seenOnce.add(next(held).id), "never again");
+      assertTrue(published.seenOnce.add(next(held).id), "message redelivered");
     }
   }
 
   private Map<String, String> publishAgainAndCollect(Published published) throws Exception {
     Map<String, String> found = new TreeMap<>();
     try (Connection connection = connect()) {
-      Channel again = connection.createChannel();
-      again.confirmSelect();
+      Channel publisher = connection.createChannel();
+      publisher.confirmSelect();
       for (String id : published.work) {
-        publish(again, "work", id, "published again after a confirm that was lost, perhaps");
+        publish(publisher, "work", id, "published again after a possibly lost confirm");
       }
-      confirmed(again);
-      Channel ch = connection.createChannel();
+      awaitConfirms(publisher);
+      Channel channel = connection.createChannel();
       DefaultConsumer acks =
-          new DefaultConsumer(ch) {
+          new DefaultConsumer(channel) {
             @Override
             public void handleDelivery(
                 String tag, Envelope envelope, AMQP.BasicProperties properties, byte[] body)
                 throws IOException {
               String id = properties.getMessageId();
               boolean isOnce = id.startsWith("o-");
-              assertFalse(isOnce && !published.seenOnce.add(id), "never again");
-              ch.basicAck(envelope.getDeliveryTag(), false);
+              assertFalse(isOnce && !published.seenOnce.add(id), "message redelivered");
+              channel.basicAck(envelope.getDeliveryTag(), false);
             }
           };
-      ch.basicQos(20);
-      ch.basicConsume("work", false, acks);
-      ch.basicConsume("once", false, acks);
-      results(connection.createChannel(), "work.results", published.work, found);
-      results(connection.createChannel(), "once.results", published.once, found);
-      results(connection.createChannel(), "jobs.results", published.jobs, found);
+      channel.basicQos(20);
+      channel.basicConsume("work", false, acks);
+      channel.basicConsume("once", false, acks);
+      collectResults(connection.createChannel(), "work.results", published.work, found);
+      collectResults(connection.createChannel(), "once.results", published.once, found);
+      collectResults(connection.createChannel(), "jobs.results", published.jobs, found);
     }
     return found;
   }
@@ -269,7 +269,7 @@
                 1,
                 Integer::sum));
     assertEquals(60, outcomes.get("w done"));
-    assertEquals(20, outcomes.get("o unknown"), "five left unsettled, and fifteen at the kill");
+    assertEquals(20, outcomes.get("o unknown"), "5 unsettled at the disconnect and 15 at the kill");
     assertEquals(40, outcomes.get("o done"));
     assertEquals(1, outcomes.get("j done"));
     assertEquals(1, outcomes.get("j failed"));
@@ -277,42 +277,51 @@
   }
 
   @Test
-  void whatIsNotServedIsRefusedInTheProtocolsWords() throws Exception {
-    ConnectionFactory stranger = new ConnectionFactory();
-    stranger.setPort(port);
-    stranger.setHost("127.0.0.1");
-    stranger.setPassword("wrong");
-    assertThrows(AuthenticationFailureException.class, stranger::newConnection);
+  void unsupportedRequestsAreRejectedWithReplyCodes() throws Exception {
+    ConnectionFactory factory = new ConnectionFactory();
+    factory.setPort(port);
+    factory.setHost("127.0.0.1");
+    factory.setPassword("wrong");
+    assertThrows(AuthenticationFailureException.class, factory::newConnection);
     Connection connection = connect();
-    refused(connection, "NOT_FOUND", ch -> ch.queueDeclarePassive("none"));
-    refused(connection, "NOT_FOUND", ch -> ch.basicConsume("none", new DefaultConsumer(ch)));
-    refused(connection, "ACCESS_REFUSED", ch -> ch.queueDelete("work"));
-    refused(connection, "ACCESS_REFUSED", ch -> ch.basicConsume("jobs", new DefaultConsumer(ch)));
-    refused(connection, "RESOURCE_LOCKED", ch -> ch.queueDeclare("work", true, true, false, null));
-    Channel ch = connection.createChannel();
-    assertEquals("work", ch.queueDeclare("work", true, false, false, null).getQueue());
-    ch.queueBind("work", "amq.direct", "work");
-    assertNull(ch.basicGet("work", false));
-    ch.confirmSelect();
-    publish(ch, "work", "g-1", "x");
-    confirmed(ch);
-    GetResponse got = ch.basicGet("work", false);
+    assertRejected(connection, "NOT_FOUND", channel -> channel.queueDeclarePassive("none"));
+    assertRejected(
+        connection,
+        "NOT_FOUND",
+        channel -> channel.basicConsume("none", new DefaultConsumer(channel)));
+    assertRejected(connection, "ACCESS_REFUSED", channel -> channel.queueDelete("work"));
+    assertRejected(
+        connection,
+        "ACCESS_REFUSED",
+        channel -> channel.basicConsume("jobs", new DefaultConsumer(channel)));
+    assertRejected(
+        connection,
+        "RESOURCE_LOCKED",
+        channel -> channel.queueDeclare("work", true, true, false, null));
+    Channel channel = connection.createChannel();
+    assertEquals("work", channel.queueDeclare("work", true, false, false, null).getQueue());
+    channel.queueBind("work", "amq.direct", "work");
+    assertNull(channel.basicGet("work", false));
+    channel.confirmSelect();
+    publish(channel, "work", "g-1", "x");
+    awaitConfirms(channel);
+    GetResponse got = channel.basicGet("work", false);
     assertEquals("g-1", got.getProps().getMessageId());
-    ch.basicReject(got.getEnvelope().getDeliveryTag(), true);
-    got = ch.basicGet("work", true);
+    channel.basicReject(got.getEnvelope().getDeliveryTag(), true);
+    got = channel.basicGet("work", true);
     assertTrue(got.getEnvelope().isRedeliver());
-    refused(connection, "NOT_IMPLEMENTED", Channel::txSelect);
-    assertFalse(connection.isOpen(), "an error that the protocol calls hard ends the connection");
+    assertRejected(connection, "NOT_IMPLEMENTED", Channel::txSelect);
+    assertFalse(connection.isOpen(), "a hard error closes the connection");
   }
 
   private interface Step {
-    void run(Channel ch) throws IOException;
+    void run(Channel channel) throws IOException;
   }
 
-  private static void refused(Connection connection, String code, Step step) throws Exception {
-    Channel ch = connection.createChannel();
-    IOException ioException = assertThrows(IOException.class, () -> step.run(ch));
-    assertTrue(
-        ioException.getCause().getMessage().contains(code), ioException.getCause().getMessage());
+  private static void assertRejected(Connection connection, String code, Step step)
+      throws Exception {
+    Channel channel = connection.createChannel();
+    IOException exception = assertThrows(IOException.class, () -> step.run(channel));
+    assertTrue(exception.getCause().getMessage().contains(code), exception.getCause().getMessage());
   }
 }
--- a/src/test/java/io/saltflow/broker/PasswordAuthenticatorTest.java
+++ b/src/test/java/io/saltflow/broker/PasswordAuthenticatorTest.java
@@ -17,10 +17,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Passwords and networks. */
+/** Tests of password checks and of access to virtual hosts. */
 class PasswordAuthenticatorTest {
   private static final MonotonicTime NOW = new MonotonicTime(0);
-  private final PasswordAuthenticator door =
+  private final PasswordAuthenticator authenticator =
       new PasswordAuthenticator(
           new AmqpSettings(
               null,
@@ -36,32 +36,36 @@
               Map.of()),
           NOW);
 
-  private ReplyCode refused(String response, MonotonicTime now) {
-    return assertThrows(AmqpException.class, () -> door.login("PLAIN", response, now)).code();
+  private ReplyCode rejectionCode(String response, MonotonicTime now) {
+    return assertThrows(AmqpException.class, () -> authenticator.login("PLAIN", response, now))
+        .code();
   }
 
   @Test
-  void onlyTheRightPasswordComesIn() throws AmqpException {
-    assertEquals("u", door.login("PLAIN", "\0u\0p", NOW));
-    assertEquals("u", door.login("PLAIN", "u\0u\0p", NOW));
-    assertEquals(ReplyCode.ACCESS_REFUSED, refused("\0u\0x", NOW));
-    assertEquals(ReplyCode.ACCESS_REFUSED, refused("\0v\0p", NOW));
-    assertEquals(ReplyCode.ACCESS_REFUSED, refused("other\0u\0p", NOW));
-    assertEquals(ReplyCode.ACCESS_REFUSED, refused("u p", NOW));
-    assertThrows(AmqpException.class, () -> door.login("ANONYMOUS", "", NOW));
+  void loginRequiresTheRightUserAndPassword() throws AmqpException {
+    assertEquals("u", authenticator.login("PLAIN", "\0u\0p", NOW));
+    assertEquals("u", authenticator.login("PLAIN", "u\0u\0p", NOW));
+    assertEquals(ReplyCode.ACCESS_REFUSED, rejectionCode("\0u\0x", NOW));
+    assertEquals(ReplyCode.ACCESS_REFUSED, rejectionCode("\0v\0p", NOW));
+    assertEquals(ReplyCode.ACCESS_REFUSED, rejectionCode("other\0u\0p", NOW));
+    assertEquals(ReplyCode.ACCESS_REFUSED, rejectionCode("u p", NOW));
+    assertThrows(AmqpException.class, () -> authenticator.login("ANONYMOUS", "", NOW));
   }
 
-  /** Guessing is bounded, or the slow hash would keep a leader from its lease. */
+  /**
+   * Guards against password guessing that blocks the event loop until the leader's lease expires.
+   */
   @Test
-  void guessesAreFewASecondAndKnownUsersAreNotHeldUp() throws AmqpException {
-    door.login("PLAIN", "\0u\0p", NOW);
-    int tried = 0;
-    while (refused("\0u\0guess" + tried, NOW) == ReplyCode.ACCESS_REFUSED) {
-      tried++;
+  void passwordChecksAreRateLimitedExceptForCachedLogins() throws AmqpException {
+    authenticator.login("PLAIN", "\0u\0p", NOW);
+    int attempts = 0;
+    while (rejectionCode("\0u\0guess" + attempts, NOW) == ReplyCode.ACCESS_REFUSED) {
+      attempts++;
     }
-    assertEquals(3, tried, "with the right one before, four in the first second");
-    assertEquals("u", door.login("PLAIN", "\0u\0p", NOW));
-    assertEquals(ReplyCode.ACCESS_REFUSED, refused("\0u\0guess", NOW.plus(TimeSpan.seconds(1))));
+    assertEquals(3, attempts, "four checks in the first second, including the successful login");
+    assertEquals("u", authenticator.login("PLAIN", "\0u\0p", NOW));
+    assertEquals(
+        ReplyCode.ACCESS_REFUSED, rejectionCode("\0u\0guess", NOW.plus(TimeSpan.seconds(1))));
   }
 
   @ParameterizedTest
@@ -75,15 +79,15 @@
     "10.1.2.3, other, false",
     "10.1.2.3, none, false"
   })
-  void hostsAreOpenToTheirNetworksAndUsers(String address, String host, boolean open)
+  void virtualHostIsOpenOnlyToItsNetworksAndUsers(String address, String host, boolean open)
       throws UnknownHostException {
     InetAddress from = InetAddress.getByName(address);
     if (open) {
-      assertDoesNotThrow(() -> door.enter("u", host, from));
+      assertDoesNotThrow(() -> authenticator.authorize("u", host, from));
     } else {
-      AmqpException amqpException =
-          assertThrows(AmqpException.class, () -> door.enter("u", host, from));
-      assertEquals(ReplyCode.NOT_ALLOWED, amqpException.code());
+      AmqpException exception =
+          assertThrows(AmqpException.class, () -> authenticator.authorize("u", host, from));
+      assertEquals(ReplyCode.NOT_ALLOWED, exception.code());
     }
   }
 }
