--- a/src/main/java/io/saltflow/amqp/AmqpChannel.java
+++ b/src/main/java/io/saltflow/amqp/AmqpChannel.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** One channel of a connection: its consumers, unsettled deliveries and publisher confirms. */
+/** A channel of a connection with its consumers, unsettled deliveries and publisher confirms. */
 final class AmqpChannel {
   private static final String DEFAULT_EXCHANGE = "";
   private static final String DIRECT_EXCHANGE = "amq.direct";
@@ -26,18 +26,18 @@
   private String lastQueue = "";
   private IncomingPublish incoming;
 
-  AmqpChannel(int id, AmqpSession session, BrokerSession broker, int maxBody) {
+  AmqpChannel(int id, AmqpSession session, BrokerSession broker, int maxBodyBytes) {
     this.id = id;
     this.session = session;
     this.broker = broker;
-    this.maxBodyBytes = maxBody;
+    this.maxBodyBytes = maxBodyBytes;
   }
 
   private void send(MethodKind kind, Object... arguments) {
     session.send(id, Method.of(kind, arguments));
   }
 
-  /** Processes a method; false: the channel is closed. */
+  /** Handles a method. Returns {@code false} if the channel is closed afterwards. */
   boolean handle(Method method) throws AmqpException {
     if (method.kind() == MethodKind.CHANNEL_CLOSE) {
       if (!closing) {
@@ -47,7 +47,7 @@
       return false;
     }
     if (closing) {
-      // Until the peer has answered close-ok, whatever it sends is dropped.
+      // Everything that the peer sends before close-ok is discarded.
       return method.kind() != MethodKind.CHANNEL_CLOSE_OK;
     }
     if (incoming != null) {
@@ -141,7 +141,7 @@
     }
   }
 
-  /** The queue of a name, or the last one declared if the name is empty; it must exist. */
+  /** Returns the name of an existing queue. An empty name refers to the last declared queue. */
   private String resolveQueue(String queue) throws AmqpException {
     String name = queue.isEmpty() ? lastQueue : queue;
     if (broker.status(name) == null) {
@@ -221,7 +221,7 @@
     if (tags.size() >= MAX_CONSUMERS) {
       throw new AmqpException(ReplyCode.RESOURCE_LOCKED, "too many consumers on one channel");
     }
-    // Deliveries wait for a record, so none is sent before consume-ok.
+    // Deliveries are recorded before they are sent, so none precedes consume-ok.
     broker.consume(id, tag, queue, noAck);
     tags.add(tag);
     if (!noWait) {
@@ -241,7 +241,7 @@
     incoming = new IncomingPublish(method.text(1), method.text(2), mandatory);
   }
 
-  /** Processes a content header; the body follows, unless it is empty. */
+  /** Reads a content header, and publishes the message if its body is empty. */
   void readHeader(ByteBuffer in) throws AmqpException {
     if (closing) {
       return;
@@ -260,7 +260,7 @@
     publishIfComplete();
   }
 
-  /** Processes a frame of the content body. */
+  /** Reads a frame of the content body, and publishes the message if it is complete. */
   void readBody(ByteBuffer in) throws AmqpException {
     if (closing) {
       return;
@@ -276,29 +276,30 @@
     if (!incoming.complete()) {
       return;
     }
-    IncomingPublish whole = incoming;
+    IncomingPublish completed = incoming;
     incoming = null;
     long number = confirmMode ? confirms.next() : --lastPublish;
-    if (broker.status(whole.routingKey()) != null) {
+    if (broker.status(completed.routingKey()) != null) {
       broker.publish(
           id,
           number,
-          whole.routingKey(),
-          new BrokerSession.Content(whole.properties(), whole.body()));
-    } else if (whole.mandatory()) {
+          completed.routingKey(),
+          new BrokerSession.Content(completed.properties(), completed.body()));
+    } else if (completed.mandatory()) {
       send(
           MethodKind.BASIC_RETURN,
           312L,
           ReplyCode.NO_ROUTE.name(),
-          whole.exchange(),
-          whole.routingKey());
-      session.sendContent(id, whole.properties().bytes(), whole.body());
+          completed.exchange(),
+          completed.routingKey());
+      session.sendContent(id, completed.properties().bytes(), completed.body());
       if (confirmMode) {
         confirmPublishes(List.of(number));
       }
     } else {
       rejectPublish(
-          number, new AmqpException(ReplyCode.NOT_FOUND, "no queue '" + whole.routingKey() + "'"));
+          number,
+          new AmqpException(ReplyCode.NOT_FOUND, "no queue '" + completed.routingKey() + "'"));
     }
   }
 
@@ -312,25 +313,27 @@
     }
   }
 
-  /** Rejects a publish: with confirms by a nack, without them by closing the channel. */
-  void rejectPublish(long number, AmqpException why) {
+  /** Rejects a publish. Sends a nack in confirm mode, and closes the channel otherwise. */
+  void rejectPublish(long number, AmqpException reason) {
     if (closing) {
       return;
     }
     if (number > 0 && confirms.reject(number)) {
       send(MethodKind.BASIC_NACK, number, false, false);
     } else if (number < 0) {
-      close(why, MethodKind.BASIC_PUBLISH);
+      close(reason, MethodKind.BASIC_PUBLISH);
     }
   }
 
-  private void settle(long tag, boolean multiple, BrokerSession.Settlement how)
+  private void settle(long tag, boolean multiple, BrokerSession.Settlement settlement)
       throws AmqpException {
     List<Object> settled = unsettled.settle(tag, multiple);
-    settled.forEach(handle -> broker.settle(id, handle, how));
+    settled.forEach(handle -> broker.settle(id, handle, settlement));
   }
 
-  /** Delivers a message; false: the consumer is gone and nothing was sent. */
+  /**
+   * Delivers a message. Returns {@code false} and sends nothing if the consumer no longer exists.
+   */
   boolean deliver(OutgoingDelivery delivery, String tag) {
     if (closing || !tags.contains(tag)) {
       return false;
@@ -346,7 +349,10 @@
     return true;
   }
 
-  /** Answers a get; a null delivery: the queue is empty. False: no get is pending. */
+  /**
+   * Answers a get. A {@code null} delivery means that no message is available. Returns {@code
+   * false} if no get is pending.
+   */
   boolean answerGet(OutgoingDelivery delivery, int left) {
     if (closing || !getPending) {
       return false;
@@ -367,15 +373,15 @@
     return true;
   }
 
-  /** Cancels a consumer on the server's side, and notifies a peer that understands it. */
-  void cancelConsumer(String tag, boolean tell) {
-    if (!closing && tags.remove(tag) && tell) {
+  /** Cancels a consumer on behalf of the server, and notifies the peer if requested. */
+  void cancelConsumer(String tag, boolean notifyPeer) {
+    if (!closing && tags.remove(tag) && notifyPeer) {
       send(MethodKind.BASIC_CANCEL, tag, true);
     }
   }
 
-  /** Closes the channel on the server's side; the peer must still answer close-ok. */
-  void close(AmqpException why, MethodKind cause) {
+  /** Closes the channel on behalf of the server. The peer must still answer with close-ok. */
+  void close(AmqpException reason, MethodKind cause) {
     if (closing) {
       return;
     }
@@ -384,8 +390,8 @@
     broker.channelClosed(id);
     send(
         MethodKind.CHANNEL_CLOSE,
-        (long) why.code().number(),
-        why.replyText(),
+        (long) reason.code().number(),
+        reason.replyText(),
         cause == null ? 0L : (long) cause.classId(),
         cause == null ? 0L : (long) cause.methodId());
   }
--- a/src/main/java/io/saltflow/amqp/AmqpSession.java
+++ b/src/main/java/io/saltflow/amqp/AmqpSession.java
@@ -8,15 +8,18 @@
 import java.util.Map;
 
 /**
- * One AMQP 0-9-1 connection as its server sees it: bytes and times in, bytes out, and calls to the
- * {@link BrokerSession}. It knows no socket and no clock.
+ * The server side of an AMQP 0-9-1 connection. It receives bytes with their times, sends bytes, and
+ * calls the {@link BrokerSession}. It uses no socket and no clock.
  */
 public final class AmqpSession {
   private static final TimeSpan HANDSHAKE_TIMEOUT = TimeSpan.seconds(10);
   private static final TimeSpan CLOSE_TIMEOUT = TimeSpan.seconds(5);
   private static final String MECHANISMS = "PLAIN";
 
-  /** The limits offered to clients. Frames and bodies in bytes; heartbeat 0: none. */
+  /**
+   * The limits offered to clients. Frame and body sizes are in bytes. A heartbeat of 0 disables
+   * heartbeats.
+   */
   public record Limits(int channels, int frameMax, TimeSpan heartbeat, int maxBodyBytes) {}
 
   /** The output of a session. */
@@ -24,7 +27,7 @@
     /** Sends bytes to the peer. */
     void send(ByteBuffer bytes);
 
-    /** Closes the socket once all bytes are written. */
+    /** Closes the socket after all bytes are written. */
     void close();
   }
 
@@ -56,7 +59,7 @@
   private MonotonicTime now;
   private ByteWriter pending = new ByteWriter();
 
-  /** Creates a session that has received nothing; output is handed to {@code out}. */
+  /** Creates a session for a new connection, which writes to {@code out}. */
   public AmqpSession(Limits limits, Authenticator authenticator, Out out, MonotonicTime now) {
     this.limits = limits;
     this.authenticator = authenticator;
@@ -65,26 +68,26 @@
     this.now = now;
     this.lastReceived = now;
     this.lastSent = now;
-    // Before tuning a peer may only send the small frames of the handshake.
+    // Before tuning, a peer may send only the small frames of the handshake.
     this.reader = new FrameReader(TuneParameters.MIN_FRAME_MAX);
   }
 
-  /** The authenticated user's name; empty before authentication. */
+  /** Returns the authenticated user's name, or an empty string before authentication. */
   public String user() {
     return user;
   }
 
-  /** Whether the handshake is complete and the connection has not been closed. */
+  /** Returns whether the handshake is complete and the connection is not closed. */
   public boolean open() {
     return state == State.OPEN;
   }
 
-  /** The number of open channels. */
+  /** Returns the number of open channels. */
   public int channelCount() {
     return channels.size();
   }
 
-  /** Processes bytes from the peer, which may be split anywhere. */
+  /** Processes bytes from the peer, which may be fragmented at any position. */
   public void feed(ByteBuffer in, MonotonicTime at) {
     now = at;
     lastReceived = at;
@@ -155,7 +158,7 @@
     void run() throws AmqpException;
   }
 
-  /** An error that the protocol calls soft ends the channel, a hard one the connection. */
+  /** Runs a step on a channel. A soft error closes the channel, a hard error the connection. */
   private void runOnChannel(AmqpChannel channel, MethodKind cause, Step step) throws AmqpException {
     if (state == State.CLOSING) {
       return;
@@ -219,14 +222,14 @@
     if (state == State.CLOSING) {
       return;
     }
-    State wanted =
+    State expected =
         switch (method.kind()) {
           case CONNECTION_START_OK -> State.STARTING;
           case CONNECTION_TUNE_OK -> State.TUNING;
           case CONNECTION_OPEN -> State.OPENING;
           default -> null;
         };
-    if (wanted == null || wanted != state) {
+    if (expected == null || expected != state) {
       throw new AmqpException(ReplyCode.COMMAND_INVALID, method.kind() + " is out of place");
     }
     switch (state) {
@@ -259,18 +262,18 @@
     state = State.OPENING;
   }
 
-  /** Sends heartbeats and enforces timeouts. False: the socket can be closed. */
+  /** Sends heartbeats and enforces timeouts. Returns {@code false} if the socket must be closed. */
   public boolean tick(MonotonicTime at) {
     now = at;
     TimeSpan heartbeat = tuning.heartbeat();
-    boolean late =
+    boolean timedOut =
         switch (state) {
           case OPEN -> heartbeat.ms() > 0 && now.since(lastReceived).longerThan(heartbeat.times(2));
           case CLOSING -> now.since(closingSince).longerThan(CLOSE_TIMEOUT);
           case CLOSED -> true;
           default -> now.since(startedAt).longerThan(HANDSHAKE_TIMEOUT);
         };
-    if (late) {
+    if (timedOut) {
       disconnected();
       return false;
     }
@@ -283,14 +286,17 @@
     return true;
   }
 
-  /** The socket has been closed, or is to be: unsettled deliveries are requeued. */
+  /**
+   * Ends the session when the socket is closed or about to be closed. Unsettled deliveries are
+   * released.
+   */
   public void disconnected() {
     state = State.CLOSED;
     channels.clear();
     if (broker != null) {
-      BrokerSession brokerSession = broker;
+      BrokerSession ended = broker;
       broker = null;
-      brokerSession.connectionClosed();
+      ended.connectionClosed();
     }
   }
 
@@ -300,8 +306,8 @@
     out.close();
   }
 
-  /** Closes the connection with a reason; the peer has a moment to answer close-ok. */
-  public void close(AmqpException why) {
+  /** Closes the connection with a reason. The peer has a limited time to answer with close-ok. */
+  public void close(AmqpException reason) {
     if (state == State.CLOSING || state == State.CLOSED) {
       return;
     }
@@ -312,7 +318,11 @@
     send(
         0,
         Method.of(
-            MethodKind.CONNECTION_CLOSE, (long) why.code().number(), why.replyText(), 0L, 0L));
+            MethodKind.CONNECTION_CLOSE,
+            (long) reason.code().number(),
+            reason.replyText(),
+            0L,
+            0L));
     disconnected();
     state = State.CLOSING;
     closingSince = now;
@@ -327,7 +337,7 @@
     Frame.content(pending, channel, properties, body, tuning.frameMax());
   }
 
-  /** Sends what was written since the last call, in one piece. */
+  /** Sends all frames written since the last call as one buffer. */
   public void flush() {
     if (pending.size() > 0) {
       lastSent = now;
@@ -336,7 +346,7 @@
     }
   }
 
-  /** Confirms publishes of a channel, which are recorded. */
+  /** Confirms recorded publishes of a channel. */
   public void confirmPublishes(int channel, List<Long> numbers) {
     AmqpChannel open = channels.get(channel);
     if (open != null) {
@@ -344,27 +354,33 @@
     }
   }
 
-  /** Rejects a publish of a channel, of which nothing is kept. */
-  public void rejectPublish(int channel, long number, AmqpException why) {
+  /** Rejects a publish of a channel that was not recorded. */
+  public void rejectPublish(int channel, long number, AmqpException reason) {
     AmqpChannel open = channels.get(channel);
     if (open != null) {
-      open.rejectPublish(number, why);
+      open.rejectPublish(number, reason);
     }
   }
 
-  /** Delivers a message to a consumer; false: the consumer is gone and nothing was sent. */
+  /**
+   * Delivers a message to a consumer. Returns {@code false} and sends nothing if the consumer no
+   * longer exists.
+   */
   public boolean deliver(int channel, String tag, OutgoingDelivery delivery) {
     AmqpChannel open = channels.get(channel);
     return open != null && open.deliver(delivery, tag);
   }
 
-  /** Answers a get; a null delivery: the queue is empty. False: the channel is gone. */
+  /**
+   * Answers a get. A {@code null} delivery means that no message is available. Returns {@code
+   * false} if the channel is closed or no get is pending.
+   */
   public boolean answerGet(int channel, OutgoingDelivery delivery, int left) {
     AmqpChannel open = channels.get(channel);
     return open != null && open.answerGet(delivery, left);
   }
 
-  /** Cancels a consumer on the server's side. */
+  /** Cancels a consumer on behalf of the server. */
   public void cancelConsumer(int channel, String tag) {
     AmqpChannel open = channels.get(channel);
     if (open != null) {
@@ -372,15 +388,18 @@
     }
   }
 
-  /** Closes a channel on the server's side. */
-  public void closeChannel(int channel, AmqpException why) {
+  /** Closes a channel on behalf of the server. */
+  public void closeChannel(int channel, AmqpException reason) {
     AmqpChannel open = channels.get(channel);
     if (open != null) {
-      open.close(why, null);
+      open.close(reason, null);
     }
   }
 
-  /** Tells publishers that nothing is accepted for now (a reason) or again (null). */
+  /**
+   * Notifies the client that publishes are blocked for a reason, or unblocked if it is {@code
+   * null}.
+   */
   public void setBlocked(String reason) {
     if (state != State.OPEN || blocked == (reason != null)) {
       return;
--- a/src/main/java/io/saltflow/amqp/BrokerSession.java
+++ b/src/main/java/io/saltflow/amqp/BrokerSession.java
@@ -1,51 +1,57 @@
 package io.saltflow.amqp;
 
 /**
- * The broker behind one connection: its queues, as the connection's session asks for them. Answers
- * that have to wait for a record come back to the session later, by the numbers that are given
- * here.
+ * The broker behind one connection. Answers that must wait until an entry is recorded are passed to
+ * the {@link AmqpSession} later, with the numbers given here.
  */
 public interface BrokerSession {
-  /** A message as it was published. */
+  /** The content of a published message. */
   record Content(MessageProperties properties, byte[] body) {}
 
-  /** What passive declaration tells. */
+  /** The numbers of waiting messages and of consumers of a queue. */
   record Status(int messages, int consumers) {}
 
-  /** What a consumer says of a delivery. */
+  /** How a consumer settles a delivery. */
   enum Settlement {
     ACK,
     REJECT,
     REQUEUE
   }
 
-  /** Null when the virtual host has no such queue. */
+  /** Returns the status of a queue, or {@code null} if the virtual host has no such queue. */
   Status status(String queue);
 
   /**
-   * Answered by {@link AmqpSession#confirmPublishes} or {@link AmqpSession#rejectPublish}, confirms
-   * asked for or not.
+   * Publishes a message. The answer is {@link AmqpSession#confirmPublishes} or {@link
+   * AmqpSession#rejectPublish}, also without confirm mode.
    */
   void publish(int channel, long number, String queue, Content content);
 
-  /** Adds a consumer; the error is the reply to the client. */
+  /**
+   * Adds a consumer.
+   *
+   * @throws AmqpException the reply to the client if the queue cannot be consumed
+   */
   void consume(int channel, String tag, String queue, boolean noAck) throws AmqpException;
 
-  /** Cancels a consumer; what it holds may still be settled. */
+  /** Cancels a consumer. Its outstanding deliveries may still be settled. */
   void cancel(int channel, String tag);
 
-  /** Answered by {@link AmqpSession#answerGet}. */
+  /** Requests one message. The answer is {@link AmqpSession#answerGet}. */
   void get(int channel, String queue, boolean noAck) throws AmqpException;
 
-  /** How many deliveries may be unacknowledged, of each consumer to come or of the channel. */
+  /**
+   * Sets the maximum number of unacknowledged deliveries, either for each later consumer of the
+   * channel or for the whole channel.
+   */
   void prefetch(int channel, int count, boolean wholeChannel);
 
-  /** The handle is the one that came with the delivery. */
+  /** Settles the delivery that was sent with this handle. */
   void settle(int channel, Object handle, Settlement how);
 
-  /** The channel has ended, with its consumers; deliveries not settled are given back. */
+  /** Removes a closed channel with its consumers, and releases unsettled deliveries. */
   void channelClosed(int channel);
 
-  /** The connection has ended: as {@link #channelClosed} for each channel. Called once. */
+  /** Ends the session as {@link #channelClosed} does for each channel. Called once. */
   void connectionClosed();
 }
--- a/src/main/java/io/saltflow/amqp/ByteWriter.java
+++ b/src/main/java/io/saltflow/amqp/ByteWriter.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** Bytes that are written one after the other, big-endian. */
+/** A growing byte buffer with big-endian integers. */
 final class ByteWriter {
   private byte[] bytes = new byte[64];
   private int size;
@@ -47,20 +47,20 @@
     return size;
   }
 
-  /** Writes a length over the four bytes at the given place. */
-  void patchLength(int at) {
-    long length = (long) size - at - 4;
-    bytes[at] = (byte) (length >> 24);
-    bytes[at + 1] = (byte) (length >> 16);
-    bytes[at + 2] = (byte) (length >> 8);
-    bytes[at + 3] = (byte) length;
+  /** Overwrites the four bytes at an offset with the number of bytes that follow them. */
+  void patchLength(int offset) {
+    long length = (long) size - offset - 4;
+    bytes[offset] = (byte) (length >> 24);
+    bytes[offset + 1] = (byte) (length >> 16);
+    bytes[offset + 2] = (byte) (length >> 8);
+    bytes[offset + 3] = (byte) length;
   }
 
   byte[] toByteArray() {
     return Arrays.copyOf(bytes, size);
   }
 
-  /** What was written, without copying; nothing may be written afterwards. */
+  /** Returns the written bytes without copying. Nothing may be written afterwards. */
   ByteBuffer toBuffer() {
     return ByteBuffer.wrap(bytes, 0, size);
   }
--- a/src/main/java/io/saltflow/amqp/Capabilities.java
+++ b/src/main/java/io/saltflow/amqp/Capabilities.java
@@ -5,13 +5,13 @@
 import java.util.Map;
 
 /**
- * The optional features that a client supports, by the capabilities table of its start-ok.
+ * The optional features that a client announces in the capabilities table of start-ok.
  *
- * @param cancelNotify it understands that the server cancels a consumer
- * @param blocked it understands connection.blocked and connection.unblocked
+ * @param cancelNotify whether the client accepts basic.cancel from the server
+ * @param blocked whether the client accepts connection.blocked and connection.unblocked
  */
 record Capabilities(boolean cancelNotify, boolean blocked) {
-  /** What a client supports that has not said anything. */
+  /** Capabilities of a client that announces none. */
   static final Capabilities NONE = new Capabilities(false, false);
 
   private static final List<String> SERVER_CAPABILITIES =
@@ -23,7 +23,7 @@
           "authentication_failure_close",
           "per_consumer_qos");
 
-  /** The server's properties in connection.start: its product name and its own capabilities. */
+  /** Returns the server's properties for connection.start: product name and capabilities. */
   static Map<String, Object> serverProperties() {
     Map<String, Object> capabilities = new HashMap<>();
     for (String name : SERVER_CAPABILITIES) {
@@ -32,7 +32,10 @@
     return Map.of("product", "saltflow", "capabilities", capabilities);
   }
 
-  /** Reads the client's properties of start-ok; an absent table means no capabilities. */
+  /**
+   * Returns the capabilities in a client's properties of start-ok, or none if there is no such
+   * table.
+   */
   static Capabilities ofClient(Map<String, Object> properties) {
     if (properties.get("capabilities") instanceof Map<?, ?> table) {
       return new Capabilities(
--- a/src/main/java/io/saltflow/amqp/FieldTables.java
+++ b/src/main/java/io/saltflow/amqp/FieldTables.java
@@ -9,8 +9,9 @@
 import java.util.Map;
 
 /**
- * Strings and field tables, AMQP 0-9-1 section 4.2.5 with the types that brokers use. A claimed
- * length is checked against the bytes that there are before anything is set aside for it.
+ * Codec of strings and field tables (AMQP 0-9-1, section 4.2.5), with the field types that brokers
+ * use in practice. A length is checked against the remaining bytes before memory is allocated for
+ * it.
  */
 final class FieldTables {
   private static final int MAX_DEPTH = 8;
@@ -106,7 +107,7 @@
   static void shortString(ByteWriter out, String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     if (bytes.length > MAX_SHORT_STRING) {
-      throw new IllegalArgumentException("longer than a short string");
+      throw new IllegalArgumentException("short string is longer than 255 bytes");
     }
     out.u8(bytes.length).write(bytes);
   }
@@ -116,23 +117,25 @@
     out.u32(bytes.length).write(bytes);
   }
 
-  /** Texts, booleans, longs and maps of these: what the server has to say. */
+  /**
+   * Writes a table of strings, booleans, longs and nested tables, the types that the server sends.
+   */
   static void table(ByteWriter out, Map<String, Object> table) {
-    int at = out.size();
+    int lengthOffset = out.size();
     out.u32(0);
     for (Map.Entry<String, Object> entry : table.entrySet()) {
       shortString(out, entry.getKey());
       value(out, entry.getValue());
     }
-    out.patchLength(at);
+    out.patchLength(lengthOffset);
   }
 
   @SuppressWarnings("unchecked")
   private static void value(ByteWriter out, Object value) {
-    if (value instanceof Boolean signedByte) {
-      out.u8('t').u8(signedByte ? 1 : 0);
-    } else if (value instanceof Long length) {
-      out.u8('l').u64(length);
+    if (value instanceof Boolean bool) {
+      out.u8('t').u8(bool ? 1 : 0);
+    } else if (value instanceof Long number) {
+      out.u8('l').u64(number);
     } else if (value instanceof Map<?, ?> map) {
       out.u8('F');
       table(out, (Map<String, Object>) map);
--- a/src/main/java/io/saltflow/amqp/Frame.java
+++ b/src/main/java/io/saltflow/amqp/Frame.java
@@ -2,7 +2,7 @@
 
 import java.nio.ByteBuffer;
 
-/** A frame as it came; the payload is read once. */
+/** A received frame. Its payload can be read once. */
 record Frame(int type, int channel, ByteBuffer payload) {
   static final int METHOD = 1;
   static final int HEADER = 2;
@@ -10,25 +10,25 @@
   static final int HEARTBEAT = 8;
   static final int END = 0xCE;
 
-  /** Bytes of a frame besides its payload. */
+  /** Bytes of a frame in addition to its payload. */
   static final int OVERHEAD_BYTES = 8;
 
   static void method(ByteWriter out, int channel, Method method) {
-    int at = begin(out, METHOD, channel);
+    int lengthOffset = begin(out, METHOD, channel);
     method.encode(out);
-    end(out, at);
+    end(out, lengthOffset);
   }
 
-  /** A content's header and body, in frames no longer than the peer takes. */
+  /** Writes a content header and body in frames of at most {@code frameMax} bytes. */
   static void content(ByteWriter out, int channel, byte[] properties, byte[] body, int frameMax) {
-    int at = begin(out, HEADER, channel);
+    int lengthOffset = begin(out, HEADER, channel);
     out.u16(MethodKind.BASIC_CLASS).u16(0).u64(body.length).write(properties);
-    end(out, at);
-    int most = frameMax - OVERHEAD_BYTES;
-    for (int from = 0; from < body.length; from += most) {
-      at = begin(out, BODY, channel);
-      out.write(body, from, Math.min(most, body.length - from));
-      end(out, at);
+    end(out, lengthOffset);
+    int maxPayload = frameMax - OVERHEAD_BYTES;
+    for (int from = 0; from < body.length; from += maxPayload) {
+      lengthOffset = begin(out, BODY, channel);
+      out.write(body, from, Math.min(maxPayload, body.length - from));
+      end(out, lengthOffset);
     }
   }
 
@@ -41,8 +41,8 @@
     return out.size() - 4;
   }
 
-  private static void end(ByteWriter out, int at) {
-    out.patchLength(at);
+  private static void end(ByteWriter out, int lengthOffset) {
+    out.patchLength(lengthOffset);
     out.u8(END);
   }
 }
--- a/src/main/java/io/saltflow/amqp/FrameReader.java
+++ b/src/main/java/io/saltflow/amqp/FrameReader.java
@@ -4,8 +4,8 @@
 import java.util.Arrays;
 
 /**
- * Frames from bytes as they come, however they are cut. A frame is never longer than what was
- * agreed, and memory is set aside for what has come, not for what was claimed.
+ * Reads frames from fragmented input. A frame is never longer than the negotiated maximum, and
+ * memory is allocated for received bytes only, not for the announced length.
  */
 final class FrameReader {
   private static final byte[] PROTOCOL_HEADER = {'A', 'M', 'Q', 'P', 0, 0, 9, 1};
@@ -27,10 +27,10 @@
     frameMax = agreed;
   }
 
-  /** Thrown when the first bytes are not those of AMQP 0-9-1. */
+  /** Thrown if the first bytes are not the protocol header of AMQP 0-9-1. */
   static final class ProtocolMismatchException extends Exception {
     ProtocolMismatchException() {
-      super("another protocol", null, false, false);
+      super("protocol header is not that of AMQP 0-9-1", null, false, false);
     }
   }
 
@@ -38,12 +38,12 @@
     return protocolHeaderRead;
   }
 
-  /** The answer to any other greeting: the version that is spoken here. */
+  /** Returns the header of the supported protocol version, which answers any other header. */
   static ByteBuffer protocolHeader() {
     return ByteBuffer.wrap(PROTOCOL_HEADER.clone());
   }
 
-  /** The next whole frame, or null when more bytes are needed. */
+  /** Returns the next complete frame, or {@code null} if more bytes are needed. */
   Frame next(ByteBuffer in) throws AmqpException, ProtocolMismatchException {
     if (!protocolHeaderRead && !readProtocolHeader(in)) {
       return null;
@@ -95,8 +95,8 @@
   private boolean payload(ByteBuffer in) {
     int count = Math.min(payloadLength - payloadSize, in.remaining());
     if (payloadSize + count > payload.length) {
-      int grown = Math.max(payloadSize + count, payload.length * 2);
-      payload = Arrays.copyOf(payload, Math.min(payloadLength, grown));
+      int newLength = Math.max(payloadSize + count, payload.length * 2);
+      payload = Arrays.copyOf(payload, Math.min(payloadLength, newLength));
     }
     in.get(payload, payloadSize, count);
     payloadSize += count;
--- a/src/main/java/io/saltflow/amqp/IncomingPublish.java
+++ b/src/main/java/io/saltflow/amqp/IncomingPublish.java
@@ -39,12 +39,12 @@
     return body;
   }
 
-  /** Whether the content header has arrived. */
+  /** Returns whether the content header has arrived. */
   boolean hasHeader() {
     return properties != null;
   }
 
-  /** Whether the whole content has arrived. */
+  /** Returns whether the whole content has arrived. */
   boolean complete() {
     return received == body.length;
   }
@@ -52,10 +52,10 @@
   /**
    * Reads the content header.
    *
-   * @param maxBody the most bytes that a body may have
+   * @param maxBodyBytes the maximum size of a body
    * @throws AmqpException CONTENT_TOO_LARGE ends only this publish; other codes are framing errors
    */
-  void readHeader(ByteBuffer in, int maxBody) throws AmqpException {
+  void readHeader(ByteBuffer in, int maxBodyBytes) throws AmqpException {
     if (in.remaining() < HEADER_BYTES) {
       throw new AmqpException(ReplyCode.SYNTAX_ERROR, "a content header is cut short");
     }
@@ -66,8 +66,8 @@
       throw new AmqpException(ReplyCode.FRAME_ERROR, "a content header of class " + classId);
     }
     properties = MessageProperties.decode(in);
-    if (size < 0 || size > maxBody) {
-      throw new AmqpException(ReplyCode.CONTENT_TOO_LARGE, "more than " + maxBody + " bytes");
+    if (size < 0 || size > maxBodyBytes) {
+      throw new AmqpException(ReplyCode.CONTENT_TOO_LARGE, "more than " + maxBodyBytes + " bytes");
     }
     body = new byte[(int) size];
   }
--- a/src/main/java/io/saltflow/amqp/MessageProperties.java
+++ b/src/main/java/io/saltflow/amqp/MessageProperties.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * A message's properties, kept as the bytes they came in and handed on unchanged; what the queues
- * need is read out of them. Null: not given.
+ * A message's properties. The encoded bytes are forwarded unchanged. {@code messageId} and {@code
+ * expiration} are decoded from them, and are null if absent.
  */
 public record MessageProperties(byte[] bytes, String messageId, String expiration) {
   private static final int CONTENT_TYPE = 15;
@@ -21,7 +21,7 @@
   private static final int LOWEST_PROPERTY = 2;
   private static final int PERSISTENT = 2;
 
-  /** Reads the flags and values of a content header, which must fill the rest of it. */
+  /** Returns the properties decoded from the remaining bytes of a content header. */
   static MessageProperties decode(ByteBuffer in) throws AmqpException {
     byte[] bytes = new byte[in.remaining()];
     in.get(in.position(), bytes);
@@ -51,7 +51,10 @@
     return new MessageProperties(bytes, texts.get(MESSAGE_ID), texts.get(EXPIRATION));
   }
 
-  /** The properties of a result: JSON, durable, with the id of the message that it answers. */
+  /**
+   * Returns the encoded properties of a persistent JSON result, whose message and correlation ids
+   * are the id of the completed message.
+   */
   public static byte[] ofResult(String id) {
     ByteWriter out = new ByteWriter();
     out.u16(1 << CONTENT_TYPE | 1 << DELIVERY_MODE | 1 << CORRELATION_ID | 1 << MESSAGE_ID);
--- a/src/main/java/io/saltflow/amqp/Method.java
+++ b/src/main/java/io/saltflow/amqp/Method.java
@@ -6,39 +6,46 @@
 import java.util.List;
 import java.util.Map;
 
-/** A method with its arguments, to and from the payload of a method frame. */
+/** A method with its arguments, as in the payload of a method frame. */
 public record Method(MethodKind kind, List<Object> arguments) {
 
-  /** Arguments in the order of the wire: longs, texts, booleans and maps, as the kind says. */
+  /**
+   * Returns a method with arguments in wire order: longs, strings, booleans and maps, as declared
+   * by its kind.
+   */
   public static Method of(MethodKind kind, Object... arguments) {
     if (arguments.length != kind.arguments().size()) {
-      throw new IllegalArgumentException(kind + " takes " + kind.arguments());
+      throw new IllegalArgumentException(kind + " requires the arguments " + kind.arguments());
     }
     return new Method(kind, List.of(arguments));
   }
 
-  /** The argument at an index, a string. */
+  /** Returns the string argument at an index. */
   public String text(int index) {
     return (String) arguments.get(index);
   }
 
-  /** The argument at an index, an integer. */
+  /** Returns the integer argument at an index. */
   public long number(int index) {
     return ((Number) arguments.get(index)).longValue();
   }
 
-  /** The argument at an index, a bit. */
+  /** Returns the bit argument at an index. */
   public boolean flag(int index) {
     return (Boolean) arguments.get(index);
   }
 
-  /** The argument at an index, a field table. */
+  /** Returns the field table argument at an index. */
   @SuppressWarnings("unchecked")
   public Map<String, Object> table(int index) {
     return (Map<String, Object>) arguments.get(index);
   }
 
-  /** Reads a method; a syntax error when it does not fill its payload exactly. */
+  /**
+   * Returns the decoded method of a payload.
+   *
+   * @throws AmqpException if the method is unknown or does not fill the payload exactly
+   */
   public static Method decode(ByteBuffer in) throws AmqpException {
     try {
       int classId = in.getShort() & 0xffff;
@@ -84,7 +91,7 @@
       case SHORTSTR -> FieldTables.shortString(in);
       case LONGSTR -> FieldTables.longString(in);
       case TABLE -> FieldTables.table(in);
-      case BIT -> throw new IllegalArgumentException("bits are packed");
+      case BIT -> throw new IllegalArgumentException("bits are decoded in packed form");
     };
   }
 
--- a/src/main/java/io/saltflow/amqp/MethodKind.java
+++ b/src/main/java/io/saltflow/amqp/MethodKind.java
@@ -14,8 +14,8 @@
 import java.util.Map;
 
 /**
- * The methods of AMQP 0-9-1 with their numbers and arguments, in the order of the wire, after its
- * specification and the extensions confirm, basic.nack and connection.blocked that brokers share.
+ * The methods of AMQP 0-9-1 with their numbers and their arguments in wire order. Includes the
+ * common extensions confirm, basic.nack and connection.blocked.
  */
 public enum MethodKind {
   CONNECTION_START(10, 10, OCTET, OCTET, TABLE, LONGSTR, LONGSTR),
@@ -70,7 +70,10 @@
   TX_COMMIT(90, 20),
   TX_ROLLBACK(90, 30);
 
-  /** The elementary types of arguments. Integers are read as long, strings as text. */
+  /**
+   * The elementary types of arguments. Integers are decoded as {@code long}, strings as {@code
+   * String}.
+   */
   enum Type {
     OCTET,
     SHORT,
@@ -102,12 +105,12 @@
     this.arguments = List.of(arguments);
   }
 
-  /** The number of the method's class. */
+  /** Returns the number of the method's class. */
   public int classId() {
     return classId;
   }
 
-  /** The method's number within its class. */
+  /** Returns the method's number within its class. */
   public int methodId() {
     return methodId;
   }
@@ -116,7 +119,7 @@
     return arguments;
   }
 
-  /** The method of these numbers, or null. */
+  /** Returns the method with these numbers, or {@code null} if it is unknown. */
   static MethodKind of(int classId, int methodId) {
     return BY_NUMBER.get(classId << 16 | methodId);
   }
--- a/src/main/java/io/saltflow/amqp/OutgoingDelivery.java
+++ b/src/main/java/io/saltflow/amqp/OutgoingDelivery.java
@@ -3,10 +3,10 @@
 /**
  * A message for a consumer.
  *
- * @param handle passed back when the delivery is settled
- * @param queue the name of the queue that it comes from
- * @param redelivered whether a consumer may have had it before
- * @param noAck whether it counts as settled once it is sent
+ * @param handle passed to the broker when the delivery is settled
+ * @param queue the name of the message's queue
+ * @param redelivered whether a consumer may have received the message before
+ * @param noAck whether the delivery is settled as soon as it is sent
  * @param properties the encoded properties, as the publisher sent them
  */
 public record OutgoingDelivery(
--- a/src/main/java/io/saltflow/amqp/PublisherConfirms.java
+++ b/src/main/java/io/saltflow/amqp/PublisherConfirms.java
@@ -5,15 +5,15 @@
 import java.util.List;
 import java.util.TreeSet;
 
-/** Publishes of one channel that are not answered yet, and as few answers as say it all. */
+/** The unconfirmed publishes of a channel. Combines confirms into as few acks as possible. */
 final class PublisherConfirms {
-  /** One basic.ack. */
+  /** The arguments of a basic.ack. */
   record Ack(long number, boolean multiple) {}
 
   private final TreeSet<Long> unconfirmed = new TreeSet<>();
   private long lastNumber;
 
-  /** The number of the next publish. */
+  /** Returns the number of the next publish and adds it to the unconfirmed ones. */
   long next() {
     unconfirmed.add(++lastNumber);
     return lastNumber;
@@ -23,12 +23,15 @@
     return unconfirmed.remove(number);
   }
 
-  /** What to send for these: all up to one that leaves none open before it, then single ones. */
+  /**
+   * Returns the acks for these publishes: one for all publishes before the first unconfirmed one,
+   * then one for each remaining publish.
+   */
   Collection<Ack> acks(Collection<Long> numbers) {
     TreeSet<Long> known = new TreeSet<>();
-    for (long n : numbers) {
-      if (unconfirmed.remove(n)) {
-        known.add(n);
+    for (long number : numbers) {
+      if (unconfirmed.remove(number)) {
+        known.add(number);
       }
     }
     List<Ack> out = new ArrayList<>();
@@ -37,8 +40,8 @@
             ? (known.isEmpty() ? null : known.last())
             : known.lower(unconfirmed.first());
     if (upTo != null) {
-      int together = known.headSet(upTo, true).size();
-      out.add(new Ack(upTo, together > 1));
+      int count = known.headSet(upTo, true).size();
+      out.add(new Ack(upTo, count > 1));
       known.headSet(upTo, true).clear();
     }
     known.forEach(n -> out.add(new Ack(n, false)));
--- a/src/main/java/io/saltflow/amqp/ReplyCode.java
+++ b/src/main/java/io/saltflow/amqp/ReplyCode.java
@@ -1,6 +1,6 @@
 package io.saltflow.amqp;
 
-/** Reply codes of AMQP 0-9-1, section 1.2 of its reference: the ones that are used here. */
+/** The reply codes of AMQP 0-9-1 (reference, section 1.2) that this server uses. */
 public enum ReplyCode {
   REPLY_SUCCESS(200, false),
   CONTENT_TOO_LARGE(311, false),
@@ -29,12 +29,12 @@
     this.hard = hard;
   }
 
-  /** The code's number on the wire. */
+  /** Returns the code's number on the wire. */
   public int number() {
     return number;
   }
 
-  /** Whether it ends the whole connection rather than one channel. */
+  /** Returns whether the error closes the connection instead of one channel. */
   public boolean hard() {
     return hard;
   }
--- a/src/main/java/io/saltflow/amqp/TuneParameters.java
+++ b/src/main/java/io/saltflow/amqp/TuneParameters.java
@@ -3,20 +3,24 @@
 import io.saltflow.model.TimeSpan;
 
 /**
- * What client and server agree on by connection.tune and tune-ok.
+ * The parameters that client and server negotiate by connection.tune and tune-ok.
  *
  * @param channelMax the highest channel number
  * @param frameMax the largest frame, in bytes
- * @param heartbeat the heartbeat interval; 0: none
+ * @param heartbeat the heartbeat interval, or 0 if heartbeats are disabled
  */
 record TuneParameters(int channelMax, int frameMax, TimeSpan heartbeat) {
-  /** The least frame size that a peer must accept, by the specification. */
+  /** Minimum frame size that the specification requires every peer to accept, in bytes. */
   static final int MIN_FRAME_MAX = 4096;
 
-  /** Before tuning: only the small frames of the handshake, and no heartbeats. */
+  /** Parameters before tuning, with small frames and without heartbeats. */
   static final TuneParameters INITIAL = new TuneParameters(0, MIN_FRAME_MAX, TimeSpan.millis(0));
 
-  /** The parameters of a client's tune-ok; 0 stands for the server's offer. */
+  /**
+   * Returns the parameters of a client's tune-ok, where 0 selects the server's offer.
+   *
+   * @throws AmqpException if the client exceeds the offer
+   */
   static TuneParameters negotiate(AmqpSession.Limits offer, Method tuneOk) throws AmqpException {
     long channels = tuneOk.number(0);
     long frame = tuneOk.number(1);
--- a/src/main/java/io/saltflow/amqp/UnsettledDeliveries.java
+++ b/src/main/java/io/saltflow/amqp/UnsettledDeliveries.java
@@ -5,12 +5,15 @@
 import java.util.NavigableMap;
 import java.util.TreeMap;
 
-/** The delivery tags of a channel, and the handles of deliveries that are not settled yet. */
+/** Assigns the delivery tags of a channel and holds the handles of unsettled deliveries. */
 final class UnsettledDeliveries {
   private final NavigableMap<Long, Object> handles = new TreeMap<>();
   private long lastTag;
 
-  /** The tag of a new delivery; one that needs no acknowledgement is not kept. */
+  /**
+   * Returns the tag of a new delivery. The handle is kept only if the delivery must be
+   * acknowledged.
+   */
   long add(OutgoingDelivery delivery) {
     long tag = ++lastTag;
     if (!delivery.noAck()) {
@@ -22,7 +25,8 @@
   /**
    * Removes and returns the handles that an acknowledgement settles.
    *
-   * @param multiple whether it settles all up to the tag; with tag 0 all there are
+   * @param multiple whether it settles all deliveries up to the tag, or all deliveries if the tag
+   *     is 0
    * @throws AmqpException PRECONDITION_FAILED for a tag that is unknown or was settled before
    */
   List<Object> settle(long tag, boolean multiple) throws AmqpException {
@@ -37,7 +41,8 @@
     } else {
       Object handle = handles.remove(tag);
       if (handle == null) {
-        // A repeated acknowledgement can't be told from one of a tag that was never issued.
+        // A repeated acknowledgement is indistinguishable from one with a tag that was never
+        // issued.
         throw unknownTag(tag);
       }
       settled.add(handle);
--- a/src/main/java/io/saltflow/amqp/package-info.java
+++ b/src/main/java/io/saltflow/amqp/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The server's side of AMQP 0-9-1 as a state machine: bytes and times in, bytes and calls to a
- * broker interface out. It has no sockets and no clock. {@code docs/AMQP.md} says which parts of
- * the standard are supported.
+ * The server side of AMQP 0-9-1 as a state machine. It receives bytes with their times, sends
+ * bytes, and calls a broker interface. It uses no sockets and no clock. {@code docs/AMQP.md} lists
+ * the supported parts of the standard.
  */
 package io.saltflow.amqp;
--- a/src/test/java/io/saltflow/amqp/AmqpForms.java
+++ b/src/test/java/io/saltflow/amqp/AmqpForms.java
@@ -8,14 +8,14 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Every method of the protocol, content, and what the server says of itself. */
+/** Encoded samples of every AMQP method, of content and of the server's properties. */
 public final class AmqpForms {
   private static final int MAX_FRAME_BYTES = 1 << 20;
   private static final int CHANNEL = 1;
 
   private AmqpForms() {}
 
-  /** A form for each method and kind of frame. */
+  /** Returns a sample of each method and kind of frame. */
   public static List<StoredForm> all() {
     List<StoredForm> forms = new ArrayList<>();
     for (MethodKind kind : MethodKind.values()) {
@@ -34,9 +34,9 @@
         StoredForm.current(
             "amqp properties of a result",
             MessageProperties.ofResult("m-1"),
-            b ->
+            bytes ->
                 MessageProperties.ofResult(
-                    MessageProperties.decode(ByteBuffer.wrap(b)).messageId())));
+                    MessageProperties.decode(ByteBuffer.wrap(bytes)).messageId())));
     return forms;
   }
 
@@ -98,7 +98,7 @@
     return out.toByteArray();
   }
 
-  /** The server's first method: its arguments in order, the table's by name. */
+  /** Returns the arguments of connection.start in order, with tables sorted by field name. */
   public static List<String> connectionStart()
       throws AmqpException, FrameReader.ProtocolMismatchException {
     ByteWriter sent = new ByteWriter();
--- a/src/test/java/io/saltflow/amqp/AmqpSessionTest.java
+++ b/src/test/java/io/saltflow/amqp/AmqpSessionTest.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** A connection as its client sees it, and what the queues are asked by it. */
+/** Tests of the frames that a client receives and of the calls to the broker. */
 class AmqpSessionTest {
   private static final byte[] CONVERSATION =
       Peer.join(
@@ -31,7 +31,10 @@
           Peer.method(
               1, MethodKind.BASIC_CONSUME, 0L, "q", "me", false, false, false, false, Map.of()));
 
-  /** What the queues are asked, then what the client is sent: how these mix depends on the cuts. */
+  /**
+   * Returns the broker calls followed by the sent frames, because their interleaving depends on the
+   * fragmentation.
+   */
   private static List<String> sorted(Peer peer) {
     List<String> out = new ArrayList<>(peer.lines);
     out.sort(Comparator.comparing(line -> line.startsWith("<-")));
@@ -57,7 +60,7 @@
         Peer.method(1, MethodKind.BASIC_ACK, 2L, true),
         Peer.method(1, MethodKind.BASIC_NACK, 3L, false, true),
         Peer.method(1, MethodKind.BASIC_CANCEL, "me", false));
-    assertFalse(peer.deliver("me"), "a cancelled consumer gets nothing");
+    assertFalse(peer.deliver("me"), "delivered to a cancelled consumer");
     peer.feed(
         Peer.method(1, MethodKind.BASIC_ACK, 3L, false),
         Peer.publish(1, "q", "dropped"),
@@ -70,20 +73,20 @@
     GoldenTraces.check("amqp-conversation", trace);
   }
 
-  /** Frames come cut anywhere: what is done does not depend on it. */
+  /** Guards against a result that depends on how the input is fragmented. */
   @Test
   void sessionIsIndependentOfInputFragmentation() {
-    List<String> whole = sorted(sessionFedInPieces(CONVERSATION.length));
-    assertTrue(whole.contains("   publish 3 to q: 5000 bytes"), whole.toString());
+    List<String> expected = sorted(sessionFedInPieces(CONVERSATION.length));
+    assertTrue(expected.contains("   publish 3 to q: 5000 bytes"), expected.toString());
     for (int size = 1; size < 40; size++) {
-      assertEquals(whole, sorted(sessionFedInPieces(size)), "pieces of " + size);
+      assertEquals(expected, sorted(sessionFedInPieces(size)), "pieces of " + size);
     }
     for (int cut = 1; cut < CONVERSATION.length; cut++) {
       Peer peer = new Peer();
       peer.feed(
           Arrays.copyOf(CONVERSATION, cut),
           Arrays.copyOfRange(CONVERSATION, cut, CONVERSATION.length));
-      assertEquals(whole, sorted(peer), "cut at " + cut);
+      assertEquals(expected, sorted(peer), "cut at " + cut);
     }
   }
 
@@ -139,7 +142,7 @@
     assertFalse(wrong.session.open());
   }
 
-  /** The socket may stay open after the peer has died: heartbeats tell. */
+  /** Guards against sessions that outlive a dead peer whose socket stays open. */
   @Test
   void connectionEndsAfterMissedHeartbeatsOrSlowHandshake() {
     Peer peer = new Peer().open();
@@ -153,22 +156,22 @@
     assertEquals("   connection ends", peer.lines.get(peer.lines.size() - 1));
     Peer slow = new Peer();
     slow.feed(Peer.protocolHeader());
-    assertFalse(slow.session.tick(slow.now.plus(TimeSpan.seconds(11))), "a handshake takes 10 s");
+    assertFalse(
+        slow.session.tick(slow.now.plus(TimeSpan.seconds(11))),
+        "handshake timeout did not end the session");
   }
 
   @Test
   void confirmsAreCombinedIntoMultipleAcks() {
-    PublisherConfirms publisherConfirms = new PublisherConfirms();
+    PublisherConfirms confirms = new PublisherConfirms();
     for (int i = 0; i < 6; i++) {
-      publisherConfirms.next();
+      confirms.next();
     }
-    assertEquals(
-        List.of(new PublisherConfirms.Ack(2, true)), publisherConfirms.acks(List.of(2L, 1L)));
-    assertEquals(List.of(new PublisherConfirms.Ack(4, false)), publisherConfirms.acks(List.of(4L)));
-    assertTrue(publisherConfirms.reject(3));
-    assertEquals(
-        List.of(new PublisherConfirms.Ack(6, true)), publisherConfirms.acks(List.of(5L, 6L, 6L)));
-    assertEquals(List.of(), publisherConfirms.acks(List.of(6L)), "once each");
+    assertEquals(List.of(new PublisherConfirms.Ack(2, true)), confirms.acks(List.of(2L, 1L)));
+    assertEquals(List.of(new PublisherConfirms.Ack(4, false)), confirms.acks(List.of(4L)));
+    assertTrue(confirms.reject(3));
+    assertEquals(List.of(new PublisherConfirms.Ack(6, true)), confirms.acks(List.of(5L, 6L, 6L)));
+    assertEquals(List.of(), confirms.acks(List.of(6L)), "publish was acknowledged twice");
   }
 
   @Test
--- a/src/test/java/io/saltflow/amqp/FrameFuzzTarget.java
+++ b/src/test/java/io/saltflow/amqp/FrameFuzzTarget.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.util.Map;
 
-/** Frames, methods and properties of whatever bytes come after a greeting. */
+/** Fuzz target for the decoding of frames, methods and properties from arbitrary bytes. */
 public final class FrameFuzzTarget {
   private static final int FRAME_MAX = 4096;
 
@@ -15,28 +15,31 @@
     try {
       reader.next(ByteBuffer.wrap(Peer.protocolHeader()));
       ByteBuffer in = ByteBuffer.wrap(data);
-      for (Frame f = reader.next(in); f != null; f = reader.next(in)) {
-        if (f.type() == Frame.METHOD) {
-          checkRoundTrip(Method.decode(f.payload()));
-        } else if (f.type() == Frame.HEADER) {
-          MessageProperties.decode(f.payload());
+      for (Frame frame = reader.next(in); frame != null; frame = reader.next(in)) {
+        if (frame.type() == Frame.METHOD) {
+          checkRoundTrip(Method.decode(frame.payload()));
+        } else if (frame.type() == Frame.HEADER) {
+          MessageProperties.decode(frame.payload());
         }
       }
     } catch (AmqpException | FrameReader.ProtocolMismatchException exception) {
-      // Refused, as it should be.
+      // Invalid input must be rejected with one of these exceptions.
     }
   }
 
-  /** What was read can be written, unless a text was no text or a table the server never sends. */
+  /**
+   * Checks that a decoded method encodes to an equal one. Skips strings that are not valid UTF-8,
+   * and tables, which the server encodes only in part.
+   */
   private static void checkRoundTrip(Method method) throws AmqpException {
-    boolean plain =
+    boolean encodable =
         method.arguments().stream()
             .noneMatch(a -> a instanceof Map<?, ?> || a.toString().indexOf('\ufffd') >= 0);
-    if (plain) {
+    if (encodable) {
       ByteWriter out = new ByteWriter();
       method.encode(out);
       if (!Method.decode(out.toBuffer()).equals(method)) {
-        throw new IllegalStateException(method + " is not read as it was written");
+        throw new IllegalStateException(method + " changed when encoded and decoded");
       }
     }
   }
--- a/src/test/java/io/saltflow/amqp/Peer.java
+++ b/src/test/java/io/saltflow/amqp/Peer.java
@@ -9,7 +9,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A client and the queues behind a session, in memory; both tell what they see, a line each. */
+/**
+ * An in-memory client and broker of a session. Both add a line for each frame or call that they
+ * receive.
+ */
 final class Peer implements AmqpSession.Out, Authenticator, BrokerSession {
   static final AmqpSession.Limits LIMITS =
       new AmqpSession.Limits(10, 8192, TimeSpan.seconds(20), 10_000);
@@ -26,7 +29,7 @@
     session = new AmqpSession(LIMITS, this, this, now);
   }
 
-  // ---- What the client sends
+  // ---- Frames from the client
 
   static byte[] protocolHeader() {
     return new byte[] {'A', 'M', 'Q', 'P', 0, 0, 9, 1};
@@ -59,11 +62,11 @@
   }
 
   static byte[] handshake() {
-    Map<String, Object> can =
+    Map<String, Object> clientProperties =
         Map.of("capabilities", Map.of("consumer_cancel_notify", true, "connection.blocked", true));
     return join(
         protocolHeader(),
-        method(0, MethodKind.CONNECTION_START_OK, can, "PLAIN", "\0u\0p", "en_US"),
+        method(0, MethodKind.CONNECTION_START_OK, clientProperties, "PLAIN", "\0u\0p", "en_US"),
         method(0, MethodKind.CONNECTION_TUNE_OK, 10L, 8192L, 20L),
         method(0, MethodKind.CONNECTION_OPEN, "/", "", false),
         method(1, MethodKind.CHANNEL_OPEN, ""));
@@ -75,7 +78,7 @@
     }
   }
 
-  /** Everything so far in pieces of so many bytes. */
+  /** Feeds the bytes in pieces of the given size. */
   void feedInPieces(byte[] bytes, int size) {
     for (int from = 0; from < bytes.length; from += size) {
       int length = Math.min(size, bytes.length - from);
@@ -89,7 +92,7 @@
     return this;
   }
 
-  // ---- What the client sees
+  // ---- Frames to the client
 
   @Override
   public void send(ByteBuffer bytes) {
@@ -102,8 +105,8 @@
         lines.add("<- another greeting");
         return;
       }
-      for (Frame f = reader.next(bytes); f != null; f = reader.next(bytes)) {
-        lines.add("<- " + f.channel() + " " + describe(f));
+      for (Frame frame = reader.next(bytes); frame != null; frame = reader.next(bytes)) {
+        lines.add("<- " + frame.channel() + " " + describe(frame));
       }
     } catch (AmqpException | FrameReader.ProtocolMismatchException exception) {
       throw new IllegalStateException(exception);
@@ -131,10 +134,10 @@
     lines.add("<- closed");
   }
 
-  // ---- What the queues are asked
+  // ---- Calls to the broker
 
-  private void recordCall(String what) {
-    lines.add("   " + what);
+  private void recordCall(String call) {
+    lines.add("   " + call);
   }
 
   @Override
@@ -181,8 +184,8 @@
   }
 
   @Override
-  public void settle(int channel, Object handle, Settlement how) {
-    recordCall("settle " + handle + " " + how);
+  public void settle(int channel, Object handle, Settlement settlement) {
+    recordCall("settle " + handle + " " + settlement);
   }
 
   @Override
