--- a/src/main/java/io/saltflow/amqp/AmqpSession.java
+++ b/src/main/java/io/saltflow/amqp/AmqpSession.java
@@ -16,10 +16,7 @@
   private static final TimeSpan CLOSE_TIMEOUT = TimeSpan.seconds(5);
   private static final String MECHANISMS = "PLAIN";
 
-  /**
-   * The limits offered to clients. Frame and body sizes are in bytes. A heartbeat of 0 disables
-   * heartbeats.
-   */
+  /** The limits offered to clients, in bytes and counts. A heartbeat of 0 disables heartbeats. */
   public record Limits(int channels, int frameMax, TimeSpan heartbeat, int maxBodyBytes) {}
 
   /** The output of a session. */
@@ -93,9 +90,9 @@
     lastReceived = at;
     try {
       while (state != State.CLOSED) {
-        boolean greeted = reader.protocolHeaderRead();
+        boolean headerRead = reader.protocolHeaderRead();
         Frame frame = reader.next(in);
-        if (!greeted && reader.protocolHeaderRead()) {
+        if (!headerRead && reader.protocolHeaderRead()) {
           sendStart();
         }
         if (frame == null) {
@@ -262,7 +259,7 @@
     state = State.OPENING;
   }
 
-  /** Sends heartbeats and enforces timeouts. Returns {@code false} if the socket must be closed. */
+  /** Sends heartbeats and checks timeouts. Returns {@code false} if the socket must be closed. */
   public boolean tick(MonotonicTime at) {
     now = at;
     TimeSpan heartbeat = tuning.heartbeat();
@@ -286,10 +283,7 @@
     return true;
   }
 
-  /**
-   * Ends the session when the socket is closed or about to be closed. Unsettled deliveries are
-   * released.
-   */
+  /** Ends the session before or after the socket is closed, and releases unsettled deliveries. */
   public void disconnected() {
     state = State.CLOSED;
     channels.clear();
@@ -306,8 +300,8 @@
     out.close();
   }
 
-  /** Closes the connection with a reason. The peer has a limited time to answer with close-ok. */
-  public void close(AmqpException reason) {
+  /** Closes the connection. The peer has a limited time to answer with close-ok. */
+  public void close(AmqpException error) {
     if (state == State.CLOSING || state == State.CLOSED) {
       return;
     }
@@ -318,11 +312,7 @@
     send(
         0,
         Method.of(
-            MethodKind.CONNECTION_CLOSE,
-            (long) reason.code().number(),
-            reason.replyText(),
-            0L,
-            0L));
+            MethodKind.CONNECTION_CLOSE, (long) error.code().number(), error.replyText(), 0L, 0L));
     disconnected();
     state = State.CLOSING;
     closingSince = now;
@@ -362,19 +352,13 @@
     }
   }
 
-  /**
-   * Delivers a message to a consumer. Returns {@code false} and sends nothing if the consumer no
-   * longer exists.
-   */
+  /** Sends a delivery. Returns {@code false} if the consumer no longer exists. */
   public boolean deliver(int channel, String tag, OutgoingDelivery delivery) {
     AmqpChannel open = channels.get(channel);
     return open != null && open.deliver(delivery, tag);
   }
 
-  /**
-   * Answers a get. A {@code null} delivery means that no message is available. Returns {@code
-   * false} if the channel is closed or no get is pending.
-   */
+  /** Answers a get, with {@code null} if there is no message. Returns whether it was pending. */
   public boolean answerGet(int channel, OutgoingDelivery delivery, int left) {
     AmqpChannel open = channels.get(channel);
     return open != null && open.answerGet(delivery, left);
@@ -396,10 +380,7 @@
     }
   }
 
-  /**
-   * Notifies the client that publishes are blocked for a reason, or unblocked if it is {@code
-   * null}.
-   */
+  /** Notifies the client that publishes are blocked, or unblocked if there is no reason. */
   public void setBlocked(String reason) {
     if (state != State.OPEN || blocked == (reason != null)) {
       return;
--- a/src/main/java/io/saltflow/broker/AmqpServer.java
+++ b/src/main/java/io/saltflow/broker/AmqpServer.java
@@ -147,18 +147,18 @@
       toFlush.clear();
       flushing.forEach(Connection::flush);
     } else if (effect instanceof Effect.Confirm confirm) {
-      Connection target = publishAnswered(confirm.ticket());
+      Connection target = publishAnswered(confirm.publish());
       if (target != null) {
         confirms
             .computeIfAbsent(target, x -> new LinkedHashMap<>())
-            .computeIfAbsent(confirm.ticket().channel(), x -> new ArrayList<>())
-            .add(confirm.ticket().number());
+            .computeIfAbsent(confirm.publish().channel(), x -> new ArrayList<>())
+            .add(confirm.publish().number());
       }
     } else if (effect instanceof Effect.Refuse refuse) {
-      Connection target = publishAnswered(refuse.ticket());
+      Connection target = publishAnswered(refuse.publish());
       if (target != null) {
         target.session.rejectPublish(
-            refuse.ticket().channel(), refuse.ticket().number(), rejectionError(refuse.why()));
+            refuse.publish().channel(), refuse.publish().number(), rejectionError(refuse.reason()));
       }
     } else if (effect instanceof Effect.Deliver deliver) {
       deliver(deliver);
--- a/src/main/java/io/saltflow/broker/AmqpSettings.java
+++ b/src/main/java/io/saltflow/broker/AmqpSettings.java
@@ -24,8 +24,8 @@
     Map<QueueId, String> templates) {
 
   /**
-   * Limits of one node, in bytes and counts. {@code remembered} and {@code rememberedFor} bound the
-   * number and age of the ids of completed messages.
+   * Limits of one node, in bytes and counts. The ids of completed messages are bounded in number
+   * and age.
    */
   public record Bounds(
       int connections,
--- a/src/main/java/io/saltflow/queues/Effect.java
+++ b/src/main/java/io/saltflow/queues/Effect.java
@@ -6,10 +6,10 @@
 /** An effect for the caller to carry out. All entries that it depends on are durable. */
 public sealed interface Effect {
   /** Acknowledges a publish. */
-  record Confirm(PendingPublish ticket) implements Effect {}
+  record Confirm(PendingPublish publish) implements Effect {}
 
   /** Rejects a publish. */
-  record Refuse(PendingPublish ticket, PublishRejection why) implements Effect {}
+  record Refuse(PendingPublish publish, PublishRejection reason) implements Effect {}
 
   /**
    * Delivers a message to a consumer. For a get, {@code left} is the number of messages that still
--- a/src/main/java/io/saltflow/queues/QueueCore.java
+++ b/src/main/java/io/saltflow/queues/QueueCore.java
@@ -140,9 +140,9 @@
 
   /** Publishes a message. An effect answers the publish, either at once or after it is recorded. */
   public void publish(
-      PendingPublish ticket, PublishRequest request, MonotonicTime time, long wallMs) {
+      PendingPublish pendingPublish, PublishRequest request, MonotonicTime time, long wallMs) {
     context.setTime(time, wallMs);
-    publishHandler.publish(ticket, request);
+    publishHandler.publish(pendingPublish, request);
   }
 
   private void makeAvailable(Message message) {
--- a/src/main/java/io/saltflow/queues/QueueState.java
+++ b/src/main/java/io/saltflow/queues/QueueState.java
@@ -57,8 +57,8 @@
     if (policy.team().isEmpty() || countsNoResources || policy.machines()) {
       return null;
     }
-    int wanted = deliverable();
-    if (outstanding == 0 && wanted == 0) {
+    int deliverable = deliverable();
+    if (outstanding == 0 && deliverable == 0) {
       return null;
     }
     long arrivedWallMs = head() == null ? Message.NEVER : head().arrivedWallMs;
@@ -66,7 +66,7 @@
         policy.team(),
         policy.priority(),
         policy.size().times(outstanding),
-        policy.size().times(wanted),
+        policy.size().times(deliverable),
         arrivedWallMs);
   }
 
--- a/src/test/java/io/saltflow/amqp/AmqpSessionTest.java
+++ b/src/test/java/io/saltflow/amqp/AmqpSessionTest.java
@@ -66,7 +66,7 @@
         Peer.publish(1, "q", "dropped"),
         Peer.method(1, MethodKind.CHANNEL_CLOSE_OK),
         Peer.method(2, MethodKind.CHANNEL_OPEN, ""),
-        Peer.publish(2, "none", "nobody is told"),
+        Peer.publish(2, "none", "never recorded"),
         Peer.method(2, MethodKind.CHANNEL_CLOSE_OK),
         Peer.method(0, MethodKind.CONNECTION_CLOSE, 200L, "bye", 0L, 0L));
     trace.addAll(peer.lines);
--- a/src/test/java/io/saltflow/queues/QueueCoreTest.java
+++ b/src/test/java/io/saltflow/queues/QueueCoreTest.java
@@ -93,9 +93,9 @@
                 deliver.redelivered() ? " (again)" : "",
                 new String(deliver.body(), StandardCharsets.UTF_8)));
       } else if (effect instanceof Effect.Confirm confirm) {
-        lines.add("confirm " + confirm.ticket());
+        lines.add("confirm " + confirm.publish());
       } else if (effect instanceof Effect.Refuse refuse) {
-        lines.add("refuse " + refuse.ticket() + ": " + refuse.why());
+        lines.add("refuse " + refuse.publish() + ": " + refuse.reason());
       } else {
         lines.add(effect.toString());
       }
--- a/src/test/java/io/saltflow/queues/QueueSimulation.java
+++ b/src/test/java/io/saltflow/queues/QueueSimulation.java
@@ -123,7 +123,7 @@
   private final Set<String> recordedIds = new HashSet<>();
   private final Map<String, QueueId> toPublish = new LinkedHashMap<>();
   private final Set<String> confirmed = new HashSet<>();
-  private final Map<PendingPublish, String> tickets = new HashMap<>();
+  private final Map<PendingPublish, String> pendingPublishes = new HashMap<>();
   private final List<Worker> workers = new ArrayList<>();
   private final List<HeldDelivery> held = new ArrayList<>();
   private final List<Leader> leaders = new ArrayList<>();
@@ -228,8 +228,8 @@
         continue;
       }
       Leader leader = newest();
-      PendingPublish ticket = new PendingPublish(0, 0, ++published);
-      tickets.put(ticket, entry.getKey());
+      PendingPublish pendingPublish = new PendingPublish(0, 0, ++published);
+      pendingPublishes.put(pendingPublish, entry.getKey());
       history.published(entry.getKey());
       if (bug == Bug.CONFIRM_BEFORE_RECORD) {
         history.confirmed(entry.getKey(), recordedIds.contains(entry.getKey()));
@@ -237,7 +237,7 @@
       }
       byte[] body = entry.getKey().getBytes(StandardCharsets.UTF_8);
       leader.core.publish(
-          ticket,
+          pendingPublish,
           new PublishRequest(entry.getValue(), entry.getKey(), -1, EMPTY, body),
           now,
           wallMs());
@@ -316,7 +316,7 @@
   private void applyEffects(Leader leader) {
     for (Effect effect : leader.core.effects()) {
       if (effect instanceof Effect.Confirm confirm) {
-        String id = tickets.get(confirm.ticket());
+        String id = pendingPublishes.get(confirm.publish());
         history.confirmed(id, recordedIds.contains(id));
         confirmed.add(id);
       } else if (effect instanceof Effect.Deliver deliver) {
