--- a/src/main/java/io/saltflow/healthgates/Condition.java
+++ b/src/main/java/io/saltflow/healthgates/Condition.java
@@ -21,7 +21,7 @@
   record Compare(Quantity quantity, Operator operator, double limit) implements Condition {
     @Override
     public String toString() {
-      return quantity + " " + operator.text() + " " + Units.shown(quantity.unit(), limit);
+      return quantity + " " + operator.text() + " " + Units.format(quantity.unit(), limit);
     }
   }
 
@@ -29,12 +29,17 @@
    * A condition that must last.
    *
    * @param id its place among those of the gate: what is remembered of it goes by that
-   * @param steady it passes once it has been true for so long
-   * @param recovery once it was true and then false, it fails until it has been true for so long;
-   *     null: as at first
-   * @param withoutData unknown for longer than this counts as false; null: the gate's default
+   * @param minDuration it passes once it has been true for so long
+   * @param recoveryDuration once it was true and then false, it fails until it has been true for so
+   *     long; null: as at first
+   * @param noDataTimeout unknown for longer than this counts as false; null: the gate's default
    */
-  record Held(int id, Condition part, TimeSpan steady, TimeSpan recovery, TimeSpan withoutData)
+  record Held(
+      int id,
+      Condition part,
+      TimeSpan minDuration,
+      TimeSpan recoveryDuration,
+      TimeSpan noDataTimeout)
       implements Condition {}
 
   /** How a quantity is compared. */
--- a/src/main/java/io/saltflow/healthgates/Gate.java
+++ b/src/main/java/io/saltflow/healthgates/Gate.java
@@ -36,7 +36,7 @@
       throw new GateException(
           MAX_TEXT_LENGTH + 1, "a gate is at most " + MAX_TEXT_LENGTH + " characters long");
     }
-    nested(text);
+    checkNesting(text);
     FirstError errors = new FirstError();
     GateLexer lexer = new GateLexer(CharStreams.fromString(text));
     lexer.removeErrorListeners();
@@ -54,7 +54,7 @@
   }
 
   /** The parser descends as deep as a text is nested, and negations nest as brackets do. */
-  private static void nested(String text) throws GateException {
+  private static void checkNesting(String text) throws GateException {
     int depth = 0;
     for (int i = 0; i < text.length(); i++) {
       depth += text.charAt(i) == '(' || text.startsWith("not", i) ? 1 : 0;
@@ -70,7 +70,7 @@
   }
 
   /** Why it can never pass within that time; null: it may. */
-  public String neverPasses(TimeSpan limit) {
+  public String unsatisfiableReason(TimeSpan limit) {
     return SatisfiabilityCheck.fault(this, limit);
   }
 
@@ -119,7 +119,7 @@
 
   /** From the tree of the text to its meaning. */
   private static final class Builder {
-    private int helds;
+    private int nextHeldId;
 
     Condition either(GateParser.EitherContext eitherContext) throws GateException {
       List<Condition> parts = new ArrayList<>();
@@ -156,7 +156,7 @@
         return part;
       }
       return new Condition.Held(
-          helds++,
+          nextHeldId++,
           part,
           heldContext.steady() == null ? TimeSpan.millis(0) : span(heldContext.steady().DURATION()),
           heldContext.recovery() == null ? null : span(heldContext.recovery().DURATION()),
@@ -164,7 +164,7 @@
     }
 
     private static TimeSpan span(TerminalNode duration) throws GateException {
-      TimeSpan span = Units.span(duration.getText());
+      TimeSpan span = Units.parseDuration(duration.getText());
       if (span.longerThan(MAX_WINDOW)) {
         throw new GateException(column(duration.getSymbol()), "an hour is the most that is kept");
       }
@@ -194,12 +194,12 @@
           };
       if (literal == null) {
         throw new GateException(
-            column(literalContext.getStart()), quantity + " is " + quantity.unit().said());
+            column(literalContext.getStart()), quantity + " is " + quantity.unit().description());
       }
       return switch (quantity.unit()) {
         case SHARE -> Double.parseDouble(literal.getText().replace("%", "")) / 100;
         case COUNT -> Double.parseDouble(literal.getText());
-        case TIME -> Units.span(literal.getText()).ms();
+        case TIME -> Units.parseDuration(literal.getText()).ms();
       };
     }
 
--- a/src/main/java/io/saltflow/healthgates/GateEvaluator.java
+++ b/src/main/java/io/saltflow/healthgates/GateEvaluator.java
@@ -17,18 +17,18 @@
    */
   public record Verdict(TernaryTruth truth, List<String> reasons) {}
 
-  private static final class Memory {
+  private static final class HeldState {
     TernaryTruth raw;
     MonotonicTime since;
     boolean everTrue;
 
     /** It was true and then false, and has not recovered since. */
-    boolean fell;
+    boolean relapsed;
   }
 
   private final Gate gate;
-  private final TimeSpan withoutData;
-  private final Map<Integer, Memory> memories = new HashMap<>();
+  private final TimeSpan noDataTimeout;
+  private final Map<Integer, HeldState> heldStates = new HashMap<>();
 
   /**
    * @param withoutData how long a condition may be without data before it counts as failing, where
@@ -36,7 +36,7 @@
    */
   public GateEvaluator(Gate gate, TimeSpan withoutData) {
     this.gate = gate;
-    this.withoutData = withoutData;
+    this.noDataTimeout = withoutData;
   }
 
   /** The gate that is evaluated. */
@@ -45,19 +45,19 @@
   }
 
   /** Evaluates the gate on what is observed now. */
-  public Verdict look(Observations seen, MonotonicTime now) {
+  public Verdict evaluate(Observations seen, MonotonicTime now) {
     List<String> reasons = new ArrayList<>();
     TernaryTruth truth = eval(gate.condition(), seen, now, true, reasons);
-    return new Verdict(truth, truth == TernaryTruth.TRUE ? values(seen, now) : reasons);
+    return new Verdict(truth, truth == TernaryTruth.TRUE ? observedValues(seen, now) : reasons);
   }
 
-  private List<String> values(Observations seen, MonotonicTime now) {
+  private List<String> observedValues(Observations seen, MonotonicTime now) {
     List<String> out = new ArrayList<>();
     for (Quantity quantity : gate.quantities()) {
       Double value = seen.value(quantity, now);
       out.add(
           quantity
-              + (value == null ? " is not known" : " is " + Units.shown(quantity.unit(), value)));
+              + (value == null ? " is not known" : " is " + Units.format(quantity.unit(), value)));
     }
     return out;
   }
@@ -110,28 +110,29 @@
       List<String> reasons) {
     List<String> inner = new ArrayList<>();
     TernaryTruth raw = eval(held.part(), seen, now, wanted, inner);
-    Memory memory = memories.computeIfAbsent(held.id(), id -> new Memory());
+    HeldState memory = heldStates.computeIfAbsent(held.id(), id -> new HeldState());
     if (raw != memory.raw) {
       memory.raw = raw;
       memory.since = now;
     }
     memory.everTrue |= raw == TernaryTruth.TRUE;
-    memory.fell |= memory.everTrue && raw == TernaryTruth.FALSE;
+    memory.relapsed |= memory.everTrue && raw == TernaryTruth.FALSE;
     TimeSpan lasted = now.since(memory.since);
     TernaryTruth out =
         switch (raw) {
           case FALSE -> TernaryTruth.FALSE;
           case UNKNOWN -> {
-            TimeSpan patience = held.withoutData() == null ? withoutData : held.withoutData();
+            TimeSpan patience = held.noDataTimeout() == null ? noDataTimeout : held.noDataTimeout();
             // Under a negation nothing may pass for lack of data either.
             yield lasted.longerThan(patience)
                 ? (wanted ? TernaryTruth.FALSE : TernaryTruth.TRUE)
                 : raw;
           }
           case TRUE -> {
-            boolean recovers = memory.fell && held.recovery() != null;
-            boolean longEnough = lasted.compareTo(recovers ? held.recovery() : held.steady()) >= 0;
-            memory.fell &= !longEnough;
+            boolean recovers = memory.relapsed && held.recoveryDuration() != null;
+            boolean longEnough =
+                lasted.compareTo(recovers ? held.recoveryDuration() : held.minDuration()) >= 0;
+            memory.relapsed &= !longEnough;
             yield longEnough
                 ? TernaryTruth.TRUE
                 : (recovers ? TernaryTruth.FALSE : TernaryTruth.UNKNOWN);
@@ -140,27 +141,27 @@
     if (out != TernaryTruth.of(wanted)) {
       reasons.addAll(inner);
       if (inner.isEmpty()) {
-        reasons.add(sentence(held, raw, out, lasted, seen, now));
+        reasons.add(describe(held, raw, out, lasted, seen, now));
       }
     }
     return out;
   }
 
-  private static String sentence(
+  private static String describe(
       Condition.Held held,
       TernaryTruth raw,
       TernaryTruth out,
       TimeSpan lasted,
       Observations seen,
       MonotonicTime now) {
-    String since = " for " + Units.time((double) lasted.ms());
+    String since = " for " + Units.formatDuration((double) lasted.ms());
     if (raw == TernaryTruth.UNKNOWN) {
       return held.part() + ": no data" + since;
     }
     String value = "";
     if (held.part() instanceof Condition.Compare compare) {
       Double v = seen.value(compare.quantity(), now);
-      value = v == null ? "" : ", it is " + Units.shown(compare.quantity().unit(), v);
+      value = v == null ? "" : ", it is " + Units.format(compare.quantity().unit(), v);
     }
     if (raw == TernaryTruth.TRUE && out != TernaryTruth.TRUE) {
       return held.part() + ": true" + since + " only" + value;
--- a/src/main/java/io/saltflow/healthgates/Measure.java
+++ b/src/main/java/io/saltflow/healthgates/Measure.java
@@ -29,14 +29,14 @@
     COUNT("a count, compare it with a number"),
     TIME("a time, compare it with one such as 200ms");
 
-    private final String said;
+    private final String description;
 
     Unit(String said) {
-      this.said = said;
+      this.description = said;
     }
 
-    String said() {
-      return said;
+    String description() {
+      return description;
     }
   }
 
--- a/src/main/java/io/saltflow/healthgates/Quantity.java
+++ b/src/main/java/io/saltflow/healthgates/Quantity.java
@@ -21,7 +21,7 @@
     if (!text.isEmpty() || window != null) {
       out.append('(').append(text.isEmpty() ? "" : '"' + text + '"');
       out.append(!text.isEmpty() && window != null ? ", " : "");
-      out.append(window == null ? "" : Units.time((double) window.ms())).append(')');
+      out.append(window == null ? "" : Units.formatDuration((double) window.ms())).append(')');
     }
     return out.append(field.isEmpty() ? "" : "." + field).toString();
   }
--- a/src/main/java/io/saltflow/healthgates/ReplicaObservations.java
+++ b/src/main/java/io/saltflow/healthgates/ReplicaObservations.java
@@ -14,77 +14,77 @@
 public final class ReplicaObservations implements Observations {
   private static final int MAX_EVENTS = 4096;
   private static final int MAX_PATHS = 16;
-  private static final TimeSpan KEPT = TimeSpan.seconds(3600);
-  private static final TimeSpan PROBES = TimeSpan.seconds(60);
-  private static final TimeSpan READY_FRESH = TimeSpan.seconds(15);
-  private static final long SLOWEST_MS = 600_000;
+  private static final TimeSpan RETENTION = TimeSpan.seconds(3600);
+  private static final TimeSpan PROBE_WINDOW = TimeSpan.seconds(60);
+  private static final TimeSpan MAX_READY_AGE = TimeSpan.seconds(15);
+  private static final long MAX_LATENCY_MS = 600_000;
 
   /** A replica's task exited. */
   private record Exit(MonotonicTime at, String cause, boolean failure) {}
 
   /** The result of a probe; a negative latency: it failed or timed out. */
-  private record Answer(MonotonicTime at, long ms) {}
+  private record Sample(MonotonicTime at, long ms) {}
 
-  private final Map<String, ArrayDeque<Answer>> probes = new HashMap<>();
+  private final Map<String, ArrayDeque<Sample>> probes = new HashMap<>();
   private final ArrayDeque<Exit> exits = new ArrayDeque<>();
-  private final ArrayDeque<Answer> starts = new ArrayDeque<>();
+  private final ArrayDeque<Sample> startLatencies = new ArrayDeque<>();
   private final ArrayDeque<MonotonicTime> restarts = new ArrayDeque<>();
-  private final Histogram times = new Histogram(SLOWEST_MS, 2);
-  private MonotonicTime completeSince;
-  private MonotonicTime readyAt = MonotonicTime.LONG_AGO;
+  private final Histogram histogram = new Histogram(MAX_LATENCY_MS, 2);
+  private MonotonicTime stepCompletedAt;
+  private MonotonicTime readyUpdatedAt = MonotonicTime.LONG_AGO;
   private double ready;
 
   /** Sets the number of ready replicas of those desired; no desired ones: unknown. */
   public void ready(int count, int wanted, MonotonicTime now) {
     if (wanted > 0) {
       ready = count / (double) wanted;
-      readyAt = now;
+      readyUpdatedAt = now;
     }
   }
 
   /** Another step has started and is not complete yet. */
-  public void begun() {
-    completeSince = null;
+  public void stepStarted() {
+    stepCompletedAt = null;
   }
 
   /**
    * The step is complete; what was seen before still counts. Told at every look, so only the first
    * says since when: a gate on {@code age} would else never pass.
    */
-  public void complete(MonotonicTime now) {
-    if (completeSince == null) {
-      completeSince = now;
+  public void stepCompleted(MonotonicTime now) {
+    if (stepCompletedAt == null) {
+      stepCompletedAt = now;
     }
   }
 
   /** Records that a replica's task exited. */
-  public void exited(String cause, boolean failure, MonotonicTime now) {
-    bounded(exits, new Exit(now, cause, failure));
+  public void recordExit(String cause, boolean failure, MonotonicTime now) {
+    addBounded(exits, new Exit(now, cause, failure));
   }
 
   /** Records that a replica was started again. */
-  public void restarted(MonotonicTime now) {
-    bounded(restarts, now);
+  public void recordRestart(MonotonicTime now) {
+    addBounded(restarts, now);
   }
 
   /** Records the time from a replica's launch until it ran, image fetch included. */
-  public void started(TimeSpan took, MonotonicTime now) {
-    bounded(starts, new Answer(now, took.ms()));
+  public void recordStart(TimeSpan took, MonotonicTime now) {
+    addBounded(startLatencies, new Sample(now, took.ms()));
   }
 
   /** Records a probe: its latency, or a negative value if it failed. */
-  public void probed(String path, long ms, MonotonicTime now) {
-    ArrayDeque<Answer> of = probes.get(path);
+  public void recordProbe(String path, long ms, MonotonicTime now) {
+    ArrayDeque<Sample> of = probes.get(path);
     if (of == null && probes.size() < MAX_PATHS) {
       of = new ArrayDeque<>();
       probes.put(path, of);
     }
     if (of != null) {
-      bounded(of, new Answer(now, ms));
+      addBounded(of, new Sample(now, ms));
     }
   }
 
-  private static <T> void bounded(ArrayDeque<T> list, T item) {
+  private static <T> void addBounded(ArrayDeque<T> list, T item) {
     if (list.size() >= MAX_EVENTS) {
       list.poll();
     }
@@ -92,10 +92,10 @@
   }
 
   /** Drops observations that no gate can refer to any more. */
-  public void forget(MonotonicTime now) {
-    MonotonicTime from = new MonotonicTime(now.ms() - KEPT.ms());
+  public void dropExpired(MonotonicTime now) {
+    MonotonicTime from = new MonotonicTime(now.ms() - RETENTION.ms());
     exits.removeIf(e -> e.at.before(from));
-    starts.removeIf(a -> a.at.before(from));
+    startLatencies.removeIf(a -> a.at.before(from));
     restarts.removeIf(t -> t.before(from));
     probes.values().forEach(p -> p.removeIf(a -> a.at.before(from)));
   }
@@ -103,24 +103,27 @@
   @Override
   public Double value(Quantity quantity, MonotonicTime now) {
     return switch (quantity.measure()) {
-      case READY -> now.since(readyAt).longerThan(READY_FRESH) ? null : ready;
-      case AGE -> completeSince == null ? null : (double) now.since(completeSince).ms();
+      case READY -> now.since(readyUpdatedAt).longerThan(MAX_READY_AGE) ? null : ready;
+      case AGE -> stepCompletedAt == null ? null : (double) now.since(stepCompletedAt).ms();
       case FAILURES -> count(quantity, now, true);
       case EXITS -> count(quantity, now, false);
       case RESTARTS ->
-          fresh(now)
+          hasCurrentData(now)
               ? (double) restarts.stream().filter(t -> within(t, quantity.window(), now)).count()
               : null;
-      case STARTUP -> percentile(starts, KEPT, quantity, now);
+      case STARTUP -> percentile(startLatencies, RETENTION, quantity, now);
       case PROBE ->
           percentile(
-              probes.getOrDefault(quantity.text(), new ArrayDeque<>()), PROBES, quantity, now);
+              probes.getOrDefault(quantity.text(), new ArrayDeque<>()),
+              PROBE_WINDOW,
+              quantity,
+              now);
     };
   }
 
   /** Counts are known while the replicas are: silence is not the same as nothing having failed. */
-  private boolean fresh(MonotonicTime now) {
-    return !now.since(readyAt).longerThan(READY_FRESH);
+  private boolean hasCurrentData(MonotonicTime now) {
+    return !now.since(readyUpdatedAt).longerThan(MAX_READY_AGE);
   }
 
   private static boolean within(MonotonicTime at, TimeSpan window, MonotonicTime now) {
@@ -128,7 +131,7 @@
   }
 
   private Double count(Quantity quantity, MonotonicTime now, boolean failures) {
-    if (!fresh(now)) {
+    if (!hasCurrentData(now)) {
       return null;
     }
     return (double)
@@ -139,14 +142,14 @@
   }
 
   private Double percentile(
-      ArrayDeque<Answer> answers, TimeSpan window, Quantity quantity, MonotonicTime now) {
-    times.reset();
+      ArrayDeque<Sample> answers, TimeSpan window, Quantity quantity, MonotonicTime now) {
+    histogram.reset();
     int all = 0;
-    for (Answer answer : answers) {
+    for (Sample answer : answers) {
       if (within(answer.at, window, now)) {
         all++;
         if (answer.ms >= 0) {
-          times.recordValue(Math.min(answer.ms, SLOWEST_MS));
+          histogram.recordValue(Math.min(answer.ms, MAX_LATENCY_MS));
         }
       }
     }
@@ -157,7 +160,7 @@
       return null;
     }
     if (quantity.field().equals("ok")) {
-      return times.getTotalCount() / (double) all;
+      return histogram.getTotalCount() / (double) all;
     }
     double part =
         quantity.field().equals("max")
@@ -165,9 +168,9 @@
             : Integer.parseInt(quantity.field().substring(1)) / 100.0;
     // Probes without an answer count as slower than any: the percentile is over all that were made.
     double rank = part * all;
-    if (rank > times.getTotalCount()) {
+    if (rank > histogram.getTotalCount()) {
       return Double.POSITIVE_INFINITY;
     }
-    return (double) times.getValueAtPercentile(100 * rank / times.getTotalCount());
+    return (double) histogram.getValueAtPercentile(100 * rank / histogram.getTotalCount());
   }
 }
--- a/src/main/java/io/saltflow/healthgates/SatisfiabilityCheck.java
+++ b/src/main/java/io/saltflow/healthgates/SatisfiabilityCheck.java
@@ -12,10 +12,10 @@
  * gate without a fault here may yet be one that no version ever meets.
  */
 final class SatisfiabilityCheck {
-  private final double limitMs;
+  private final double stepTimeoutMs;
 
   private SatisfiabilityCheck(double limitMs) {
-    this.limitMs = limitMs;
+    this.stepTimeoutMs = limitMs;
   }
 
   /** Why the gate can't pass within that time; null: it may. */
@@ -24,13 +24,13 @@
   }
 
   /** From a least to a greatest value, both of them included. */
-  private record Range(double least, double most) {
+  private record Range(double min, double max) {
     Range and(Range other) {
-      return new Range(Math.max(least, other.least), Math.min(most, other.most));
+      return new Range(Math.max(min, other.min), Math.min(max, other.max));
     }
 
     boolean empty() {
-      return least > most;
+      return min > max;
     }
   }
 
@@ -39,16 +39,16 @@
       return fault(not.part(), !wanted);
     }
     if (condition instanceof Condition.Held held) {
-      if (wanted && held.steady().ms() > limitMs) {
+      if (wanted && held.minDuration().ms() > stepTimeoutMs) {
         return held.part()
             + " for "
-            + Units.time((double) held.steady().ms())
+            + Units.formatDuration((double) held.minDuration().ms())
             + ": longer than a step lasts";
       }
       return fault(held.part(), wanted);
     }
     if (condition instanceof Condition.Compare compare) {
-      return range(compare, wanted).empty() ? said(compare, wanted) + " never holds" : null;
+      return range(compare, wanted).empty() ? describe(compare, wanted) + " never holds" : null;
     }
     boolean all = condition instanceof Condition.All;
     List<Condition> parts =
@@ -56,10 +56,10 @@
             ? otherAll.parts()
             : ((Condition.Any) condition).parts();
     // By De Morgan: to be false, a conjunction needs one part that is.
-    return all == wanted ? together(parts, wanted) : oneOf(parts, wanted);
+    return all == wanted ? conjunctionFault(parts, wanted) : disjunctionFault(parts, wanted);
   }
 
-  private String oneOf(List<Condition> parts, boolean wanted) {
+  private String disjunctionFault(List<Condition> parts, boolean wanted) {
     String first = null;
     for (Condition condition : parts) {
       String fault = fault(condition, wanted);
@@ -71,7 +71,7 @@
     return first;
   }
 
-  private String together(List<Condition> parts, boolean wanted) {
+  private String conjunctionFault(List<Condition> parts, boolean wanted) {
     Map<Quantity, Range> ranges = new HashMap<>();
     for (Condition condition : parts) {
       String fault = fault(condition, wanted);
@@ -93,14 +93,14 @@
       if (inner instanceof Condition.Compare compare) {
         Range range = ranges.merge(compare.quantity(), range(compare, sense), Range::and);
         if (range.empty()) {
-          return said(compare, sense) + " excludes what else is asked of " + compare.quantity();
+          return describe(compare, sense) + " excludes what else is asked of " + compare.quantity();
         }
       }
     }
     return null;
   }
 
-  private static String said(Condition.Compare compare, boolean wanted) {
+  private static String describe(Condition.Compare compare, boolean wanted) {
     return (wanted ? "" : "not ") + compare;
   }
 
@@ -109,7 +109,8 @@
       case SHARE -> new Range(0, 1);
       case COUNT -> new Range(0, Double.POSITIVE_INFINITY);
       case TIME ->
-          new Range(0, quantity.measure() == Measure.AGE ? limitMs : Double.POSITIVE_INFINITY);
+          new Range(
+              0, quantity.measure() == Measure.AGE ? stepTimeoutMs : Double.POSITIVE_INFINITY);
     };
   }
 
--- a/src/main/java/io/saltflow/healthgates/Units.java
+++ b/src/main/java/io/saltflow/healthgates/Units.java
@@ -7,7 +7,7 @@
   private Units() {}
 
   /** A duration's milliseconds: {@code 200ms}, {@code 30s}, {@code 5m}, {@code 1h}. */
-  static TimeSpan span(String text) {
+  static TimeSpan parseDuration(String text) {
     int unit = text.length() - (text.endsWith("ms") ? 2 : 1);
     double number = Double.parseDouble(text.substring(0, unit));
     double seconds =
@@ -20,26 +20,26 @@
     return TimeSpan.seconds(seconds);
   }
 
-  static String time(double ms) {
+  static String formatDuration(double ms) {
     if (ms >= 60_000 && ms % 60_000 == 0) {
       return (long) (ms / 60_000) + "m";
     }
     if (ms >= 1000) {
-      return plain(ms / 1000) + "s";
+      return formatNumber(ms / 1000) + "s";
     }
-    return plain(ms) + "ms";
+    return formatNumber(ms) + "ms";
   }
 
   /** A value in its unit: shares from 0 to 1 as percentages, times in milliseconds. */
-  static String shown(Measure.Unit unit, double value) {
+  static String format(Measure.Unit unit, double value) {
     return switch (unit) {
-      case SHARE -> plain(value * 100) + "%";
-      case COUNT -> plain(value);
-      case TIME -> Double.isInfinite(value) ? "no answer" : time(value);
+      case SHARE -> formatNumber(value * 100) + "%";
+      case COUNT -> formatNumber(value);
+      case TIME -> Double.isInfinite(value) ? "no answer" : formatDuration(value);
     };
   }
 
-  private static String plain(double value) {
+  private static String formatNumber(double value) {
     double rounded = Math.round(value * 10) / 10.0;
     return rounded == Math.rint(rounded) ? Long.toString((long) rounded) : Double.toString(rounded);
   }
--- a/src/main/java/io/saltflow/probes/ProbeScheduler.java
+++ b/src/main/java/io/saltflow/probes/ProbeScheduler.java
@@ -27,43 +27,43 @@
   /**
    * What may be asked.
    *
-   * @param perS probes a second over all services
-   * @param every how often a replica is asked, if the rate allows it
+   * @param probesPerS probes a second over all services
+   * @param interval how often a replica is asked, if the rate allows it
    * @param timeout how long a replica may take
    */
-  public record Limits(double perS, TimeSpan every, TimeSpan timeout) {}
+  public record Limits(double probesPerS, TimeSpan interval, TimeSpan timeout) {}
 
   /** A prober that asks for longer than this after the timeout has lost the call or its answer. */
-  private static final TimeSpan PROBER = TimeSpan.seconds(2);
+  private static final TimeSpan RESPONSE_GRACE = TimeSpan.seconds(2);
 
   private static final int MAX_BATCHES = 64;
 
   private final Limits limits;
   private final RateLimiter budget;
-  private final Map<String, Rota> services = new LinkedHashMap<>();
-  private final Map<Long, Batch> batches = new LinkedHashMap<>();
-  private final ArrayDeque<Second> seconds = new ArrayDeque<>();
+  private final Map<String, TargetQueue> services = new LinkedHashMap<>();
+  private final Map<Long, PendingBatch> pendingBatches = new LinkedHashMap<>();
+  private final ArrayDeque<RetryProbe> retries = new ArrayDeque<>();
   private long lastBatch;
-  private int turn;
-  private long made;
-  private long lost;
+  private int nextService;
+  private long completedProbes;
+  private long lostProbes;
 
-  private record Batch(ProbeBatch ask, boolean second, MonotonicTime until) {}
+  private record PendingBatch(ProbeBatch probes, boolean isRetry, MonotonicTime expiresAt) {}
 
   /** To be asked again, by another than this one. */
-  private record Second(ReplicaProbe target, String first) {}
+  private record RetryProbe(ReplicaProbe target, String firstProber) {}
 
   /** A service's replicas in turn. */
-  private static final class Rota {
-    private final Map<ReplicaProbe, MonotonicTime> asked = new HashMap<>();
+  private static final class TargetQueue {
+    private final Map<ReplicaProbe, MonotonicTime> lastProbed = new HashMap<>();
     private final ArrayDeque<ReplicaProbe> order = new ArrayDeque<>();
 
     void set(Collection<ReplicaProbe> targets) {
       Set<ReplicaProbe> now = new HashSet<>(targets);
-      asked.keySet().retainAll(now);
+      lastProbed.keySet().retainAll(now);
       order.removeIf(t -> !now.contains(t));
       for (ReplicaProbe replicaProbe : targets) {
-        if (asked.putIfAbsent(replicaProbe, MonotonicTime.LONG_AGO) == null) {
+        if (lastProbed.putIfAbsent(replicaProbe, MonotonicTime.LONG_AGO) == null) {
           order.addFirst(replicaProbe);
         }
       }
@@ -72,12 +72,12 @@
     /** The next that is due, or null. */
     ReplicaProbe due(TimeSpan every, MonotonicTime now) {
       ReplicaProbe next = order.peek();
-      if (next == null || now.since(asked.get(next)).compareTo(every) < 0) {
+      if (next == null || now.since(lastProbed.get(next)).compareTo(every) < 0) {
         return null;
       }
       order.poll();
       order.add(next);
-      asked.put(next, now);
+      lastProbed.put(next, now);
       return next;
     }
   }
@@ -85,15 +85,15 @@
   /** Creates a scheduler that knows no services. */
   public ProbeScheduler(Limits limits, MonotonicTime now) {
     this.limits = limits;
-    budget = new RateLimiter(limits.perS, limits.perS, now);
+    budget = new RateLimiter(limits.probesPerS, limits.probesPerS, now);
   }
 
   /** The service's replicas that can be asked now; none: it is not probed. */
-  public void targets(String service, Collection<ReplicaProbe> targets) {
+  public void setTargets(String service, Collection<ReplicaProbe> targets) {
     if (targets.isEmpty()) {
       services.remove(service);
     } else {
-      services.computeIfAbsent(service, s -> new Rota()).set(targets);
+      services.computeIfAbsent(service, s -> new TargetQueue()).set(targets);
     }
   }
 
@@ -106,13 +106,16 @@
     expire(now);
     List<String> probers = new ArrayList<>(peers);
     probers.add("");
-    Map<String, List<ReplicaProbe>> again = seconds(probers, now);
+    Map<String, List<ReplicaProbe>> again = retries(probers, now);
     Map<String, List<ReplicaProbe>> fresh = new LinkedHashMap<>();
-    List<Rota> rotas = new ArrayList<>(services.values());
+    List<TargetQueue> rotas = new ArrayList<>(services.values());
     int idle = 0;
     int most = ProbeFrame.MAX_TARGETS * probers.size();
-    for (int taken = 0; idle < rotas.size() && taken < most && budget.canAcquire(1, now); turn++) {
-      ReplicaProbe target = rotas.get(Math.floorMod(turn, rotas.size())).due(limits.every, now);
+    for (int taken = 0;
+        idle < rotas.size() && taken < most && budget.canAcquire(1, now);
+        nextService++) {
+      ReplicaProbe target =
+          rotas.get(Math.floorMod(nextService, rotas.size())).due(limits.interval, now);
       idle = target == null ? idle + 1 : 0;
       if (target != null) {
         budget.tryAcquire(1, now);
@@ -126,13 +129,13 @@
     return out;
   }
 
-  private Map<String, List<ReplicaProbe>> seconds(List<String> probers, MonotonicTime now) {
+  private Map<String, List<ReplicaProbe>> retries(List<String> probers, MonotonicTime now) {
     Map<String, List<ReplicaProbe>> out = new LinkedHashMap<>();
-    for (int n = seconds.size(); n > 0 && budget.tryAcquire(1, now); n--) {
-      Second second = seconds.poll();
+    for (int n = retries.size(); n > 0 && budget.tryAcquire(1, now); n--) {
+      RetryProbe second = retries.poll();
       for (String prober : probers) {
         List<ReplicaProbe> mine = out.computeIfAbsent(prober, p -> new ArrayList<>());
-        if (!prober.equals(second.first) && mine.size() < ProbeFrame.MAX_TARGETS) {
+        if (!prober.equals(second.firstProber) && mine.size() < ProbeFrame.MAX_TARGETS) {
           mine.add(second.target);
           break;
         }
@@ -147,18 +150,20 @@
       boolean second,
       MonotonicTime now,
       List<ProbeBatch> out) {
-    if (!targets.isEmpty() && batches.size() < MAX_BATCHES) {
+    if (!targets.isEmpty() && pendingBatches.size() < MAX_BATCHES) {
       ProbeBatch ask = new ProbeBatch(++lastBatch, prober, List.copyOf(targets));
-      batches.put(ask.batch(), new Batch(ask, second, now.plus(limits.timeout).plus(PROBER)));
+      pendingBatches.put(
+          ask.batch(),
+          new PendingBatch(ask, second, now.plus(limits.timeout).plus(RESPONSE_GRACE)));
       out.add(ask);
     }
   }
 
   private void expire(MonotonicTime now) {
-    for (Iterator<Batch> it = batches.values().iterator(); it.hasNext(); ) {
-      Batch batch = it.next();
-      if (now.after(batch.until)) {
-        lost += batch.ask.targets().size();
+    for (Iterator<PendingBatch> it = pendingBatches.values().iterator(); it.hasNext(); ) {
+      PendingBatch batch = it.next();
+      if (now.after(batch.expiresAt)) {
+        lostProbes += batch.probes.targets().size();
         it.remove();
       }
     }
@@ -170,25 +175,26 @@
    * @param times until the answers came, or one of {@link ProbeFrame}'s negative ones
    * @param others whether anybody else could be asked too
    */
-  public List<ReplicaHealth> answered(String prober, long batch, List<Long> times, boolean others) {
-    Batch otherBatch = batches.get(batch);
+  public List<ReplicaHealth> onResponse(
+      String prober, long batch, List<Long> times, boolean others) {
+    PendingBatch otherBatch = pendingBatches.get(batch);
     List<ReplicaHealth> out = new ArrayList<>();
     if (otherBatch == null
-        || !otherBatch.ask.prober().equals(prober)
-        || times.size() != otherBatch.ask.targets().size()) {
+        || !otherBatch.probes.prober().equals(prober)
+        || times.size() != otherBatch.probes.targets().size()) {
       return out;
     }
-    batches.remove(batch);
+    pendingBatches.remove(batch);
     for (int i = 0; i < times.size(); i++) {
-      ReplicaProbe target = otherBatch.ask.targets().get(i);
-      Rota rota = services.get(target.service());
+      ReplicaProbe target = otherBatch.probes.targets().get(i);
+      TargetQueue rota = services.get(target.service());
       long ms = times.get(i);
       if (ms == ProbeFrame.NOT_PROBED) {
-        lost++;
-      } else if (rota != null && rota.asked.containsKey(target)) {
-        made++;
-        if (ms == ProbeFrame.UNREACHABLE && !otherBatch.second && others) {
-          seconds.add(new Second(target, prober));
+        lostProbes++;
+      } else if (rota != null && rota.lastProbed.containsKey(target)) {
+        completedProbes++;
+        if (ms == ProbeFrame.UNREACHABLE && !otherBatch.isRetry && others) {
+          retries.add(new RetryProbe(target, prober));
         } else {
           out.add(new ReplicaHealth(target, ms));
         }
@@ -199,6 +205,6 @@
 
   /** Probes that were made, and those that were asked for and not made. */
   public long[] counts() {
-    return new long[] {made, lost};
+    return new long[] {completedProbes, lostProbes};
   }
 }
--- a/src/main/java/io/saltflow/probes/ReplicaHealth.java
+++ b/src/main/java/io/saltflow/probes/ReplicaHealth.java
@@ -3,6 +3,6 @@
 /**
  * What is known of a replica now.
  *
- * @param ms until its answer came; negative: it answered badly, or nobody could reach it
+ * @param latencyMs until its answer came; negative: it answered badly, or nobody could reach it
  */
-public record ReplicaHealth(ReplicaProbe target, long ms) {}
+public record ReplicaHealth(ReplicaProbe target, long latencyMs) {}
--- a/src/main/java/io/saltflow/rollouts/MaintenanceWindows.java
+++ b/src/main/java/io/saltflow/rollouts/MaintenanceWindows.java
@@ -16,14 +16,14 @@
  *
  * @param zone of all times and days; its rules are those of the Java platform's copy of the tz
  *     database
- * @param spans when, on each day that is open; none: always
+ * @param timeRanges when, on each day that is open; none: always
  * @param days the days of the week that are open
  * @param closed days that are closed although their day of the week is open
  * @param opened days that are open although their day of the week is not
  */
 public record MaintenanceWindows(
     ZoneId zone,
-    List<Span> spans,
+    List<TimeRange> timeRanges,
     Set<DayOfWeek> days,
     Set<LocalDate> closed,
     Set<LocalDate> opened) {
@@ -32,8 +32,8 @@
    * From a time of day until another, which is not part of it. One that ends before it begins goes
    * on into the next day, and belongs to the day on which it began.
    */
-  public record Span(LocalTime from, LocalTime until) {
-    boolean overnight() {
+  public record TimeRange(LocalTime from, LocalTime until) {
+    boolean isOvernight() {
       return !until.isAfter(from);
     }
   }
@@ -44,27 +44,27 @@
           ZoneId.of("UTC"), List.of(), Set.of(DayOfWeek.values()), Set.of(), Set.of());
 
   /** Whether a step may begin at that time of day. */
-  public boolean open(long wallMs) {
-    if (spans.isEmpty()) {
+  public boolean isOpen(long wallMs) {
+    if (timeRanges.isEmpty()) {
       return true;
     }
     ZonedDateTime there = Instant.ofEpochMilli(wallMs).atZone(zone);
     LocalDate today = there.toLocalDate();
     LocalTime time = there.toLocalTime();
-    for (Span span : spans) {
-      if (span.overnight()) {
-        if ((open(today) && !time.isBefore(span.from))
-            || (open(today.minusDays(1)) && time.isBefore(span.until))) {
+    for (TimeRange span : timeRanges) {
+      if (span.isOvernight()) {
+        if ((isOpen(today) && !time.isBefore(span.from))
+            || (isOpen(today.minusDays(1)) && time.isBefore(span.until))) {
           return true;
         }
-      } else if (open(today) && !time.isBefore(span.from) && time.isBefore(span.until)) {
+      } else if (isOpen(today) && !time.isBefore(span.from) && time.isBefore(span.until)) {
         return true;
       }
     }
     return false;
   }
 
-  private boolean open(LocalDate day) {
+  private boolean isOpen(LocalDate day) {
     return opened.contains(day) || (days.contains(day.getDayOfWeek()) && !closed.contains(day));
   }
 }
--- a/src/main/java/io/saltflow/rollouts/Rollout.java
+++ b/src/main/java/io/saltflow/rollouts/Rollout.java
@@ -9,11 +9,12 @@
  * @param replicas how many the service should have
  * @param step the step under way, from 0
  * @param phase what is done now
- * @param resumes the phase that a pause interrupted; null: it is not paused
- * @param wantedOld how many replicas of the old version there should be
- * @param wantedNew how many of the new one
+ * @param resumePhase the phase that a pause interrupted; null: it is not paused
+ * @param desiredOld how many replicas of the old version there should be
+ * @param desiredNew how many of the new one
  * @param sinceWallMs since when the step, or the rollback, is under way, by time of day
- * @param grownWallMs up to when the starts that the plan's rate allows are used up, by time of day
+ * @param startsUsedUntilWallMs up to when the starts that the plan's rate allows are used up, by
+ *     time of day
  * @param zones the zones of the service in the order in which they are gone through; empty: the
  *     plan does not go zone by zone
  * @param reason why it stopped, in plain sentences; empty while it goes on
@@ -22,11 +23,11 @@
     int replicas,
     int step,
     Phase phase,
-    Phase resumes,
-    int wantedOld,
-    int wantedNew,
+    Phase resumePhase,
+    int desiredOld,
+    int desiredNew,
     long sinceWallMs,
-    long grownWallMs,
+    long startsUsedUntilWallMs,
     List<String> zones,
     String reason) {
 
@@ -51,7 +52,7 @@
     STUCK;
 
     /** Whether the rollout has ended. */
-    public boolean over() {
+    public boolean isFinal() {
       return this == DONE || this == ROLLED_BACK || this == STUCK;
     }
   }
@@ -70,7 +71,7 @@
    * How many replicas are of the new version once the first so many zones are done: each zone has
    * as many as any other, or one more.
    */
-  int through(int zoneCount) {
+  int replicasThroughZone(int zoneCount) {
     int each = replicas / zones.size();
     return zoneCount * each + Math.min(zoneCount, replicas % zones.size());
   }
@@ -81,50 +82,77 @@
       return null;
     }
     int open = 0;
-    while (open < zones.size() && through(open) < wantedNew) {
+    while (open < zones.size() && replicasThroughZone(open) < desiredNew) {
       open++;
     }
     return zones.subList(0, open);
   }
 
-  Rollout wanting(int old, int fresh) {
+  Rollout withDesired(int old, int fresh) {
     return new Rollout(
-        replicas, step, phase, resumes, old, fresh, sinceWallMs, grownWallMs, zones, reason);
+        replicas,
+        step,
+        phase,
+        resumePhase,
+        old,
+        fresh,
+        sinceWallMs,
+        startsUsedUntilWallMs,
+        zones,
+        reason);
   }
 
-  private Rollout in(Phase next, Phase later, int nextStep, long since, String why) {
+  private Rollout copy(Phase next, Phase later, int nextStep, long since, String why) {
     return new Rollout(
-        replicas, nextStep, next, later, wantedOld, wantedNew, since, grownWallMs, zones, why);
+        replicas,
+        nextStep,
+        next,
+        later,
+        desiredOld,
+        desiredNew,
+        since,
+        startsUsedUntilWallMs,
+        zones,
+        why);
   }
 
   Rollout phase(Phase next, int nextStep, long wallMs) {
-    return in(next, null, nextStep, wallMs, reason);
+    return copy(next, null, nextStep, wallMs, reason);
   }
 
-  Rollout because(Phase next, String why, long wallMs) {
-    return in(next, null, step, wallMs, why);
+  Rollout withReason(Phase next, String why, long wallMs) {
+    return copy(next, null, step, wallMs, why);
   }
 
   Rollout paused() {
-    return in(Phase.PAUSED, phase, step, sinceWallMs, reason);
+    return copy(Phase.PAUSED, phase, step, sinceWallMs, reason);
   }
 
-  Rollout of(int newReplicas) {
+  Rollout withReplicas(int newReplicas) {
     return new Rollout(
         newReplicas,
         step,
         phase,
-        resumes,
-        wantedOld,
-        wantedNew,
+        resumePhase,
+        desiredOld,
+        desiredNew,
         sinceWallMs,
-        grownWallMs,
+        startsUsedUntilWallMs,
         zones,
         reason);
   }
 
-  Rollout grownUntil(long wallMs) {
+  Rollout withStartsUsedUntil(long wallMs) {
     return new Rollout(
-        replicas, step, phase, resumes, wantedOld, wantedNew, sinceWallMs, wallMs, zones, reason);
+        replicas,
+        step,
+        phase,
+        resumePhase,
+        desiredOld,
+        desiredNew,
+        sinceWallMs,
+        wallMs,
+        zones,
+        reason);
   }
 }
--- a/src/main/java/io/saltflow/rollouts/RolloutPlan.java
+++ b/src/main/java/io/saltflow/rollouts/RolloutPlan.java
@@ -14,13 +14,13 @@
  *
  * @param steps how many replicas are of the new version after each step
  * @param surge how many replicas there may be beyond the service's own number
- * @param mostUnavailable how many may be missing by the rollout's own doing
+ * @param maxUnavailable how many may be missing by the rollout's own doing
  * @param pace how fast the version that grows may do so
  * @param zoneByZone whether a zone's replicas are all replaced, and ready, before the next zone's
  * @param settle a replica counts as ready once it has been so for this long: old ones are let go
  *     for it, and it must not die right afterwards
- * @param limit how long a step may take until its gate passes
- * @param backLimit how long a rollback may take
+ * @param stepTimeout how long a step may take until its gate passes
+ * @param rollbackTimeout how long a rollback may take
  * @param gate what must hold for a step to be good
  * @param windows when a step may begin
  * @param stop what ends the rollout at once; null: nothing but the limit does
@@ -28,12 +28,12 @@
 public record RolloutPlan(
     List<Step> steps,
     int surge,
-    int mostUnavailable,
+    int maxUnavailable,
     Pace pace,
     boolean zoneByZone,
     TimeSpan settle,
-    TimeSpan limit,
-    TimeSpan backLimit,
+    TimeSpan stepTimeout,
+    TimeSpan rollbackTimeout,
     Gate gate,
     Gate stop,
     MaintenanceWindows windows) {
@@ -45,10 +45,10 @@
    * How fast a version may grow.
    *
    * @param atOnce replicas that are not ready yet at a time
-   * @param perMinute replicas that are started anew in a minute on the way forth; 0: as many as may
-   *     be. A rollback is not slowed down by it.
+   * @param startsPerMinute replicas that are started anew in a minute on the way forth; 0: as many
+   *     as may be. A rollback is not slowed down by it.
    */
-  public record Pace(int atOnce, int perMinute) {
+  public record Pace(int atOnce, int startsPerMinute) {
     /** So many at a time, at any rate. */
     public static Pace atOnce(int count) {
       return new Pace(count, 0);
@@ -64,7 +64,7 @@
    */
   public record Step(int count, boolean percent, boolean approval) {
     /** How many of so many replicas; a percentage is rounded up, so that each step moves one. */
-    int of(int replicas) {
+    int targetOf(int replicas) {
       int n = percent ? (replicas * count + 99) / 100 : count;
       return Math.min(replicas, n);
     }
@@ -73,15 +73,15 @@
   /** Why the plan can never work, a sentence for each reason. */
   public List<String> faults(int replicas) {
     List<String> out = new ArrayList<>();
-    if (surge + mostUnavailable < 1) {
+    if (surge + maxUnavailable < 1) {
       out.add("surge and mostUnavailable are both 0: no replica could ever be replaced");
     }
-    if (mostUnavailable >= replicas && replicas > 1) {
+    if (maxUnavailable >= replicas && replicas > 1) {
       out.add("mostUnavailable is all of the replicas: the service may stop serving");
     }
     int before = 0;
     for (int i = 0; i < steps.size(); i++) {
-      int target = steps.get(i).of(replicas);
+      int target = steps.get(i).targetOf(replicas);
       if (target <= before) {
         out.add("step " + (i + 1) + " moves nothing: " + target + " of " + replicas + " after it");
       }
@@ -90,7 +90,7 @@
     if (before < replicas) {
       out.add("the last step leaves " + (replicas - before) + " replicas of the old version");
     }
-    String never = gate.neverPasses(limit);
+    String never = gate.unsatisfiableReason(stepTimeout);
     if (never != null) {
       out.add("the gate can never pass: " + never);
     }
@@ -101,7 +101,7 @@
   }
 
   /** What the gates ask probes for: paths, or {@link #CONNECT}. */
-  public Set<String> probed() {
+  public Set<String> probePaths() {
     Set<String> out = new TreeSet<>();
     for (Gate otherGate : stop == null ? List.of(gate) : List.of(gate, stop)) {
       for (Quantity quantity : otherGate.quantities()) {
@@ -113,7 +113,7 @@
     return out;
   }
 
-  int target(int step, int replicas) {
-    return steps.get(step).of(replicas);
+  int targetReplicas(int step, int replicas) {
+    return steps.get(step).targetOf(replicas);
   }
 }
--- a/src/main/java/io/saltflow/rollouts/RolloutStateMachine.java
+++ b/src/main/java/io/saltflow/rollouts/RolloutStateMachine.java
@@ -25,8 +25,9 @@
       case WAITING -> waiting(rollout, seen);
       case MOVING -> moving(rollout, seen);
       case CHECKING -> checking(rollout, seen);
-      case APPROVAL, PAUSED -> stops(rollout, seen) ? stopped(rollout, seen) : rollout;
-      case BACK -> back(rollout, seen);
+      case APPROVAL, PAUSED ->
+          stopConditionHolds(rollout, seen) ? rollBackOnStopCondition(rollout, seen) : rollout;
+      case BACK -> rollingBack(rollout, seen);
       case DONE, ROLLED_BACK, STUCK -> rollout;
     };
   }
@@ -36,51 +37,51 @@
    * two versions for the sake of the clock. A clock that is set back changes nothing.
    */
   private Rollout waiting(Rollout rollout, ReplicaStatus seen) {
-    if (stops(rollout, seen)) {
-      return stopped(rollout, seen);
+    if (stopConditionHolds(rollout, seen)) {
+      return rollBackOnStopCondition(rollout, seen);
     }
-    return plan.windows().open(seen.wallMs())
+    return plan.windows().isOpen(seen.wallMs())
         ? rollout.phase(Phase.MOVING, rollout.step(), seen.wallMs())
         : rollout;
   }
 
   private Rollout moving(Rollout rollout, ReplicaStatus seen) {
-    if (stops(rollout, seen)) {
-      return stopped(rollout, seen);
+    if (stopConditionHolds(rollout, seen)) {
+      return rollBackOnStopCondition(rollout, seen);
     }
-    int target = plan.target(rollout.step(), rollout.replicas());
+    int target = plan.targetReplicas(rollout.step(), rollout.replicas());
     Rollout moved = move(rollout, seen, target, rollout.replicas() - target, true);
     if (!moved.equals(rollout)) {
       return moved;
     }
-    if (rollout.wantedNew() == target && rollout.wantedOld() == rollout.replicas() - target) {
+    if (rollout.desiredNew() == target && rollout.desiredOld() == rollout.replicas() - target) {
       return rollout.phase(Phase.CHECKING, rollout.step(), rollout.sinceWallMs());
     }
-    if (late(rollout, seen)) {
-      return backWith(
+    if (timedOut(rollout, seen)) {
+      return rollBack(
           rollout,
           seen,
-          named(rollout)
+          stepName(rollout)
               + " was not complete within "
-              + plan.limit().toSeconds()
+              + plan.stepTimeout().toSeconds()
               + " s: "
               + seen.readyNew()
               + " of "
-              + rollout.wantedNew()
+              + rollout.desiredNew()
               + " new and "
               + seen.readyOld()
               + " of "
-              + rollout.wantedOld()
+              + rollout.desiredOld()
               + " old replicas were ready.");
     }
     return rollout;
   }
 
   private Rollout checking(Rollout rollout, ReplicaStatus seen) {
-    if (stops(rollout, seen)) {
-      return stopped(rollout, seen);
+    if (stopConditionHolds(rollout, seen)) {
+      return rollBackOnStopCondition(rollout, seen);
     }
-    if (rollout.wantedNew() != plan.target(rollout.step(), rollout.replicas())) {
+    if (rollout.desiredNew() != plan.targetReplicas(rollout.step(), rollout.replicas())) {
       // The service was scaled meanwhile: the step is not complete any more.
       return rollout.phase(Phase.MOVING, rollout.step(), rollout.sinceWallMs());
     }
@@ -88,15 +89,15 @@
       boolean approval = plan.steps().get(rollout.step()).approval();
       return approval
           ? rollout.phase(Phase.APPROVAL, rollout.step(), seen.wallMs())
-          : onward(rollout, seen);
+          : nextStep(rollout, seen);
     }
-    if (late(rollout, seen)) {
-      return backWith(
+    if (timedOut(rollout, seen)) {
+      return rollBack(
           rollout,
           seen,
-          named(rollout)
+          stepName(rollout)
               + " did not pass its gate within "
-              + plan.limit().toSeconds()
+              + plan.stepTimeout().toSeconds()
               + " s: "
               + String.join("; ", seen.gate().reasons())
               + ".");
@@ -104,32 +105,32 @@
     return rollout;
   }
 
-  private Rollout onward(Rollout rollout, ReplicaStatus seen) {
+  private Rollout nextStep(Rollout rollout, ReplicaStatus seen) {
     boolean last = rollout.step() + 1 == plan.steps().size();
     return last
         ? rollout.phase(Phase.DONE, rollout.step(), seen.wallMs())
         : rollout.phase(Phase.WAITING, rollout.step() + 1, seen.wallMs());
   }
 
-  private static String named(Rollout rollout) {
+  private static String stepName(Rollout rollout) {
     return "Step " + (rollout.step() + 1);
   }
 
-  private boolean late(Rollout rollout, ReplicaStatus seen) {
-    return seen.wallMs() - rollout.sinceWallMs() > plan.limit().ms();
+  private boolean timedOut(Rollout rollout, ReplicaStatus seen) {
+    return seen.wallMs() - rollout.sinceWallMs() > plan.stepTimeout().ms();
   }
 
-  private static boolean stops(Rollout rollout, ReplicaStatus seen) {
-    return rollout.wantedNew() > 0
+  private static boolean stopConditionHolds(Rollout rollout, ReplicaStatus seen) {
+    return rollout.desiredNew() > 0
         && seen.stop() != null
         && seen.stop().truth() == TernaryTruth.TRUE;
   }
 
-  private Rollout stopped(Rollout rollout, ReplicaStatus seen) {
-    return backWith(
+  private Rollout rollBackOnStopCondition(Rollout rollout, ReplicaStatus seen) {
+    return rollBack(
         rollout,
         seen,
-        named(rollout)
+        stepName(rollout)
             + " was stopped: "
             + plan.stop()
             + "; "
@@ -137,29 +138,30 @@
             + ".");
   }
 
-  private static Rollout backWith(Rollout rollout, ReplicaStatus seen, String why) {
-    return rollout.because(Phase.BACK, why, seen.wallMs());
+  private static Rollout rollBack(Rollout rollout, ReplicaStatus seen, String why) {
+    return rollout.withReason(Phase.BACK, why, seen.wallMs());
   }
 
-  private Rollout back(Rollout rollout, ReplicaStatus seen) {
-    if (seen.oldGone() != null) {
-      return stuck(rollout, " The old version can't be started: " + seen.oldGone() + ".", seen);
+  private Rollout rollingBack(Rollout rollout, ReplicaStatus seen) {
+    if (seen.oldVersionFailure() != null) {
+      return stuck(
+          rollout, " The old version can't be started: " + seen.oldVersionFailure() + ".", seen);
     }
     Rollout moved = move(rollout, seen, rollout.replicas(), 0, false);
     if (!moved.equals(rollout)) {
       return moved;
     }
-    int floor = Math.max(1, rollout.replicas() - plan.mostUnavailable());
-    if (rollout.wantedNew() == 0
-        && rollout.wantedOld() == rollout.replicas()
+    int floor = Math.max(1, rollout.replicas() - plan.maxUnavailable());
+    if (rollout.desiredNew() == 0
+        && rollout.desiredOld() == rollout.replicas()
         && seen.readyOld() >= floor) {
-      return rollout.because(Phase.ROLLED_BACK, rollout.reason(), seen.wallMs());
+      return rollout.withReason(Phase.ROLLED_BACK, rollout.reason(), seen.wallMs());
     }
-    if (seen.wallMs() - rollout.sinceWallMs() > plan.backLimit().ms()) {
+    if (seen.wallMs() - rollout.sinceWallMs() > plan.rollbackTimeout().ms()) {
       return stuck(
           rollout,
           " Rolling back did not end within "
-              + plan.backLimit().toSeconds()
+              + plan.rollbackTimeout().toSeconds()
               + " s either: "
               + seen.readyOld()
               + " of "
@@ -177,10 +179,11 @@
    * is room for: nobody looks any more, so whatever can still come up must be wanted now.
    */
   private Rollout stuck(Rollout rollout, String why, ReplicaStatus seen) {
-    int old = Math.min(rollout.replicas(), rollout.replicas() + plan.surge() - rollout.wantedNew());
+    int old =
+        Math.min(rollout.replicas(), rollout.replicas() + plan.surge() - rollout.desiredNew());
     return rollout
-        .wanting(Math.max(old, rollout.wantedOld()), rollout.wantedNew())
-        .because(Phase.STUCK, rollout.reason() + why, seen.wallMs());
+        .withDesired(Math.max(old, rollout.desiredOld()), rollout.desiredNew())
+        .withReason(Phase.STUCK, rollout.reason() + why, seen.wallMs());
   }
 
   /**
@@ -190,74 +193,75 @@
    */
   private Rollout move(
       Rollout rollout, ReplicaStatus seen, int growTo, int shrinkTo, boolean forth) {
-    int grows = forth ? rollout.wantedNew() : rollout.wantedOld();
-    int shrinks = forth ? rollout.wantedOld() : rollout.wantedNew();
+    int grows = forth ? rollout.desiredNew() : rollout.desiredOld();
+    int shrinks = forth ? rollout.desiredOld() : rollout.desiredNew();
     int readyGrowing = forth ? seen.readyNew() : seen.readyOld();
     int readyShrinking = forth ? seen.readyOld() : seen.readyNew();
-    int unseenShrinking = forth ? seen.unseenOld() : seen.unseenNew();
+    int unseenShrinking = forth ? seen.unreachableOld() : seen.unreachableNew();
     int roomFor = rollout.replicas() + plan.surge() - shrinks;
     int grown =
         Math.min(Math.min(growTo, roomFor), readyGrowing + Math.max(1, plan.pace().atOnce()));
     if (forth) {
-      grown = Math.min(grown, withinZone(rollout, readyGrowing));
-      int starts = Math.min(grown - grows, starts(rollout, seen));
+      grown = Math.min(grown, zoneBound(rollout, readyGrowing));
+      int starts = Math.min(grown - grows, availableStarts(rollout, seen));
       if (starts > 0) {
-        return started(rollout.wanting(shrinks, grows + starts), starts, seen);
+        return withStartsConsumed(rollout.withDesired(shrinks, grows + starts), starts, seen);
       }
     } else if (grown > grows) {
-      return rollout.wanting(grown, shrinks);
+      return rollout.withDesired(grown, shrinks);
     }
     int back = Math.min(shrinkTo, rollout.replicas() + plan.surge() - grows);
     if (back > shrinks) {
       // The service was made larger: the version that goes has its part of that, too.
-      return forth ? rollout.wanting(back, grows) : rollout.wanting(grows, back);
+      return forth ? rollout.withDesired(back, grows) : rollout.withDesired(grows, back);
     }
-    int floor = rollout.replicas() - plan.mostUnavailable();
+    int floor = rollout.replicas() - plan.maxUnavailable();
     int idle = Math.max(0, shrinks - readyShrinking - unseenShrinking);
     int spare = Math.max(0, readyShrinking + readyGrowing - floor);
     int fewer = Math.max(shrinkTo, shrinks - idle - spare);
     if (fewer < shrinks) {
-      return forth ? rollout.wanting(fewer, grows) : rollout.wanting(grows, fewer);
+      return forth ? rollout.withDesired(fewer, grows) : rollout.withDesired(grows, fewer);
     }
     if (grows > growTo) {
       // The service was made smaller.
-      return forth ? rollout.wanting(shrinks, growTo) : rollout.wanting(growTo, shrinks);
+      return forth ? rollout.withDesired(shrinks, growTo) : rollout.withDesired(growTo, shrinks);
     }
     return rollout;
   }
 
   /** Up to the end of the zone that is gone through: the next begins once this one is ready. */
-  private static int withinZone(Rollout rollout, int ready) {
+  private static int zoneBound(Rollout rollout, int ready) {
     for (int zones = 1; zones <= rollout.zones().size(); zones++) {
-      if (rollout.through(zones) > ready) {
-        return rollout.through(zones);
+      if (rollout.replicasThroughZone(zones) > ready) {
+        return rollout.replicasThroughZone(zones);
       }
     }
     return rollout.replicas();
   }
 
   /** How many starts the plan's rate leaves now; after a clock was set back one, and so on. */
-  private int starts(Rollout rollout, ReplicaStatus seen) {
-    if (plan.pace().perMinute() == 0) {
+  private int availableStarts(Rollout rollout, ReplicaStatus seen) {
+    if (plan.pace().startsPerMinute() == 0) {
       return Integer.MAX_VALUE;
     }
-    long unused = seen.wallMs() - rollout.grownWallMs();
-    long starts = unused < 0 ? 1 : unused * plan.pace().perMinute() / 60_000;
+    long unused = seen.wallMs() - rollout.startsUsedUntilWallMs();
+    long starts = unused < 0 ? 1 : unused * plan.pace().startsPerMinute() / 60_000;
     return (int) Math.min(starts, plan.pace().atOnce());
   }
 
-  private Rollout started(Rollout rollout, int starts, ReplicaStatus seen) {
-    if (plan.pace().perMinute() == 0) {
+  private Rollout withStartsConsumed(Rollout rollout, int starts, ReplicaStatus seen) {
+    if (plan.pace().startsPerMinute() == 0) {
       return rollout;
     }
-    long each = 60_000 / plan.pace().perMinute();
-    long unusedSince = Math.max(rollout.grownWallMs(), seen.wallMs() - plan.pace().atOnce() * each);
-    return rollout.grownUntil(Math.min(seen.wallMs(), unusedSince + starts * each));
+    long each = 60_000 / plan.pace().startsPerMinute();
+    long unusedSince =
+        Math.max(rollout.startsUsedUntilWallMs(), seen.wallMs() - plan.pace().atOnce() * each);
+    return rollout.withStartsUsedUntil(Math.min(seen.wallMs(), unusedSince + starts * each));
   }
 
   /** The record after an operator's command; the same one if the command does not apply. */
-  public Rollout told(Rollout rollout, RolloutCommand command, long wallMs) {
-    if (rollout.phase().over()) {
+  public Rollout applyCommand(Rollout rollout, RolloutCommand command, long wallMs) {
+    if (rollout.phase().isFinal()) {
       return rollout;
     }
     return switch (command) {
@@ -267,7 +271,7 @@
               : rollout.paused();
       case RESUME ->
           rollout.phase() == Phase.PAUSED
-              ? rollout.phase(rollout.resumes(), rollout.step(), wallMs)
+              ? rollout.phase(rollout.resumePhase(), rollout.step(), wallMs)
               : rollout;
       case APPROVE -> {
         boolean last = rollout.step() + 1 == plan.steps().size();
@@ -281,13 +285,13 @@
       case ABORT ->
           rollout.phase() == Phase.BACK
               ? rollout
-              : rollout.because(
-                  Phase.BACK, named(rollout) + " was aborted by an operator.", wallMs);
+              : rollout.withReason(
+                  Phase.BACK, stepName(rollout) + " was aborted by an operator.", wallMs);
     };
   }
 
   /** Changes the number of replicas during a rollout. */
-  public Rollout scaled(Rollout rollout, int replicas) {
-    return rollout.of(replicas);
+  public Rollout scale(Rollout rollout, int replicas) {
+    return rollout.withReplicas(replicas);
   }
 }
--- a/src/main/java/io/saltflow/services/LiveService.java
+++ b/src/main/java/io/saltflow/services/LiveService.java
@@ -24,48 +24,46 @@
 import java.util.Set;
 import java.util.UUID;
 
-/** A service during a leader's term: its record and this leader's observations. */
+/** A service during a leader's term, with its record and this leader's observations. */
 final class LiveService {
-  private static final TimeSpan WITHOUT_DATA = TimeSpan.seconds(60);
-  private static final ServiceReplicas.ReplicaCounts NONE =
+  private static final TimeSpan NO_DATA_TIMEOUT = TimeSpan.seconds(60);
+  private static final ServiceReplicas.ReplicaCounts NO_REPLICAS =
       new ServiceReplicas.ReplicaCounts(0, 0, 0, 0, 0);
 
   /**
-   * After this many consecutive failures without a replica coming up, the old version counts as
-   * gone.
+   * Consecutive failures, without a replica becoming ready, after which the old version counts as
+   * unable to start.
    */
-  private static final int GONE_AFTER = 5;
+  private static final int MAX_OLD_FAILURES = 5;
 
-  /** How many times larger a service may become within its job, besides its surge. */
-  private static final int ROOM = 4;
+  /** Factor by which a service can be scaled without a new job. */
+  private static final int GROWTH_FACTOR = 4;
 
-  private static final int LEAST_ROOM = 16;
+  private static final int MIN_TASK_SLOTS = 16;
 
   private Service service;
-  private ReplicaObservations sightings = new ReplicaObservations();
+  private ReplicaObservations observations = new ReplicaObservations();
   private GateEvaluator gate;
   private GateEvaluator stop;
-  private int watchedStep = -1;
+  private int evaluatedStep = -1;
   private GateEvaluator.Verdict lastVerdict;
 
-  /** The shared budget for voluntary disruptions of the service. */
+  /** Budget for voluntary disruptions, shared by all versions of the service. */
   private final DisruptionBudget disruptions = new DisruptionBudget();
 
-  /**
-   * During a rollback: consecutive failures of the old version, and the most replicas of it that
-   * were up.
-   */
+  /** Consecutive failures of the old version during a rollback. */
   private int oldFailures;
 
-  private int oldBest;
+  /** Largest number of ready replicas of the old version during a rollback. */
+  private int maxOldReady;
 
-  private final List<TimeSpan> starts = new ArrayList<>();
+  private final List<TimeSpan> startLatencies = new ArrayList<>();
 
-  /** Whether a write of its record is in flight. */
-  boolean writing;
+  /** Whether a write of the record is in flight. */
+  boolean writeInFlight;
 
-  /** Whether a job of it is being admitted. */
-  boolean admitting;
+  /** Whether a job of the service is being admitted. */
+  boolean admissionInFlight;
 
   LiveService(Service service) {
     this.service = service;
@@ -75,8 +73,8 @@
     return service;
   }
 
-  /** Replaces the record. Observations are cleared when another rollout begins. */
-  void recorded(Service next) {
+  /** Replaces the record. A new rollout clears the observations. */
+  void applyRecord(Service next) {
     boolean other =
         next.current() != null
             && (service.current() == null
@@ -85,48 +83,48 @@
                     != service.version(service.current().to()).generation());
     service = next;
     if (other) {
-      sightings = new ReplicaObservations();
-      watchedStep = -1;
+      observations = new ReplicaObservations();
+      evaluatedStep = -1;
       lastVerdict = null;
     }
   }
 
   /**
-   * Derived from the service's name, the version and its generation, so that a repeated admission
-   * is idempotent.
+   * Returns an id derived from the service's name, the version and its generation, so that a
+   * retried admission is idempotent.
    */
-  JobId jobOf(Service.Version version) {
+  JobId jobIdOf(Service.Version version) {
     String text = service.name() + "\0" + version.number() + "\0" + version.generation();
     UUID uuid = UUID.nameUUIDFromBytes(text.getBytes(StandardCharsets.UTF_8));
     return JobId.of(uuid.getMostSignificantBits(), uuid.getLeastSignificantBits());
   }
 
-  /** The most replicas that a version may have; a probed one has one port each. */
-  private int room() {
-    int ports = service.shape().ports();
-    return ports > 0 ? ports : room(service.replicas());
+  /** Returns the most replicas that a version can have; with ports, one per port of its range. */
+  private int taskSlots() {
+    int ports = service.template().ports();
+    return ports > 0 ? ports : taskSlots(service.replicas());
   }
 
-  static int room(int replicas) {
-    return Math.max(LEAST_ROOM, ROOM * replicas);
+  static int taskSlots(int replicas) {
+    return Math.max(MIN_TASK_SLOTS, GROWTH_FACTOR * replicas);
   }
 
-  JobSpec specOf(Service.Version version) {
+  JobSpec jobSpecOf(Service.Version version) {
     return new JobSpec(
-        jobOf(version),
+        jobIdOf(version),
         Wire.SERVICE_CLASS + service.name(),
         service.team(),
         true,
         service.priority(),
-        room(),
-        service.shape().size(),
+        taskSlots(),
+        service.template().size(),
         null,
         null,
         false,
         false,
-        service.shape().spot(),
+        service.template().spot(),
         version.image(),
-        service.shape().imageGb(),
+        service.template().imageGb(),
         TimeSpan.seconds(0),
         TimeSpan.seconds(0),
         TimeSpan.seconds(0),
@@ -135,10 +133,10 @@
   }
 
   ServiceReplicas.ReplicaCounts replicas(LeaderCore leader, int version, MonotonicTime now) {
-    Job job = leader.jobs().find(jobOf(service.version(version)));
+    Job job = leader.jobs().find(jobIdOf(service.version(version)));
     TimeSpan settle =
         service.current() == null ? TimeSpan.millis(0) : service.current().plan().settle();
-    return job == null ? NONE : job.replicas().counts(settle, now);
+    return job == null ? NO_REPLICAS : job.replicas().counts(settle, now);
   }
 
   DisruptionBudget disruptions() {
@@ -146,26 +144,29 @@
   }
 
   /**
-   * Says what may be taken away now: what is ready beyond the floor and is not about to be let go
-   * by the record. While a record is on its way nothing is, since it may say something else.
+   * Sets how many replicas may be disrupted now: those available beyond the required minimum, less
+   * those that the record already removes. The budget is not positive while a write of the record
+   * is in flight, since its outcome may change the numbers.
    */
-  void budget(LeaderCore leader, MonotonicTime now) {
-    int spare = service.mostUnavailable() - service.replicas();
+  void updateDisruptionBudget(LeaderCore leader, MonotonicTime now) {
+    int spare = service.maxUnavailable() - service.replicas();
     for (Service.Version version : service.versions()) {
       ServiceReplicas.ReplicaCounts replicaCounts = replicas(leader, version.number(), now);
       spare += replicaCounts.available() - replicaCounts.excess();
     }
-    disruptions.setRemaining(writing ? Math.min(0, spare) : spare);
+    disruptions.setRemaining(writeInFlight ? Math.min(0, spare) : spare);
   }
 
-  /** The replicas of the new version that can be probed, by the paths that the plan asks for. */
-  List<ReplicaProbe> targets(LeaderCore leader) {
-    if (!service.rolling()) {
+  /**
+   * Returns a probe for each serving replica of the new version and each path in the plan's gates.
+   */
+  List<ReplicaProbe> probeTargets(LeaderCore leader) {
+    if (!service.isRollingOut()) {
       return List.of();
     }
     Service.Version version = service.version(service.current().to());
-    Job job = leader.jobs().find(jobOf(version));
-    Set<String> paths = service.current().plan().probed();
+    Job job = leader.jobs().find(jobIdOf(version));
+    Set<String> paths = service.current().plan().probePaths();
     if (job == null || version.port() == 0 || paths.isEmpty()) {
       return List.of();
     }
@@ -187,40 +188,40 @@
   }
 
   /** Records a probe of a replica of the new version. */
-  void probed(ProbeFrame.ProbeTarget place, long ms, MonotonicTime now) {
-    sightings.probed(place.path().isEmpty() ? RolloutPlan.CONNECT : place.path(), ms, now);
+  void recordProbe(ProbeFrame.ProbeTarget place, long ms, MonotonicTime now) {
+    observations.recordProbe(place.path().isEmpty() ? RolloutPlan.CONNECT : place.path(), ms, now);
   }
 
-  /** Why the old version can't be started any more; null: it can. */
-  private String oldGone(
-      LeaderCore leader, Service.Current current, ServiceReplicas.ReplicaCounts old) {
-    Job job = leader.jobs().find(jobOf(service.version(current.from())));
+  /** Returns why the old version cannot be started any more, or {@code null} if it can. */
+  private String oldVersionFailure(
+      LeaderCore leader, Service.RolloutRecord current, ServiceReplicas.ReplicaCounts old) {
+    Job job = leader.jobs().find(jobIdOf(service.version(current.from())));
     List<ServiceReplicas.UnexpectedExit> ends =
         job == null ? List.of() : job.replicas().takeUnexpectedExits();
-    if (current.rollout().phase() != Rollout.Phase.BACK || old.available() > oldBest) {
+    if (current.rollout().phase() != Rollout.Phase.BACK || old.available() > maxOldReady) {
       oldFailures = 0;
-      oldBest = old.available();
+      maxOldReady = old.available();
       return null;
     }
     for (ServiceReplicas.UnexpectedExit unexpectedExit : ends) {
       oldFailures += unexpectedExit.failure() ? 1 : 0;
     }
-    return oldFailures < GONE_AFTER
+    return oldFailures < MAX_OLD_FAILURES
         ? null
         : "its replicas failed " + oldFailures + " times and none came up";
   }
 
   /**
-   * The next record of the current rollout by present observations; the same one if nothing is to
-   * be done.
+   * Returns the next state of the current rollout by the current observations, or the same state if
+   * there is nothing to do.
    */
-  Rollout next(LeaderCore leader, MonotonicTime now, long wallMs) {
-    Service.Current current = service.current();
-    watch(current, now);
+  Rollout nextRollout(LeaderCore leader, MonotonicTime now, long wallMs) {
+    Service.RolloutRecord current = service.current();
+    startStepEvaluation(current, now);
     ServiceReplicas.ReplicaCounts old = replicas(leader, current.from(), now);
     ServiceReplicas.ReplicaCounts fresh = replicas(leader, current.to(), now);
     observe(leader, current, fresh, now);
-    lastVerdict = gate.look(sightings, now);
+    lastVerdict = gate.evaluate(observations, now);
     ReplicaStatus seen =
         new ReplicaStatus(
             old.available(),
@@ -228,71 +229,73 @@
             fresh.available(),
             fresh.unreachable(),
             lastVerdict,
-            stop == null ? null : stop.look(sightings, now),
-            oldGone(leader, current, old),
+            stop == null ? null : stop.evaluate(observations, now),
+            oldVersionFailure(leader, current, old),
             wallMs);
     return new RolloutStateMachine(current.plan()).next(current.rollout(), seen);
   }
 
-  /** Each step is evaluated by itself: a condition held during one step does not pass the next. */
-  private void watch(Service.Current current, MonotonicTime now) {
+  /**
+   * Evaluates each step afresh: a condition that held during one step does not count for the next.
+   */
+  private void startStepEvaluation(Service.RolloutRecord current, MonotonicTime now) {
     RolloutPlan plan = current.plan();
-    if (watchedStep != current.rollout().step()) {
-      watchedStep = current.rollout().step();
-      gate = new GateEvaluator(plan.gate(), WITHOUT_DATA);
-      stop = plan.stop() == null ? null : new GateEvaluator(plan.stop(), WITHOUT_DATA);
-      sightings.begun();
+    if (evaluatedStep != current.rollout().step()) {
+      evaluatedStep = current.rollout().step();
+      gate = new GateEvaluator(plan.gate(), NO_DATA_TIMEOUT);
+      stop = plan.stop() == null ? null : new GateEvaluator(plan.stop(), NO_DATA_TIMEOUT);
+      observations.stepStarted();
     }
     if (current.rollout().phase() == Rollout.Phase.CHECKING) {
-      sightings.complete(now);
+      observations.stepCompleted(now);
     }
   }
 
   private void observe(
       LeaderCore leader,
-      Service.Current current,
+      Service.RolloutRecord current,
       ServiceReplicas.ReplicaCounts fresh,
       MonotonicTime now) {
-    Job job = leader.jobs().find(jobOf(service.version(current.to())));
+    Job job = leader.jobs().find(jobIdOf(service.version(current.to())));
     if (job == null) {
       return;
     }
-    sightings.ready(fresh.ready(), current.rollout().wantedNew(), now);
+    observations.ready(fresh.ready(), current.rollout().desiredNew(), now);
     for (ServiceReplicas.UnexpectedExit unexpectedExit : job.replicas().takeUnexpectedExits()) {
-      sightings.exited(unexpectedExit.cause(), unexpectedExit.failure(), now);
-      sightings.restarted(now);
+      observations.recordExit(unexpectedExit.cause(), unexpectedExit.failure(), now);
+      observations.recordRestart(now);
     }
     for (TimeSpan took : job.replicas().takeStartLatencies()) {
-      sightings.started(took, now);
-      starts.add(took);
+      observations.recordStart(took, now);
+      startLatencies.add(took);
     }
-    sightings.forget(now);
+    observations.dropExpired(now);
   }
 
-  /** Takes the start-up times of replicas since the last call. */
-  List<TimeSpan> takeStarts() {
-    List<TimeSpan> out = List.copyOf(starts);
-    starts.clear();
+  /** Returns and clears the start latencies observed since the last call. */
+  List<TimeSpan> takeStartLatencies() {
+    List<TimeSpan> out = List.copyOf(startLatencies);
+    startLatencies.clear();
     return out;
   }
 
-  /** The gate's last verdict; null: it was not evaluated. */
+  /** Returns the gate's last verdict, or {@code null} if it has not been evaluated. */
   GateEvaluator.Verdict verdict() {
     return lastVerdict;
   }
 
-  /** The id of the current rollout, or of the last one. */
-  RolloutEvent.Which which() {
-    Service.Current current = service.current();
-    return new RolloutEvent.Which(
+  /** Returns the id of the rollout in progress, or of the last one. */
+  RolloutEvent.RolloutId rolloutId() {
+    Service.RolloutRecord current = service.current();
+    return new RolloutEvent.RolloutId(
         service.name(),
-        service.version(current.from()).said(),
-        service.version(current.to()).said(),
+        service.version(current.from()).description(),
+        service.version(current.to()).description(),
         current.beganWallMs());
   }
 
-  /** Why the gate does not pass now; empty: it passes, or is not evaluated. */
-  List<String> waitsFor() {
+  /** Returns why the gate does not pass now; empty if it passes or has not been evaluated. */
+  List<String> unmetConditions() {
     boolean waits = lastVerdict != null && lastVerdict.truth() != TernaryTruth.TRUE;
     return waits ? lastVerdict.reasons() : List.of();
   }
--- a/src/main/java/io/saltflow/services/ProbeLinks.java
+++ b/src/main/java/io/saltflow/services/ProbeLinks.java
@@ -6,10 +6,10 @@
 import java.util.function.Supplier;
 
 /**
- * How a controller sends probes itself and through its peers.
+ * The means by which a controller probes replicas itself and through its peers.
  *
  * @param host this controller's name
- * @param peers the peers that are reachable now and probe for others
+ * @param peers returns the peers that are reachable now and probe on behalf of others
  * @param send sends a frame to all peers; the frame names its addressee
  */
 public record ProbeLinks(
--- a/src/main/java/io/saltflow/services/ProbeLoop.java
+++ b/src/main/java/io/saltflow/services/ProbeLoop.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** Probes replicas while this controller leads, from itself and from its peers in turn. */
+/** Probes replicas during a leader's term, in turn from this controller and from its peers. */
 final class ProbeLoop extends Routine {
   private static final TimeSpan POLL_INTERVAL = TimeSpan.millis(250);
   private static final ProbeScheduler.Limits LIMITS =
@@ -22,53 +22,53 @@
 
   private final EventLoop loop;
   private final ProbeLinks links;
-  private final Consumer<ReplicaHealth> found;
-  private final ProbeScheduler probing;
+  private final Consumer<ReplicaHealth> onResult;
+  private final ProbeScheduler scheduler;
 
   ProbeLoop(Routine parent, EventLoop loop, ProbeLinks links, Consumer<ReplicaHealth> found) {
     super(parent);
     this.loop = loop;
     this.links = links;
-    this.found = found;
-    probing = new ProbeScheduler(LIMITS, loop.now());
+    this.onResult = found;
+    scheduler = new ProbeScheduler(LIMITS, loop.now());
   }
 
   void start() {
-    loop.scheduleRepeating(POLL_INTERVAL, this, this::look);
+    loop.scheduleRepeating(POLL_INTERVAL, this, this::sendDueProbes);
   }
 
-  /** The controllers that probe a service; none: it is not probed. */
-  void targets(String service, Collection<ReplicaProbe> targets) {
-    probing.targets(service, targets);
+  /** Sets the replicas of a service to probe; an empty list ends its probes. */
+  void setTargets(String service, Collection<ReplicaProbe> targets) {
+    scheduler.setTargets(service, targets);
   }
 
-  private void look() {
-    for (ProbeBatch ask : probing.due(links.peers().get(), loop.now())) {
-      if (ask.prober().isEmpty()) {
-        askAll(
+  private void sendDueProbes() {
+    for (ProbeBatch batch : scheduler.due(links.peers().get(), loop.now())) {
+      if (batch.prober().isEmpty()) {
+        probeAll(
             loop,
             this,
             links.prober(),
-            ask.places(),
+            batch.places(),
             LIMITS.timeout(),
-            t -> answered("", ask.batch(), t));
+            t -> onResponse("", batch.batch(), t));
       } else {
-        ProbeFrame.ProbeRequest call =
+        ProbeFrame.ProbeRequest request =
             new ProbeFrame.ProbeRequest(
-                ask.prober(), links.host(), ask.batch(), LIMITS.timeout().ms(), ask.places());
-        links.send().accept(call.encode());
+                batch.prober(), links.host(), batch.batch(), LIMITS.timeout().ms(), batch.places());
+        links.send().accept(request.encode());
       }
     }
   }
 
-  /** Handles a peer's probe results. */
-  void answered(String prober, long batch, List<Long> times) {
+  /** Handles the results of a batch from a prober, where an empty name means this controller. */
+  void onResponse(String prober, long batch, List<Long> times) {
     boolean others = !links.peers().get().isEmpty();
-    probing.answered(prober, batch, times, others).forEach(found);
+    scheduler.onResponse(prober, batch, times, others).forEach(onResult);
   }
 
-  /** Sends all probes at once, and passes the latencies on once the last is known. */
-  static void askAll(
+  /** Sends all probes at once and passes the latencies on when the last result is known. */
+  static void probeAll(
       EventLoop loop,
       Routine owner,
       ReplicaProber prober,
@@ -78,12 +78,12 @@
     Long[] times = new Long[places.size()];
     int[] left = {places.size()};
     for (int i = 0; i < times.length; i++) {
-      int at = i;
+      int index = i;
       prober.probe(
           places.get(i),
           timeout,
           ms -> {
-            times[at] = ms;
+            times[index] = ms;
             if (--left[0] == 0 && !owner.cancelled()) {
               then.accept(Arrays.asList(times));
             }
--- a/src/main/java/io/saltflow/services/ReplicaTemplate.java
+++ b/src/main/java/io/saltflow/services/ReplicaTemplate.java
@@ -3,17 +3,19 @@
 import io.saltflow.model.Resources;
 
 /**
- * What a replica of a service needs.
+ * The requirements of a service's replicas.
  *
- * @param mostUnavailable how many replicas others may take away when no rollout is under way
- * @param port the first port of the service's own; 0: its replicas can't be probed
- * @param ports how many ports each version has: a replica listens on its version's first port and
- *     its own number. Two versions that may share a machine take turns with two such ranges.
+ * @param maxUnavailable how many replicas may be voluntarily disrupted at a time while no rollout
+ *     is in progress
+ * @param port the first port of the service, or 0 if its replicas cannot be probed
+ * @param ports the size of each version's port range. A replica listens on its version's first port
+ *     plus its own index. Versions alternate between two ranges, as two of them may share a
+ *     machine.
  */
 record ReplicaTemplate(
-    Resources size, double imageGb, boolean spot, int mostUnavailable, int port, int ports) {
-  /** The other range than that of the version that serves. */
-  int portBeside(int serving) {
+    Resources size, double imageGb, boolean spot, int maxUnavailable, int port, int ports) {
+  /** Returns the first port of the range that the serving version does not use. */
+  int alternatePort(int serving) {
     return port == 0 || serving != port ? port : port + ports;
   }
 }
--- a/src/main/java/io/saltflow/services/RolloutPlanReader.java
+++ b/src/main/java/io/saltflow/services/RolloutPlanReader.java
@@ -34,16 +34,16 @@
 import java.util.function.Function;
 
 /**
- * Reads rollout plans that operators write: JSON by a schema, every field of which has a default.
+ * Reads operators' rollout plans: JSON validated by a schema in which every field has a default.
  */
 public final class RolloutPlanReader {
   static final String SCHEMA = "/rollout-plan.schema.json";
-  private static final String GATE = "ready >= 95% for 30s and failures(2m) < 2";
+  private static final String DEFAULT_GATE = "ready >= 95% for 30s and failures(2m) < 2";
 
   private RolloutPlanReader() {}
 
-  /** Reads and validates a new plan; the error also names what can never work. */
-  static RolloutPlan checked(String text, int replicas) throws InvalidMessageException {
+  /** Reads and validates a new plan. Plans that can never succeed are rejected too. */
+  static RolloutPlan readValidated(String text, int replicas) throws InvalidMessageException {
     check(json(text));
     RolloutPlan plan = read(text, replicas);
     List<String> faults = plan.faults(replicas);
@@ -53,14 +53,14 @@
     return plan;
   }
 
-  /** Why a plan can never work for a service, a sentence for each reason. */
-  static List<String> unfit(RolloutPlan plan, Service service, Resources teamLimit) {
+  /** Returns the reasons why a plan can never succeed for a service, one text each. */
+  static List<String> conflicts(RolloutPlan plan, Service service, Resources teamLimit) {
     List<String> out = new ArrayList<>();
-    if (!plan.probed().isEmpty() && service.shape().port() == 0) {
+    if (!plan.probePaths().isEmpty() && service.template().port() == 0) {
       out.add("a gate asks for probes, and the service has no port");
     }
-    Resources most = service.shape().size().times(service.replicas() + plan.surge());
-    if (plan.mostUnavailable() == 0
+    Resources most = service.template().size().times(service.replicas() + plan.surge());
+    if (plan.maxUnavailable() == 0
         && (most.cores() > teamLimit.cores() || most.gpus() > teamLimit.gpus())) {
       out.add(
           service.replicas()
@@ -74,20 +74,21 @@
   }
 
   /**
-   * Why a plan can never work for a service that is to be set up; empty: it is valid.
+   * Returns the reasons why a plan can never succeed for a service that is yet to be created; empty
+   * if the plan is valid.
    *
-   * @param service as {@code service apply} would send it
-   * @param teamLimits how much a team may use at once; null: there is no such team
+   * @param service the request that {@code service apply} would send
+   * @param teamLimits returns a team's limit, or {@code null} if there is no such team
    */
   public static List<String> check(
       String text, MessageBody service, Function<String, Resources> teamLimits)
       throws InvalidMessageException {
-    Service otherService = ServiceRequest.service(service, 0);
-    Resources limit = teamLimits.apply(otherService.team());
+    Service parsed = ServiceRequest.service(service, 0);
+    Resources limit = teamLimits.apply(parsed.team());
     if (limit == null) {
       return List.of(Wire.TEAM + ": unknown team");
     }
-    return unfit(checked(text, otherService.replicas()), otherService, limit);
+    return conflicts(readValidated(text, parsed.replicas()), parsed, limit);
   }
 
   private static JsonNode json(String text) throws InvalidMessageException {
@@ -99,8 +100,8 @@
   }
 
   /**
-   * Reads a plan that was checked when it was new: a leader that takes over reads one a service,
-   * and compiles no schema for it. The error names the column of a gate.
+   * Reads a plan that was validated when it was new. A new leader reads one plan per service, so
+   * the schema is neither compiled nor applied here. Errors in a gate name the column.
    */
   static RolloutPlan read(String text, int replicas) throws InvalidMessageException {
     JsonNode node = json(text);
@@ -130,27 +131,27 @@
         TimeSpan.seconds(node.path("settleS").asDouble(10)),
         TimeSpan.seconds(node.path("limitS").asDouble(600)),
         TimeSpan.seconds(node.path("backLimitS").asDouble(600)),
-        gate("gate", node.path("gate").asText(GATE)),
+        gate("gate", node.path("gate").asText(DEFAULT_GATE)),
         node.has("stop") ? gate("stop", node.get("stop").asText()) : null,
         windows(node.path("windows")));
   }
 
   private static void check(JsonNode node) throws InvalidMessageException {
-    Set<ValidationMessage> faults = Compiled.SCHEMA_OF_PLANS.validate(node);
+    Set<ValidationMessage> faults = CompiledSchema.PLAN_SCHEMA.validate(node);
     if (!faults.isEmpty()) {
       throw new InvalidMessageException("plan: " + faults.iterator().next().getMessage());
     }
   }
 
-  /** The schema, compiled once, when the first plan is checked. */
-  private static final class Compiled {
-    static final JsonSchema SCHEMA_OF_PLANS = compile();
+  /** Holds the schema, which is compiled once, when the first plan is validated. */
+  private static final class CompiledSchema {
+    static final JsonSchema PLAN_SCHEMA = compile();
 
     private static JsonSchema compile() {
       try (InputStream in = RolloutPlanReader.class.getResourceAsStream(SCHEMA)) {
         return JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(in);
       } catch (IOException exception) {
-        throw new IllegalStateException(SCHEMA + " is packed with the program", exception);
+        throw new IllegalStateException(SCHEMA + " cannot be read from the class path", exception);
       }
     }
   }
@@ -160,10 +161,10 @@
       return MaintenanceWindows.ALWAYS;
     }
     try {
-      List<MaintenanceWindows.Span> spans = new ArrayList<>();
+      List<MaintenanceWindows.TimeRange> spans = new ArrayList<>();
       for (JsonNode jsonNode : node.path("times")) {
         spans.add(
-            new MaintenanceWindows.Span(
+            new MaintenanceWindows.TimeRange(
                 LocalTime.parse(jsonNode.get("from").asText()),
                 LocalTime.parse(jsonNode.get("until").asText())));
       }
@@ -191,7 +192,7 @@
     try {
       Gate gate = Gate.parse(text);
       for (Quantity quantity : gate.quantities()) {
-        // The text becomes part of a request line.
+        // The path is written into an HTTP request line.
         if (quantity.measure() == Measure.PROBE
             && !quantity.text().matches("/[!-~]{0,200}|" + RolloutPlan.CONNECT)) {
           throw new InvalidMessageException(
--- a/src/main/java/io/saltflow/services/RolloutTraces.java
+++ b/src/main/java/io/saltflow/services/RolloutTraces.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reports rollouts to the tracer. A failing tracer never fails a rollout. */
+/** Reports rollouts to the tracer. A failure of the tracer never affects a rollout. */
 final class RolloutTraces {
   private static final Logger LOG = LoggerFactory.getLogger(RolloutTraces.class);
 
@@ -21,43 +21,45 @@
   }
 
   /** Reports the recorded state of a rollout. */
-  void stands(LiveService live) {
+  void stateRecorded(LiveService live) {
     send(
-        new RolloutEvent.Stands(
-            live.which(), live.service().current().rollout(), wallMs.getAsLong()));
+        new RolloutEvent.StateRecorded(
+            live.rolloutId(), live.service().current().rollout(), wallMs.getAsLong()));
   }
 
   /** Reports a probe of a replica of the new version. */
-  void probed(LiveService live, ProbeFrame.ProbeTarget place, long ms) {
+  void replicaProbed(LiveService live, ProbeFrame.ProbeTarget place, long ms) {
     String target = place.host() + ":" + place.port() + place.path();
-    send(new RolloutEvent.Probed(live.which(), target, ms, wallMs.getAsLong()));
+    send(new RolloutEvent.ReplicaProbed(live.rolloutId(), target, ms, wallMs.getAsLong()));
   }
 
   /** Reports a gate's verdict if it changed. */
-  void judged(LiveService live, GateEvaluator.Verdict before) {
+  void verdictChanged(LiveService live, GateEvaluator.Verdict before) {
     GateEvaluator.Verdict now = live.verdict();
     if (now != null && (before == null || before.truth() != now.truth())) {
-      send(new RolloutEvent.Judged(live.which(), now.truth(), now.reasons(), wallMs.getAsLong()));
+      send(
+          new RolloutEvent.VerdictChanged(
+              live.rolloutId(), now.truth(), now.reasons(), wallMs.getAsLong()));
     }
   }
 
-  /** Reports replicas that came up since the last call. */
-  void started(LiveService live) {
-    for (TimeSpan took : live.takeStarts()) {
-      send(new RolloutEvent.Started(live.which(), took.ms(), wallMs.getAsLong()));
+  /** Reports replicas that started running since the last call. */
+  void replicasStarted(LiveService live) {
+    for (TimeSpan took : live.takeStartLatencies()) {
+      send(new RolloutEvent.ReplicaStarted(live.rolloutId(), took.ms(), wallMs.getAsLong()));
     }
   }
 
-  /** Reports that this controller no longer leads. */
-  void left(LiveService live) {
-    send(new RolloutEvent.Left(live.which(), wallMs.getAsLong()));
+  /** Reports that this controller is no longer the leader. */
+  void leadershipLost(LiveService live) {
+    send(new RolloutEvent.LeadershipLost(live.rolloutId(), wallMs.getAsLong()));
   }
 
   private void send(RolloutEvent event) {
     try {
       tracer.accept(event);
     } catch (RuntimeException exception) {
-      LOG.error("a trace could not be told: {}", exception.toString());
+      LOG.error("trace event dropped, the tracer failed: {}", exception.toString());
     }
   }
 }
--- a/src/main/java/io/saltflow/services/Service.java
+++ b/src/main/java/io/saltflow/services/Service.java
@@ -9,69 +9,69 @@
 import java.util.Map;
 
 /**
- * The record of a named service: its replica template, its versions and its current rollout, if
- * any. It is replaced as a whole.
+ * The immutable record of a service: its replica template, its versions and its last rollout.
  *
- * @param serving the version that serves when no rollout is under way
- * @param current the rollout that is under way, or the last one; null: there was none
- * @param history how earlier rollouts ended, a sentence each, the latest last
+ * @param serving the version that serves while no rollout is in progress
+ * @param current the rollout in progress or the last one; {@code null} if there was none
+ * @param history the outcomes of earlier rollouts, one sentence each, the latest last
  */
 public record Service(
     String name,
     String team,
     Priority priority,
     int replicas,
-    ReplicaTemplate shape,
+    ReplicaTemplate template,
     List<Version> versions,
     int serving,
-    Current current,
+    RolloutRecord current,
     List<String> history) {
 
   private static final int MAX_VERSIONS = 20;
   private static final int MAX_HISTORY = 20;
 
   /**
-   * A version.
+   * A version of the service.
    *
-   * @param number from 1
-   * @param image what its tasks run
-   * @param parameters further parameters of its tasks
-   * @param port the first port that its tasks listen on; 0: they can't be probed
-   * @param by who introduced it
-   * @param generation how often it was rolled out: each time its tasks are a job of their own,
-   *     since a job that was ended never comes back
+   * @param number the number of the version, from 1
+   * @param image the image that its tasks run
+   * @param parameters additional parameters of its tasks
+   * @param port the first port that its tasks listen on, or 0 if they cannot be probed
+   * @param createdBy the user who introduced it
+   * @param generation how many times it was rolled out; each rollout creates a new job, as a
+   *     cancelled job is never restarted
    */
   public record Version(
       int number,
       String image,
       Map<String, String> parameters,
       int port,
-      String by,
-      long wallMs,
+      String createdBy,
+      long createdWallMs,
       int generation) {
-    Version again(int otherPort) {
-      return new Version(number, image, parameters, otherPort, by, wallMs, generation + 1);
+    Version nextGeneration(int otherPort) {
+      return new Version(
+          number, image, parameters, otherPort, createdBy, createdWallMs, generation + 1);
     }
 
-    boolean runs(String otherImage, Map<String, String> others) {
+    boolean matches(String otherImage, Map<String, String> others) {
       return image.equals(otherImage) && parameters.equals(others);
     }
 
-    /** The image, and the parameters if there are any. */
-    String said() {
+    /** Returns the image, followed by the parameters if there are any. */
+    String description() {
       return parameters.isEmpty() ? image : image + " " + parameters;
     }
   }
 
-  /** A rollout from one version to another, its start, and the text of its plan. */
-  public record Current(
+  /** A rollout from one version to another with its start time and the text of its plan. */
+  public record RolloutRecord(
       int from, int to, long beganWallMs, String planText, RolloutPlan plan, Rollout rollout) {
-    Current with(Rollout next) {
-      return new Current(from, to, beganWallMs, planText, plan, next);
+    RolloutRecord withRollout(Rollout next) {
+      return new RolloutRecord(from, to, beganWallMs, planText, plan, next);
     }
 
-    boolean under() {
-      return !rollout.phase().over();
+    boolean inProgress() {
+      return !rollout.phase().isFinal();
     }
   }
 
@@ -84,15 +84,15 @@
     throw new IllegalArgumentException(name + " has no version " + number);
   }
 
-  /** How many replicas may be missing by voluntary disruptions now. */
-  int mostUnavailable() {
-    return rolling() ? current.plan().mostUnavailable() : shape.mostUnavailable();
+  /** Returns how many replicas voluntary disruptions may take down at a time now. */
+  int maxUnavailable() {
+    return isRollingOut() ? current.plan().maxUnavailable() : template.maxUnavailable();
   }
 
-  /** The desired replicas of a version, and the zones in which they change first. */
-  DesiredReplicas wants(Version version) {
-    int count = wanted(version.number());
-    if (!rolling() || current.rollout().phase() == Rollout.Phase.BACK) {
+  /** Returns the desired replicas of a version and the zones in which they change first. */
+  DesiredReplicas desiredReplicas(Version version) {
+    int count = desiredCount(version.number());
+    if (!isRollingOut() || current.rollout().phase() == Rollout.Phase.BACK) {
       return DesiredReplicas.anywhere(count);
     }
     List<String> zones = current.rollout().openZones();
@@ -101,59 +101,62 @@
         : DesiredReplicas.vacating(zones, count);
   }
 
-  boolean rolling() {
-    return current != null && current.under();
+  boolean isRollingOut() {
+    return current != null && current.inProgress();
   }
 
-  /** The desired number of replicas of a version. */
-  int wanted(int number) {
-    if (current == null || (!current.under() && current.rollout().phase() != Rollout.Phase.STUCK)) {
+  /** Returns the desired number of replicas of a version. */
+  int desiredCount(int number) {
+    if (current == null
+        || (!current.inProgress() && current.rollout().phase() != Rollout.Phase.STUCK)) {
       return number == serving ? replicas : 0;
     }
     if (number == current.from()) {
-      return current.rollout().wantedOld();
+      return current.rollout().desiredOld();
     }
-    return number == current.to() ? current.rollout().wantedNew() : 0;
+    return number == current.to() ? current.rollout().desiredNew() : 0;
   }
 
-  Service withCurrent(Current next) {
-    return new Service(name, team, priority, replicas, shape, versions, serving, next, history);
+  Service withCurrent(RolloutRecord next) {
+    return new Service(name, team, priority, replicas, template, versions, serving, next, history);
   }
 
-  /** Starts another rollout; old versions that are not needed are dropped. */
-  Service beginning(List<Version> all, Current next) {
+  /** Returns the record with a new rollout and without the oldest versions that it does not use. */
+  Service withNewRollout(List<Version> all, RolloutRecord next) {
     List<Version> kept = new ArrayList<>(all);
     kept.removeIf(
         v ->
             v.number() != serving
                 && v.number() != next.to()
                 && v.number() <= all.size() - MAX_VERSIONS);
-    return new Service(name, team, priority, replicas, shape, kept, serving, next, history);
+    return new Service(name, team, priority, replicas, template, kept, serving, next, history);
   }
 
-  /** Ends the rollout; its result is kept as a sentence of the history. */
-  Service ended(Current last, String sentence) {
-    List<String> told = new ArrayList<>(history);
-    told.add(sentence);
-    while (told.size() > MAX_HISTORY) {
-      told.remove(0);
+  /** Returns the record with the rollout ended and its outcome added to the history. */
+  Service withEndedRollout(RolloutRecord last, String sentence) {
+    List<String> outcomes = new ArrayList<>(history);
+    outcomes.add(sentence);
+    while (outcomes.size() > MAX_HISTORY) {
+      outcomes.remove(0);
     }
     int now = last.rollout().phase() == Rollout.Phase.DONE ? last.to() : serving;
-    return new Service(name, team, priority, replicas, shape, versions, now, last, told);
+    return new Service(name, team, priority, replicas, template, versions, now, last, outcomes);
   }
 
-  Service scaled(int count, Current next) {
-    return new Service(name, team, priority, count, shape, versions, serving, next, history);
+  Service withReplicas(int count, RolloutRecord next) {
+    return new Service(name, team, priority, count, template, versions, serving, next, history);
   }
 
-  /** Sets the rollout's next state; a finished one becomes a sentence of the history. */
+  /** Returns the record with the rollout's next state. A final state is added to the history. */
   Service withRollout(Rollout next) {
-    Current moved = current.with(next);
-    return next.phase().over() ? ended(moved, sentence(moved)) : withCurrent(moved);
+    RolloutRecord moved = current.withRollout(next);
+    return next.phase().isFinal()
+        ? withEndedRollout(moved, describeOutcome(moved))
+        : withCurrent(moved);
   }
 
-  private String sentence(Current current) {
-    String to = "Version " + current.to() + " (" + version(current.to()).said() + ")";
+  private String describeOutcome(RolloutRecord current) {
+    String to = "Version " + current.to() + " (" + version(current.to()).description() + ")";
     return switch (current.rollout().phase()) {
       case DONE -> to + " took over from version " + current.from() + ".";
       case ROLLED_BACK ->
--- a/src/main/java/io/saltflow/services/ServiceCodec.java
+++ b/src/main/java/io/saltflow/services/ServiceCodec.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Codec of service records in the key-value store. */
+/** Encodes and decodes the service records in the key-value store. */
 final class ServiceCodec {
   private ServiceCodec() {}
 
@@ -25,8 +25,8 @@
               .with("image", version.image())
               .with("parameters", version.parameters())
               .with("port", version.port())
-              .with("by", version.by())
-              .with("at", version.wallMs())
+              .with("by", version.createdBy())
+              .with("at", version.createdWallMs())
               .with("gen", version.generation()));
     }
     return MessageBody.of()
@@ -34,21 +34,21 @@
         .with("team", service.team())
         .with("priority", PriorityNames.of(service.priority()))
         .with("replicas", service.replicas())
-        .with("cores", service.shape().size().cores())
-        .with("gpus", service.shape().size().gpus())
-        .with("memoryGb", service.shape().size().memoryGb())
-        .with("imageGb", service.shape().imageGb())
-        .with("spot", service.shape().spot())
-        .with("mostUnavailable", service.shape().mostUnavailable())
-        .with("port", service.shape().port())
-        .with("ports", service.shape().ports())
+        .with("cores", service.template().size().cores())
+        .with("gpus", service.template().size().gpus())
+        .with("memoryGb", service.template().size().memoryGb())
+        .with("imageGb", service.template().imageGb())
+        .with("spot", service.template().spot())
+        .with("mostUnavailable", service.template().maxUnavailable())
+        .with("port", service.template().port())
+        .with("ports", service.template().ports())
         .with("versions", versions)
         .with("serving", service.serving())
         .with("current", service.current() == null ? null : encode(service.current()))
         .with("history", service.history());
   }
 
-  private static MessageBody encode(Service.Current current) {
+  private static MessageBody encode(Service.RolloutRecord current) {
     Rollout rollout = current.rollout();
     return MessageBody.of()
         .with("from", current.from())
@@ -58,27 +58,27 @@
         .with("replicas", rollout.replicas())
         .with("step", rollout.step())
         .with("phase", rollout.phase().name())
-        .with("resumes", rollout.resumes() == null ? null : rollout.resumes().name())
-        .with("old", rollout.wantedOld())
-        .with("new", rollout.wantedNew())
+        .with("resumes", rollout.resumePhase() == null ? null : rollout.resumePhase().name())
+        .with("old", rollout.desiredOld())
+        .with("new", rollout.desiredNew())
         .with("since", rollout.sinceWallMs())
-        .with("grown", rollout.grownWallMs())
+        .with("grown", rollout.startsUsedUntilWallMs())
         .with("zones", rollout.zones())
         .with("reason", rollout.reason());
   }
 
   static Service decode(MessageBody messageBody) throws InvalidMessageException {
     List<Service.Version> versions = new ArrayList<>();
-    for (MessageBody otherMessageBody : messageBody.maps("versions")) {
+    for (MessageBody versionBody : messageBody.maps("versions")) {
       versions.add(
           new Service.Version(
-              (int) otherMessageBody.integer("no"),
-              otherMessageBody.text("image"),
-              parameters(otherMessageBody),
-              (int) otherMessageBody.integerOr("port", 0),
-              otherMessageBody.text("by"),
-              otherMessageBody.integer("at"),
-              (int) otherMessageBody.integer("gen")));
+              (int) versionBody.integer("no"),
+              versionBody.text("image"),
+              parameters(versionBody),
+              (int) versionBody.integerOr("port", 0),
+              versionBody.text("by"),
+              versionBody.integer("at"),
+              (int) versionBody.integer("gen")));
     }
     Priority priority = PriorityNames.parse(messageBody.text("priority"));
     if (priority == null) {
@@ -105,7 +105,7 @@
         messageBody.texts("history"));
   }
 
-  /** Strings by name; a missing field means none. */
+  /** Returns the parameters by name; empty if the field is missing. */
   static Map<String, String> parameters(MessageBody messageBody) throws InvalidMessageException {
     Map<String, String> out = new TreeMap<>();
     if (messageBody.get("parameters") != null) {
@@ -117,7 +117,8 @@
     return out;
   }
 
-  private static Service.Current current(MessageBody messageBody) throws InvalidMessageException {
+  private static Service.RolloutRecord current(MessageBody messageBody)
+      throws InvalidMessageException {
     int replicas = (int) messageBody.integer("replicas");
     Rollout rollout =
         new Rollout(
@@ -132,7 +133,7 @@
             messageBody.get("zones") == null ? List.of() : messageBody.texts("zones"),
             messageBody.text("reason"));
     String plan = messageBody.text("plan");
-    return new Service.Current(
+    return new Service.RolloutRecord(
         (int) messageBody.integer("from"),
         (int) messageBody.integer("to"),
         messageBody.integerOr("began", rollout.sinceWallMs()),
--- a/src/main/java/io/saltflow/services/ServiceController.java
+++ b/src/main/java/io/saltflow/services/ServiceController.java
@@ -26,31 +26,33 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Controls services during a leader's term: each decision is recorded before it takes effect. */
+/** Controls services during a leader's term and records each decision before it takes effect. */
 public final class ServiceController extends Routine {
   private static final Logger LOG = LoggerFactory.getLogger(ServiceController.class);
   private static final TimeSpan RETRY_DELAY = TimeSpan.millis(300);
-  private static final TimeSpan TICK = TimeSpan.seconds(1);
-  private static final int MAX_ADVANCING = 4;
-  private static final TimeSpan BETWEEN_RECORDS = TimeSpan.millis(5);
+  private static final TimeSpan EVALUATION_INTERVAL = TimeSpan.seconds(1);
+  private static final int MAX_CONCURRENT_ADVANCES = 4;
+  private static final TimeSpan RECORD_LOAD_INTERVAL = TimeSpan.millis(5);
 
   private final EventLoop loop;
   private final ServiceNode node;
   private final LeaderCore leader;
-  private final ServiceRepository books;
+  private final ServiceRepository repository;
   private final Map<String, LiveService> services = new TreeMap<>();
-  private final ProbeLoop probing;
+  private final ProbeLoop probeLoop;
   private final RolloutTraces traces;
   private final ServiceOperations operations;
 
-  /** Rollouts that are ready to advance, by the time since when they are. */
-  private final ArrayDeque<String> turns = new ArrayDeque<>();
+  /**
+   * Names of services whose rollouts are ready to advance, in the order in which they became so.
+   */
+  private final ArrayDeque<String> advanceQueue = new ArrayDeque<>();
 
-  private int advancing;
+  private int advancesInFlight;
 
   private boolean ready;
 
-  /** Creates the controller of a leader's term; it ends with its parent. */
+  /** Creates the controller for a leader's term. It is cancelled with its parent. */
   public ServiceController(Routine parent, EventLoop loop, ServiceNode node, LeaderCore leader) {
     super(parent);
     this.loop = loop;
@@ -65,15 +67,15 @@
             this::ready,
             (live, next, then) -> record(live, next, true, then),
             this::show);
-    probing = new ProbeLoop(this, loop, node.probes(), this::found);
-    books =
+    probeLoop = new ProbeLoop(this, loop, node.probes(), this::onProbeResult);
+    repository =
         new ServiceRepository(
             this, new LeaderContext(loop, node.state(), node.authority(), node.onDeposed()));
   }
 
-  /** Reads the records; until that is done, no task of a service is started or stopped. */
+  /** Reads the records. No task of a service is started or stopped before that has succeeded. */
   public void start() {
-    books.readInherited(
+    repository.readInherited(
         records -> {
           if (cancelled()) {
             return;
@@ -82,64 +84,69 @@
             loop.schedule(RETRY_DELAY, this, this::start);
             return;
           }
-          inherit(new ArrayDeque<>(records.entrySet()));
+          loadNext(new ArrayDeque<>(records.entrySet()));
         });
   }
 
   /**
-   * One record a turn of the loop: on a tenth of a core fifty plans read in one went on for longer
-   * than the new leader's lease, and the next leader began the same again (measured).
+   * Loads one record per turn of the event loop: loading all of them at once on a slow machine can
+   * outlast the new leader's lease, and the next leader would repeat it.
    */
-  private void inherit(ArrayDeque<Map.Entry<String, MessageBody>> left) {
+  private void loadNext(ArrayDeque<Map.Entry<String, MessageBody>> left) {
     Map.Entry<String, MessageBody> next = left.poll();
     if (next == null) {
-      begin();
+      startLoops();
     } else {
-      inherited(next.getKey(), next.getValue());
-      loop.schedule(BETWEEN_RECORDS, this, () -> inherit(left));
+      load(next.getKey(), next.getValue());
+      loop.schedule(RECORD_LOAD_INTERVAL, this, () -> loadNext(left));
     }
   }
 
-  private void begin() {
+  private void startLoops() {
     ready = true;
-    services.values().stream().filter(l -> l.service().rolling()).forEach(traces::stands);
-    probing.start();
+    services.values().stream()
+        .filter(l -> l.service().isRollingOut())
+        .forEach(traces::stateRecorded);
+    probeLoop.start();
     loop.scheduleRepeating(
-        TICK,
+        EVALUATION_INTERVAL,
         this,
         () -> {
-          services.values().forEach(this::look);
-          advanceSome();
+          services.values().forEach(this::evaluate);
+          advanceRollouts();
         });
   }
 
-  private void inherited(String name, MessageBody record) {
+  private void load(String name, MessageBody record) {
     try {
       services.put(name, new LiveService(ServiceCodec.decode(record)));
     } catch (InvalidMessageException exception) {
-      // Its jobs stay as they are: an unreadable record does not mean a service without replicas.
-      LOG.error("service {} can't be read: {}; it is left as it is", name, exception.getMessage());
+      // Its jobs keep running: an unreadable record does not mean that the service has no replicas.
+      LOG.error(
+          "record of service {} cannot be read: {}; its jobs are left unchanged",
+          name,
+          exception.getMessage());
     }
   }
 
-  // ---- Deciding
+  // ---- Decisions
 
-  private void look(LiveService live) {
-    live.budget(leader, loop.now());
-    probing.targets(live.service().name(), live.targets(leader));
-    if (live.writing) {
+  private void evaluate(LiveService live) {
+    live.updateDisruptionBudget(leader, loop.now());
+    probeLoop.setTargets(live.service().name(), live.probeTargets(leader));
+    if (live.writeInFlight) {
       return;
     }
     reconcile(live);
     Service service = live.service();
-    if (!service.rolling()) {
+    if (!service.isRollingOut()) {
       return;
     }
     Rollout next = next(live);
     if (!next.equals(service.current().rollout())) {
-      if (waits(next)) {
-        if (!turns.contains(service.name())) {
-          turns.add(service.name());
+      if (isDeferrable(next)) {
+        if (!advanceQueue.contains(service.name())) {
+          advanceQueue.add(service.name());
         }
       } else {
         record(live, service.withRollout(next), true, result -> {});
@@ -147,71 +154,70 @@
     }
   }
 
-  /** Advancing can wait for users' writes; a rollback can't. */
-  private static boolean waits(Rollout next) {
-    return next.phase() != Rollout.Phase.BACK && !next.phase().over();
+  /** Advancing a rollout yields to users' writes; a rollback does not. */
+  private static boolean isDeferrable(Rollout next) {
+    return next.phase() != Rollout.Phase.BACK && !next.phase().isFinal();
   }
 
   /**
-   * Rollouts that would go on, a few at a time and who has waited longest first. Left to the budget
-   * of writes alone, fifty at once let some wait for a minute and a half (measured): what it could
-   * not take in time came back behind all others.
+   * Advances a few rollouts at a time, those that have waited longest first. The write budget alone
+   * is not fair: a rollout whose write was refused would rejoin the queue behind all others.
    */
-  private void advanceSome() {
-    for (int n = turns.size(); n > 0 && advancing < MAX_ADVANCING; n--) {
-      LiveService live = services.get(turns.poll());
-      if (live == null || live.writing || !live.service().rolling()) {
+  private void advanceRollouts() {
+    for (int n = advanceQueue.size(); n > 0 && advancesInFlight < MAX_CONCURRENT_ADVANCES; n--) {
+      LiveService live = services.get(advanceQueue.poll());
+      if (live == null || live.writeInFlight || !live.service().isRollingOut()) {
         continue;
       }
       Service service = live.service();
-      // Evaluated again: it may have to roll back meanwhile.
+      // Evaluate again: the rollout may have to roll back by now.
       Rollout next = next(live);
       if (!next.equals(service.current().rollout())) {
-        advancing++;
+        advancesInFlight++;
         record(
             live,
             service.withRollout(next),
-            !waits(next),
+            !isDeferrable(next),
             result -> {
-              advancing--;
+              advancesInFlight--;
               if (result == ServiceRepository.WriteResult.NOT_WRITTEN) {
-                turns.addFirst(service.name());
+                advanceQueue.addFirst(service.name());
               } else {
-                advanceSome();
+                advanceRollouts();
               }
             });
       }
     }
   }
 
-  private void found(ReplicaHealth replicaHealth) {
+  private void onProbeResult(ReplicaHealth replicaHealth) {
     LiveService live = services.get(replicaHealth.target().service());
-    if (live != null && live.service().rolling()) {
+    if (live != null && live.service().isRollingOut()) {
       ProbeFrame.ProbeTarget place = replicaHealth.target().place();
-      live.probed(place, replicaHealth.ms(), loop.now());
-      traces.probed(live, place, replicaHealth.ms());
+      live.recordProbe(place, replicaHealth.latencyMs(), loop.now());
+      traces.replicaProbed(live, place, replicaHealth.latencyMs());
     }
   }
 
-  /** Handles a peer's results of probes that were requested from it. */
+  /** Handles a peer's results for probes that this leader requested from it. */
   public void probed(ProbeFrame.ProbeResponse answers) {
-    probing.answered(answers.from(), answers.batch(), answers.latenciesMs());
+    probeLoop.onResponse(answers.from(), answers.batch(), answers.latenciesMs());
   }
 
-  /** The next record by present observations; changes are traced. */
+  /** Returns the next state by the current observations, and traces what changed. */
   private Rollout next(LiveService live) {
     GateEvaluator.Verdict before = live.verdict();
-    Rollout next = live.next(leader, loop.now(), node.wallMs().getAsLong());
-    traces.judged(live, before);
-    traces.started(live);
+    Rollout next = live.nextRollout(leader, loop.now(), node.wallMs().getAsLong());
+    traces.verdictChanged(live, before);
+    traces.replicasStarted(live);
     return next;
   }
 
   @Override
   protected void onCancel() {
     for (LiveService live : services.values()) {
-      if (live.service().rolling()) {
-        traces.left(live);
+      if (live.service().isRollingOut()) {
+        traces.leadershipLost(live);
       }
     }
   }
@@ -221,101 +227,104 @@
       Service next,
       boolean urgent,
       Consumer<ServiceRepository.WriteResult> then) {
-    live.writing = true;
-    live.budget(leader, loop.now());
+    live.writeInFlight = true;
+    live.updateDisruptionBudget(leader, loop.now());
     MessageBody body =
         node.state().limits().truncatedFromStart(ServiceCodec.encode(next), "history");
-    books.write(
+    repository.write(
         next.name(),
         body,
         urgent,
         result -> {
-          live.writing = false;
+          live.writeInFlight = false;
           if (result == ServiceRepository.WriteResult.RECORDED) {
-            tell(live.service(), next);
+            logTransition(live.service(), next);
             boolean other =
                 next.current() != null && !next.current().equals(live.service().current());
-            live.recorded(next);
+            live.applyRecord(next);
             reconcile(live);
-            live.budget(leader, loop.now());
+            live.updateDisruptionBudget(leader, loop.now());
             if (other) {
-              traces.stands(live);
+              traces.stateRecorded(live);
             }
           }
           then.accept(result);
         });
   }
 
-  private static void tell(Service before, Service next) {
+  private static void logTransition(Service before, Service next) {
     if (next.current() == null || next.current().equals(before.current())) {
       return;
     }
     Rollout rollout = next.current().rollout();
-    if (rollout.phase().over()) {
-      LOG.info("{}: {}", next.name(), next.history().get(next.history().size() - 1));
+    if (rollout.phase().isFinal()) {
+      LOG.info(
+          "rollout of {} ended: {}", next.name(), next.history().get(next.history().size() - 1));
     } else {
       LOG.info(
-          "{}: step {} of {}, {}: {} old and {} new replicas are wanted",
+          "rollout of {} at step {} of {}, phase {}: {} old and {} new replicas desired",
           next.name(),
           rollout.step() + 1,
           next.current().plan().steps().size(),
           rollout.phase(),
-          rollout.wantedOld(),
-          rollout.wantedNew());
+          rollout.desiredOld(),
+          rollout.desiredNew());
     }
   }
 
-  // ---- Acting upon the record
+  // ---- Applying the record
 
   /**
-   * Applies the record: sets the desired replicas of each version and ends versions that are not
-   * needed.
+   * Sets the desired replicas of each version as recorded, and cancels the jobs of versions that
+   * are no longer needed.
    */
   private void reconcile(LiveService live) {
     Service service = live.service();
     for (Service.Version version : service.versions()) {
-      int wanted = service.wanted(version.number());
-      Job job = leader.jobs().find(live.jobOf(version));
+      int wanted = service.desiredCount(version.number());
+      Job job = leader.jobs().find(live.jobIdOf(version));
       if (job != null) {
-        leader.jobs().setDesiredReplicas(job.id(), service.wants(version), live.disruptions());
+        leader
+            .jobs()
+            .setDesiredReplicas(job.id(), service.desiredReplicas(version), live.disruptions());
         boolean needed =
-            service.rolling()
+            service.isRollingOut()
                 && (version.number() == service.current().to()
                     || version.number() == service.current().from());
         if (wanted == 0 && !needed) {
           node.jobs().cancel(job.id(), outcome -> {});
         }
-      } else if (wanted > 0 && !live.admitting) {
+      } else if (wanted > 0 && !live.admissionInFlight) {
         admit(live, version);
       }
     }
   }
 
   private void admit(LiveService live, Service.Version version) {
-    live.admitting = true;
+    live.admissionInFlight = true;
     node.jobs()
         .admit(
-            live.specOf(version),
+            live.jobSpecOf(version),
             node.wallMs().getAsLong(),
             outcome -> {
-              live.admitting = false;
+              live.admissionInFlight = false;
               if (outcome instanceof JobOutcome.TooLarge) {
                 LOG.error(
-                    "{}: version {} is too large to be recorded",
+                    "job of image {}, version {} not admitted: its record is too large",
                     version.image(),
                     version.number());
               }
             });
   }
 
-  // ---- What operators ask for
+  // ---- Operators' requests
 
   /** Creates a service, or changes its number of replicas. */
   public void apply(MessageBody request, BiConsumer<Integer, MessageBody> answer) {
     operations.apply(request, answer);
   }
 
-  /** Starts a rollout to an image, which becomes a new version unless it is known. */
+  /** Starts a rollout to an image, which becomes a new version unless a version already runs it. */
   public void begin(String name, MessageBody request, BiConsumer<Integer, MessageBody> answer) {
     operations.begin(name, request, answer);
   }
@@ -326,28 +335,33 @@
     operations.command(name, command, answer);
   }
 
-  // ---- What can be told
+  // ---- Views
 
-  /** The parameters of a version's tasks: its first port (0: none) and its own parameters. */
+  /**
+   * Parameters of a version's tasks: its first port, or 0 if it has none, and its own parameters.
+   */
   public record Told(int port, Map<String, String> parameters) {}
 
-  /** The parameters of a job's tasks by a service's record; null: the job is not that service's. */
+  /**
+   * Returns the parameters of a job's tasks by a service's record, or {@code null} if the job does
+   * not belong to the service.
+   */
   public static Told told(MessageBody record, JobId job) throws InvalidMessageException {
     LiveService live = new LiveService(ServiceCodec.decode(record));
     for (Service.Version version : live.service().versions()) {
-      if (live.jobOf(version).equals(job)) {
+      if (live.jobIdOf(version).equals(job)) {
         return new Told(version.port(), version.parameters());
       }
     }
     return null;
   }
 
-  /** Whether the records have been read. */
+  /** Returns whether the records have been read. */
   public boolean ready() {
     return ready;
   }
 
-  /** The service of a name; null: there is none. */
+  /** Returns the view of the service with this name, or {@code null} if there is none. */
   public MessageBody show(String name) {
     LiveService live = services.get(name);
     return live == null
@@ -355,7 +369,7 @@
         : ServiceView.of(live, leader, loop.now(), node.wallMs().getAsLong());
   }
 
-  /** All services, by name. */
+  /** Returns the views of all services in the order of their names. */
   public MessageBody list() {
     List<Object> out = new ArrayList<>();
     services.keySet().forEach(name -> out.add(show(name)));
--- a/src/main/java/io/saltflow/services/ServiceNode.java
+++ b/src/main/java/io/saltflow/services/ServiceNode.java
@@ -12,11 +12,11 @@
 import java.util.function.Supplier;
 
 /**
- * What services use of the node that leads.
+ * Dependencies of {@link ServiceController} on the leader's node.
  *
- * @param neverRuns why no machine will ever run a job, or null
- * @param zones the zones of all machine types, in order
- * @param teamLimits how much a team may use at once; null: there is no such team
+ * @param unschedulableReason returns why no machine type can ever run a job, or {@code null}
+ * @param zones returns the zones of all machine types, in order
+ * @param teamLimits returns a team's limit, or {@code null} if there is no such team
  * @param tracer receives the events of rollouts
  */
 public record ServiceNode(
@@ -24,7 +24,7 @@
     KeyValueClient state,
     JobRepository jobs,
     LongSupplier wallMs,
-    Function<JobSpec, String> neverRuns,
+    Function<JobSpec, String> unschedulableReason,
     Supplier<List<String>> zones,
     Function<String, Resources> teamLimits,
     ProbeLinks probes,
--- a/src/main/java/io/saltflow/services/ServiceOperations.java
+++ b/src/main/java/io/saltflow/services/ServiceOperations.java
@@ -19,12 +19,12 @@
 import java.util.function.Function;
 
 /**
- * Operators' requests: apply and scale services, start and control rollouts. Each is answered by an
- * HTTP status and a body, 200 only once the change is recorded.
+ * Handles operators' requests: apply and scale services, start and control rollouts. Each is
+ * answered with an HTTP status and a body; 200 is sent only after the change is recorded.
  */
 final class ServiceOperations {
   private static final int MAX_SERVICES = 500;
-  private static final double PLANS_PER_S = 2;
+  private static final double MAX_PLANS_PER_S = 2;
 
   /** Records a service's next state and reports the result of the write. */
   interface Recorder {
@@ -38,12 +38,12 @@
   private final Recorder recorder;
   private final Function<String, MessageBody> show;
 
-  /** New plans are validated at a bounded rate, as validation is costly on a small machine. */
-  private final RateLimiter plans;
+  /** Bounds the rate of plan validation, which is costly on a small machine. */
+  private final RateLimiter planRate;
 
   /**
    * @param ready whether the services' records have been read
-   * @param show the view of a service by its name
+   * @param show returns the view of a service by its name
    */
   ServiceOperations(
       EventLoop loop,
@@ -58,11 +58,11 @@
     this.ready = ready;
     this.recorder = recorder;
     this.show = show;
-    plans = new RateLimiter(PLANS_PER_S, PLANS_PER_S, loop.now());
+    planRate = new RateLimiter(MAX_PLANS_PER_S, MAX_PLANS_PER_S, loop.now());
   }
 
-  private boolean refused(BiConsumer<Integer, MessageBody> answer, LiveService live) {
-    if (!ready.getAsBoolean() || (live != null && live.writing)) {
+  private boolean rejectIfBusy(BiConsumer<Integer, MessageBody> answer, LiveService live) {
+    if (!ready.getAsBoolean() || (live != null && live.writeInFlight)) {
       answer.accept(503, error("not now"));
       return true;
     }
@@ -86,20 +86,21 @@
   void apply(MessageBody request, BiConsumer<Integer, MessageBody> answer) {
     try {
       String name = request.text("name");
-      LiveService there = services.get(name);
-      if (refused(answer, there)) {
+      LiveService existing = services.get(name);
+      if (rejectIfBusy(answer, existing)) {
         return;
       }
       int replicas = ServiceRequest.replicas(request);
-      if (there != null) {
-        scale(there, request, replicas, answer);
+      if (existing != null) {
+        scale(existing, request, replicas, answer);
         return;
       }
       LiveService live =
           new LiveService(ServiceRequest.service(request, node.wallMs().getAsLong()));
-      String never = node.neverRuns().apply(live.specOf(live.service().version(1)));
-      if (never != null || services.size() >= MAX_SERVICES) {
-        answer.accept(422, error(never == null ? "too many services" : never));
+      String unschedulable =
+          node.unschedulableReason().apply(live.jobSpecOf(live.service().version(1)));
+      if (unschedulable != null || services.size() >= MAX_SERVICES) {
+        answer.accept(422, error(unschedulable == null ? "too many services" : unschedulable));
         return;
       }
       services.put(name, live);
@@ -126,26 +127,28 @@
       answer.accept(422, error(Wire.IMAGE + ": another version is brought by a roll-out"));
       return;
     }
-    if (replicas > live.specOf(service.version(service.serving())).tasks()) {
+    if (replicas > live.jobSpecOf(service.version(service.serving())).tasks()) {
       answer.accept(422, error("replicas: more than four times as many at once"));
       return;
     }
-    Service.Current current =
-        service.rolling()
+    Service.RolloutRecord current =
+        service.isRollingOut()
             ? service
                 .current()
-                .with(
+                .withRollout(
                     new RolloutStateMachine(service.current().plan())
-                        .scaled(service.current().rollout(), replicas))
+                        .scale(service.current().rollout(), replicas))
             : service.current();
     recorder.record(
-        live, service.scaled(replicas, current), result -> answer(result, service.name(), answer));
+        live,
+        service.withReplicas(replicas, current),
+        result -> answer(result, service.name(), answer));
   }
 
-  /** Starts a rollout to an image, which becomes a new version unless it is known. */
+  /** Starts a rollout to an image, which becomes a new version unless a version already runs it. */
   void begin(String name, MessageBody request, BiConsumer<Integer, MessageBody> answer) {
     LiveService live = services.get(name);
-    if (refused(answer, live)) {
+    if (rejectIfBusy(answer, live)) {
       return;
     }
     if (live == null) {
@@ -156,25 +159,26 @@
     try {
       String image = request.text(Wire.IMAGE);
       Map<String, String> parameters = ServiceCodec.parameters(request);
-      if (service.rolling()) {
-        boolean same = service.version(service.current().to()).runs(image, parameters);
-        // A repeated request whose answer was lost finds its rollout in progress.
+      if (service.isRollingOut()) {
+        boolean same = service.version(service.current().to()).matches(image, parameters);
+        // A retry whose first answer was lost finds its rollout in progress: the request is
+        // idempotent.
         answer.accept(same ? 200 : 409, same ? show.apply(name) : error("a roll-out is under way"));
         return;
       }
-      if (!plans.tryAcquire(1, loop.now())) {
+      if (!planRate.tryAcquire(1, loop.now())) {
         answer.accept(503, error("many roll-outs are being started"));
         return;
       }
       String planText = request.textOr("plan", "{}");
-      RolloutPlan plan = RolloutPlanReader.checked(planText, service.replicas());
+      RolloutPlan plan = RolloutPlanReader.readValidated(planText, service.replicas());
       List<String> faults =
-          RolloutPlanReader.unfit(plan, service, node.teamLimits().apply(service.team()));
+          RolloutPlanReader.conflicts(plan, service, node.teamLimits().apply(service.team()));
       if (!faults.isEmpty()) {
         answer.accept(422, error("plan: " + faults.get(0)));
         return;
       }
-      begin(live, image, parameters, ServiceRequest.by(request), planText, plan, answer);
+      begin(live, image, parameters, ServiceRequest.requester(request), planText, plan, answer);
     } catch (InvalidMessageException exception) {
       answer.accept(400, error(exception.getMessage()));
     }
@@ -189,16 +193,16 @@
       RolloutPlan plan,
       BiConsumer<Integer, MessageBody> answer) {
     Service service = live.service();
-    int port = service.shape().portBeside(service.version(service.serving()).port());
-    if (service.version(service.serving()).runs(image, parameters)) {
+    int port = service.template().alternatePort(service.version(service.serving()).port());
+    if (service.version(service.serving()).matches(image, parameters)) {
       answer.accept(422, error(Wire.IMAGE + ": it serves already"));
       return;
     }
     List<Service.Version> all = new ArrayList<>(service.versions());
     Service.Version to = null;
     for (Service.Version version : service.versions()) {
-      if (version.runs(image, parameters)) {
-        to = version.again(port);
+      if (version.matches(image, parameters)) {
+        to = version.nextGeneration(port);
         all.set(all.indexOf(version), to);
       }
     }
@@ -210,8 +214,8 @@
       all.add(to);
     }
     List<String> zones = plan.zoneByZone() ? node.zones().get() : List.of();
-    Service.Current current =
-        new Service.Current(
+    Service.RolloutRecord current =
+        new Service.RolloutRecord(
             service.serving(),
             to.number(),
             wall,
@@ -219,13 +223,15 @@
             plan,
             Rollout.begin(service.replicas(), zones, wall));
     recorder.record(
-        live, service.beginning(all, current), result -> answer(result, service.name(), answer));
+        live,
+        service.withNewRollout(all, current),
+        result -> answer(result, service.name(), answer));
   }
 
   /** Applies an operator's command to a rollout. */
   void command(String name, RolloutCommand command, BiConsumer<Integer, MessageBody> answer) {
     LiveService live = services.get(name);
-    if (refused(answer, live)) {
+    if (rejectIfBusy(answer, live)) {
       return;
     }
     if (live == null || live.service().current() == null) {
@@ -236,7 +242,7 @@
     Rollout rollout = service.current().rollout();
     Rollout next =
         new RolloutStateMachine(service.current().plan())
-            .told(rollout, command, node.wallMs().getAsLong());
+            .applyCommand(rollout, command, node.wallMs().getAsLong());
     if (next.equals(rollout)) {
       answer.accept(200, show.apply(name));
     } else {
--- a/src/main/java/io/saltflow/services/ServiceRequest.java
+++ b/src/main/java/io/saltflow/services/ServiceRequest.java
@@ -8,14 +8,14 @@
 import io.saltflow.protocol.Wire;
 import java.util.List;
 
-/** The decoded request of {@code service apply}; errors name the field. */
+/** Decodes the request of {@code service apply}. Errors name the field. */
 final class ServiceRequest {
   private static final int MAX_REPLICAS = 20_000;
   private static final String NAME = "[a-z0-9][a-z0-9-]{0,60}";
 
   private ServiceRequest() {}
 
-  /** The requested number of replicas. */
+  /** Returns the requested number of replicas. */
   static int replicas(MessageBody request) throws InvalidMessageException {
     long replicas = request.integer("replicas");
     if (replicas < 1 || replicas > MAX_REPLICAS) {
@@ -42,7 +42,7 @@
             messageBody.text(Wire.IMAGE),
             ServiceCodec.parameters(messageBody),
             shape.port(),
-            by(messageBody),
+            requester(messageBody),
             wallMs,
             1);
     return new Service(
@@ -60,7 +60,7 @@
   private static ReplicaTemplate shape(MessageBody messageBody, int replicas)
       throws InvalidMessageException {
     int port = (int) messageBody.integerOr("port", 0);
-    int ports = port == 0 ? 0 : LiveService.room(replicas);
+    int ports = port == 0 ? 0 : LiveService.taskSlots(replicas);
     if (port < 0 || (port > 0 && (port < 1024 || port + 2 * ports > 65_536))) {
       throw new InvalidMessageException(
           "port: two versions of " + ports + " ports each do not fit between 1024 and 65535");
@@ -81,8 +81,8 @@
         ports);
   }
 
-  /** The user who sent the request. */
-  static String by(MessageBody messageBody) throws InvalidMessageException {
+  /** Returns the user who sent the request. */
+  static String requester(MessageBody messageBody) throws InvalidMessageException {
     return messageBody.textOr("by", "somebody");
   }
 }
--- a/src/main/java/io/saltflow/services/ServiceView.java
+++ b/src/main/java/io/saltflow/services/ServiceView.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The view of a service for operators: its versions, its replicas and its last rollout. */
+/** Builds the view of a service that operators see: its versions, replicas and last rollout. */
 final class ServiceView {
   private ServiceView() {}
 
@@ -39,9 +39,9 @@
               .with(Wire.IMAGE, version.image())
               .with("parameters", version.parameters())
               .with("port", version.port())
-              .with("by", version.by())
-              .with("sinceMs", version.wallMs())
-              .with("wanted", live.service().wanted(version.number()))
+              .with("by", version.createdBy())
+              .with("sinceMs", version.createdWallMs())
+              .with("wanted", live.service().desiredCount(version.number()))
               .with("ready", replicaCounts.ready())
               .with("unseen", replicaCounts.unreachable()));
     }
@@ -59,6 +59,6 @@
         .with("zones", rollout.openZones() == null ? List.of() : rollout.openZones())
         .with("sinceS", (wallMs - rollout.sinceWallMs()) / 1000.0)
         .with("reason", rollout.reason())
-        .with("waitsFor", service.rolling() ? live.waitsFor() : List.of());
+        .with("waitsFor", service.isRollingOut() ? live.unmetConditions() : List.of());
   }
 }
--- a/src/main/java/io/saltflow/services/package-info.java
+++ b/src/main/java/io/saltflow/services/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Long-running services and their rollouts while this controller leads: their durable records, the
- * jobs that run their replicas, health probes, and each step of a rollout. A decision is recorded
- * before it is acted upon, so that a new leader goes on from the record. {@code docs/ROLLOUTS.md}
- * is the operators' page.
+ * Long-running services and their rollouts during a leader's term: durable records, the jobs that
+ * run replicas, health probes, and the steps of a rollout. Each decision is recorded before it
+ * takes effect, so that a new leader continues from the record. See {@code docs/ROLLOUTS.md} for
+ * operators.
  */
 package io.saltflow.services;
--- a/src/main/java/io/saltflow/tracing/RolloutTracer.java
+++ b/src/main/java/io/saltflow/tracing/RolloutTracer.java
@@ -15,7 +15,7 @@
 import io.opentelemetry.sdk.trace.export.BatchSpanProcessor;
 import io.saltflow.rollouts.Rollout;
 import io.saltflow.services.RolloutEvent;
-import io.saltflow.services.RolloutEvent.Which;
+import io.saltflow.services.RolloutEvent.RolloutId;
 import java.io.IOException;
 import java.time.Duration;
 import java.util.HashMap;
@@ -36,10 +36,10 @@
   private final SpanIds ids;
   private final SdkTracerProvider provider;
   private final Tracer tracer;
-  private final Map<Which, Phase> phases = new HashMap<>();
+  private final Map<RolloutId, PhaseSpan> phaseSpans = new HashMap<>();
 
   /** A phase under way, and the span of it. */
-  private record Phase(Span span, int step, Rollout.Phase phase) {}
+  private record PhaseSpan(Span span, int step, Rollout.Phase phase) {}
 
   /**
    * To a file, or to a collector.
@@ -74,11 +74,11 @@
 
   @Override
   public void accept(RolloutEvent event) {
-    Which which = event.which();
-    if (event instanceof RolloutEvent.Stands stands) {
-      stands(which, stands.rollout(), stands.wallMs());
-    } else if (event instanceof RolloutEvent.Judged judged) {
-      Phase phase = phases.get(which);
+    RolloutId which = event.id();
+    if (event instanceof RolloutEvent.StateRecorded stands) {
+      recordState(which, stands.rollout(), stands.wallMs());
+    } else if (event instanceof RolloutEvent.VerdictChanged judged) {
+      PhaseSpan phase = phaseSpans.get(which);
       if (phase != null) {
         phase.span.addEvent(
             "the gate is " + judged.verdict().name().toLowerCase(Locale.ROOT),
@@ -86,19 +86,19 @@
             judged.wallMs(),
             TimeUnit.MILLISECONDS);
       }
-    } else if (event instanceof RolloutEvent.Started started) {
-      within(which, "start", started.wallMs() - started.tookMs())
+    } else if (event instanceof RolloutEvent.ReplicaStarted started) {
+      childSpan(which, "start", started.wallMs() - started.tookMs())
           .startSpan()
           .end(started.wallMs(), MS);
-    } else if (event instanceof RolloutEvent.Probed probed) {
+    } else if (event instanceof RolloutEvent.ReplicaProbed probed) {
       long began = probed.wallMs() - Math.max(0, probed.ms());
-      Span span = within(which, "probe", began).setAttribute("at", probed.at()).startSpan();
+      Span span = childSpan(which, "probe", began).setAttribute("at", probed.at()).startSpan();
       if (probed.ms() < 0) {
         span.setStatus(StatusCode.ERROR);
       }
       span.end(probed.wallMs(), MS);
-    } else if (event instanceof RolloutEvent.Left left) {
-      Phase phase = phases.remove(which);
+    } else if (event instanceof RolloutEvent.LeadershipLost left) {
+      PhaseSpan phase = phaseSpans.remove(which);
       if (phase != null) {
         phase.span.addEvent("this controller leads no longer", left.wallMs(), MS);
         phase.span.end(left.wallMs(), MS);
@@ -109,38 +109,38 @@
   private static final TimeUnit MS = TimeUnit.MILLISECONDS;
 
   /** The rollout's span: written by whoever ends it, and known to all by its id. */
-  private static Context root(Which which) {
+  private static Context rootContext(RolloutId which) {
     return Context.root()
         .with(
             Span.wrap(
                 SpanContext.createFromRemoteParent(
-                    SpanIds.trace(which),
-                    SpanIds.root(which),
+                    SpanIds.traceId(which),
+                    SpanIds.rootSpanId(which),
                     TraceFlags.getSampled(),
                     TraceState.getDefault())));
   }
 
-  private SpanBuilder within(Which which, String name, long fromWallMs) {
-    Phase phase = phases.get(which);
-    Context parent = phase == null ? root(which) : Context.root().with(phase.span);
+  private SpanBuilder childSpan(RolloutId which, String name, long fromWallMs) {
+    PhaseSpan phase = phaseSpans.get(which);
+    Context parent = phase == null ? rootContext(which) : Context.root().with(phase.span);
     return tracer.spanBuilder(name).setParent(parent).setStartTimestamp(fromWallMs, MS);
   }
 
-  private void stands(Which which, Rollout rollout, long wallMs) {
-    Phase before = phases.get(which);
+  private void recordState(RolloutId which, Rollout rollout, long wallMs) {
+    PhaseSpan before = phaseSpans.get(which);
     if (before != null && before.step == rollout.step() && before.phase == rollout.phase()) {
       before.span.addEvent(
-          rollout.wantedOld() + " old and " + rollout.wantedNew() + " new replicas are wanted",
+          rollout.desiredOld() + " old and " + rollout.desiredNew() + " new replicas are wanted",
           wallMs,
           MS);
       return;
     }
     if (before != null) {
       before.span.end(wallMs, MS);
-      phases.remove(which);
+      phaseSpans.remove(which);
     }
-    if (rollout.phase().over()) {
-      ended(which, rollout, wallMs);
+    if (rollout.phase().isFinal()) {
+      recordRolloutSpan(which, rollout, wallMs);
       return;
     }
     String name =
@@ -148,16 +148,16 @@
     Span span =
         tracer
             .spanBuilder(name)
-            .setParent(root(which))
+            .setParent(rootContext(which))
             .setStartTimestamp(wallMs, MS)
-            .setAttribute("wanted.old", rollout.wantedOld())
-            .setAttribute("wanted.new", rollout.wantedNew())
+            .setAttribute("wanted.old", rollout.desiredOld())
+            .setAttribute("wanted.new", rollout.desiredNew())
             .startSpan();
-    phases.put(which, new Phase(span, rollout.step(), rollout.phase()));
+    phaseSpans.put(which, new PhaseSpan(span, rollout.step(), rollout.phase()));
   }
 
-  private void ended(Which which, Rollout rollout, long wallMs) {
-    ids.nextIsRoot(which);
+  private void recordRolloutSpan(RolloutId which, Rollout rollout, long wallMs) {
+    ids.useRootIdsNext(which);
     Span root =
         tracer
             .spanBuilder("roll-out of " + which.service())
--- a/src/main/java/io/saltflow/tracing/SpanIds.java
+++ b/src/main/java/io/saltflow/tracing/SpanIds.java
@@ -11,41 +11,41 @@
  */
 final class SpanIds implements IdGenerator {
   private final IdGenerator random = IdGenerator.random();
-  private String nextSpan;
-  private String nextTrace;
+  private String nextSpanId;
+  private String nextTraceId;
 
   /** The next span is a rollout's own. */
-  void nextIsRoot(RolloutEvent.Which which) {
-    nextSpan = root(which);
-    nextTrace = trace(which);
+  void useRootIdsNext(RolloutEvent.RolloutId which) {
+    nextSpanId = rootSpanId(which);
+    nextTraceId = traceId(which);
   }
 
   @Override
   public String generateSpanId() {
-    String id = nextSpan == null ? random.generateSpanId() : nextSpan;
-    nextSpan = null;
+    String id = nextSpanId == null ? random.generateSpanId() : nextSpanId;
+    nextSpanId = null;
     return id;
   }
 
   @Override
   public String generateTraceId() {
-    String id = nextTrace == null ? random.generateTraceId() : nextTrace;
-    nextTrace = null;
+    String id = nextTraceId == null ? random.generateTraceId() : nextTraceId;
+    nextTraceId = null;
     return id;
   }
 
-  static String trace(RolloutEvent.Which which) {
-    UUID uuid = named(which);
+  static String traceId(RolloutEvent.RolloutId which) {
+    UUID uuid = rolloutUuid(which);
     return String.format(
         "%016x%016x", uuid.getMostSignificantBits(), uuid.getLeastSignificantBits());
   }
 
-  static String root(RolloutEvent.Which which) {
-    UUID uuid = named(which);
+  static String rootSpanId(RolloutEvent.RolloutId which) {
+    UUID uuid = rolloutUuid(which);
     return String.format("%016x", uuid.getMostSignificantBits() ^ uuid.getLeastSignificantBits());
   }
 
-  private static UUID named(RolloutEvent.Which which) {
+  private static UUID rolloutUuid(RolloutEvent.RolloutId which) {
     String text =
         which.service() + "\0" + which.from() + "\0" + which.to() + "\0" + which.beganWallMs();
     return UUID.nameUUIDFromBytes(text.getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/io/saltflow/healthgates/GateTest.java
+++ b/src/test/java/io/saltflow/healthgates/GateTest.java
@@ -18,22 +18,22 @@
 
 /** Gates: what they mean, when they pass, and what they say when they do not. */
 class GateTest {
-  private static final TimeSpan PATIENCE = TimeSpan.seconds(60);
+  private static final TimeSpan NO_DATA_TIMEOUT = TimeSpan.seconds(60);
 
-  private final Map<String, Double> seen = new HashMap<>();
+  private final Map<String, Double> observedValues = new HashMap<>();
   private MonotonicTime now = new MonotonicTime(1_000_000);
 
-  private GateEvaluator watch(String text) throws GateException {
-    return new GateEvaluator(Gate.parse(text), PATIENCE);
+  private GateEvaluator evaluator(String text) throws GateException {
+    return new GateEvaluator(Gate.parse(text), NO_DATA_TIMEOUT);
   }
 
-  private TernaryTruth look(GateEvaluator watch, double laterS) {
-    return verdict(watch, laterS).truth();
+  private TernaryTruth truthAfter(GateEvaluator watch, double laterS) {
+    return verdictAfter(watch, laterS).truth();
   }
 
-  private GateEvaluator.Verdict verdict(GateEvaluator watch, double laterS) {
+  private GateEvaluator.Verdict verdictAfter(GateEvaluator watch, double laterS) {
     now = now.plus(TimeSpan.seconds(laterS));
-    return watch.look((quantity, at) -> seen.get(quantity.toString()), now);
+    return watch.evaluate((quantity, at) -> observedValues.get(quantity.toString()), now);
   }
 
   @Test
@@ -84,18 +84,18 @@
 
   @Test
   void aConditionMustLast() throws GateException {
-    GateEvaluator gateEvaluator = watch("ready >= 95% for 30s");
-    seen.put("ready", 0.5);
-    assertEquals(TernaryTruth.FALSE, look(gateEvaluator, 0));
-    seen.put("ready", 0.95);
-    assertEquals(TernaryTruth.UNKNOWN, look(gateEvaluator, 1));
-    assertEquals(TernaryTruth.UNKNOWN, look(gateEvaluator, 29.9));
+    GateEvaluator gateEvaluator = evaluator("ready >= 95% for 30s");
+    observedValues.put("ready", 0.5);
+    assertEquals(TernaryTruth.FALSE, truthAfter(gateEvaluator, 0));
+    observedValues.put("ready", 0.95);
+    assertEquals(TernaryTruth.UNKNOWN, truthAfter(gateEvaluator, 1));
+    assertEquals(TernaryTruth.UNKNOWN, truthAfter(gateEvaluator, 29.9));
     assertEquals(
         List.of("ready >= 95%: true for 29.9s only, it is 95%"),
-        verdict(gateEvaluator, 0).reasons());
-    assertEquals(TernaryTruth.TRUE, look(gateEvaluator, 0.1));
-    seen.put("ready", 0.9);
-    GateEvaluator.Verdict fell = verdict(gateEvaluator, 1);
+        verdictAfter(gateEvaluator, 0).reasons());
+    assertEquals(TernaryTruth.TRUE, truthAfter(gateEvaluator, 0.1));
+    observedValues.put("ready", 0.9);
+    GateEvaluator.Verdict fell = verdictAfter(gateEvaluator, 1);
     assertEquals(TernaryTruth.FALSE, fell.truth());
     assertEquals(List.of("ready >= 95%: false for 0ms, it is 90%"), fell.reasons());
   }
@@ -103,47 +103,50 @@
   /** A check that flaps does not pass until it has been steady for as long as the gate says. */
   @Test
   void flappingFailsUntilItHasRecovered() throws GateException {
-    GateEvaluator gateEvaluator = watch("probe(\"/\").ok >= 99% for 5s recovers for 20s");
+    GateEvaluator gateEvaluator = evaluator("probe(\"/\").ok >= 99% for 5s recovers for 20s");
     String ok = "probe(\"/\").ok";
     for (int i = 0; i < 10; i++) {
-      seen.put(ok, 1.0);
-      assertEquals(i == 0 ? TernaryTruth.UNKNOWN : TernaryTruth.FALSE, look(gateEvaluator, 3));
-      seen.put(ok, 0.5);
-      assertEquals(TernaryTruth.FALSE, look(gateEvaluator, 3));
+      observedValues.put(ok, 1.0);
+      assertEquals(
+          i == 0 ? TernaryTruth.UNKNOWN : TernaryTruth.FALSE, truthAfter(gateEvaluator, 3));
+      observedValues.put(ok, 0.5);
+      assertEquals(TernaryTruth.FALSE, truthAfter(gateEvaluator, 3));
     }
-    seen.put(ok, 1.0);
-    assertEquals(TernaryTruth.FALSE, look(gateEvaluator, 3));
-    assertEquals(TernaryTruth.FALSE, look(gateEvaluator, 19.9));
-    assertEquals(TernaryTruth.TRUE, look(gateEvaluator, 0.1));
+    observedValues.put(ok, 1.0);
+    assertEquals(TernaryTruth.FALSE, truthAfter(gateEvaluator, 3));
+    assertEquals(TernaryTruth.FALSE, truthAfter(gateEvaluator, 19.9));
+    assertEquals(TernaryTruth.TRUE, truthAfter(gateEvaluator, 0.1));
   }
 
   @Test
   void missingDataHoldsAndThenFailsAndNeverPasses() throws GateException {
     GateEvaluator gateEvaluator =
-        watch("ready >= 95% without data for 10s and not failures(1m) > 3");
-    assertEquals(TernaryTruth.UNKNOWN, look(gateEvaluator, 0));
-    assertEquals(TernaryTruth.UNKNOWN, look(gateEvaluator, 10));
-    GateEvaluator.Verdict late = verdict(gateEvaluator, 0.1);
+        evaluator("ready >= 95% without data for 10s and not failures(1m) > 3");
+    assertEquals(TernaryTruth.UNKNOWN, truthAfter(gateEvaluator, 0));
+    assertEquals(TernaryTruth.UNKNOWN, truthAfter(gateEvaluator, 10));
+    GateEvaluator.Verdict late = verdictAfter(gateEvaluator, 0.1);
     assertEquals(TernaryTruth.FALSE, late.truth());
     assertEquals("ready >= 95%: no data for 10.1s", late.reasons().get(0));
-    seen.put("ready", 1.0);
-    assertEquals(TernaryTruth.UNKNOWN, look(gateEvaluator, 1), "the other is not known yet");
-    assertEquals(TernaryTruth.FALSE, look(gateEvaluator, 60), "nor has it been for a minute");
-    seen.put("failures(1m)", 0.0);
-    assertEquals(TernaryTruth.TRUE, look(gateEvaluator, 1));
-    seen.put("failures(1m)", 4.0);
+    observedValues.put("ready", 1.0);
+    assertEquals(TernaryTruth.UNKNOWN, truthAfter(gateEvaluator, 1), "the other is not known yet");
+    assertEquals(TernaryTruth.FALSE, truthAfter(gateEvaluator, 60), "nor has it been for a minute");
+    observedValues.put("failures(1m)", 0.0);
+    assertEquals(TernaryTruth.TRUE, truthAfter(gateEvaluator, 1));
+    observedValues.put("failures(1m)", 4.0);
     assertEquals(
-        List.of("failures(1m) > 3: true for 0ms, it is 4"), verdict(gateEvaluator, 1).reasons());
+        List.of("failures(1m) > 3: true for 0ms, it is 4"),
+        verdictAfter(gateEvaluator, 1).reasons());
   }
 
   @Test
   void whatIsKnownDecidesWhereItCan() throws GateException {
-    seen.put("ready", 1.0);
-    assertEquals(TernaryTruth.TRUE, look(watch("ready > 5% or age > 1s"), 0));
-    assertEquals(TernaryTruth.UNKNOWN, look(watch("ready > 5% and age > 1s"), 0));
-    seen.put("ready", 0.0);
-    assertEquals(TernaryTruth.FALSE, look(watch("(ready > 5% and age > 1s) or ready == 50%"), 0));
-    assertEquals(TernaryTruth.TRUE, look(watch("not (ready > 5%) and ready != 3%"), 0));
+    observedValues.put("ready", 1.0);
+    assertEquals(TernaryTruth.TRUE, truthAfter(evaluator("ready > 5% or age > 1s"), 0));
+    assertEquals(TernaryTruth.UNKNOWN, truthAfter(evaluator("ready > 5% and age > 1s"), 0));
+    observedValues.put("ready", 0.0);
+    assertEquals(
+        TernaryTruth.FALSE, truthAfter(evaluator("(ready > 5% and age > 1s) or ready == 50%"), 0));
+    assertEquals(TernaryTruth.TRUE, truthAfter(evaluator("not (ready > 5%) and ready != 3%"), 0));
   }
 
   @Test
@@ -155,8 +158,8 @@
     replicaObservations.ready(3, 4, now);
     assertEquals(
         0.75, replicaObservations.value(Gate.parse("ready > 1%").quantities().get(0), now));
-    replicaObservations.exited("error", true, now);
-    replicaObservations.exited("lost", true, now);
+    replicaObservations.recordExit("error", true, now);
+    replicaObservations.recordExit("lost", true, now);
     assertEquals(2.0, replicaObservations.value(failures, now));
     assertEquals(1.0, replicaObservations.value(errors, now));
     now = now.plus(TimeSpan.seconds(61));
@@ -170,11 +173,11 @@
     ReplicaObservations replicaObservations = new ReplicaObservations();
     Quantity age = Gate.parse("age > 1s").quantities().get(0);
     assertEquals(null, replicaObservations.value(age, now));
-    replicaObservations.complete(now);
+    replicaObservations.stepCompleted(now);
     now = now.plus(TimeSpan.seconds(3));
-    replicaObservations.complete(now);
+    replicaObservations.stepCompleted(now);
     assertEquals(3000.0, replicaObservations.value(age, now));
-    replicaObservations.begun();
+    replicaObservations.stepStarted();
     assertEquals(null, replicaObservations.value(age, now));
   }
 
@@ -187,10 +190,10 @@
     Quantity ok = Gate.parse("probe(\"/\").ok > 1%").quantities().get(0);
     assertEquals(null, replicaObservations.value(p50, now));
     for (int i = 1; i <= 98; i++) {
-      replicaObservations.probed("/", i, now);
+      replicaObservations.recordProbe("/", i, now);
     }
-    replicaObservations.probed("/", -1, now);
-    replicaObservations.probed("/", -1, now);
+    replicaObservations.recordProbe("/", -1, now);
+    replicaObservations.recordProbe("/", -1, now);
     assertEquals(50, replicaObservations.value(p50, now), 1);
     assertEquals(Double.POSITIVE_INFINITY, replicaObservations.value(p99, now));
     assertEquals(0.98, replicaObservations.value(ok, now));
@@ -215,7 +218,7 @@
         "restarts(5m) == 1.5 | restarts(5m) == 1.5 never holds"
       })
   void whatCanNeverPassIsFound(String text, String fault) throws GateException {
-    assertEquals(fault, Gate.parse(text).neverPasses(TimeSpan.seconds(600)));
+    assertEquals(fault, Gate.parse(text).unsatisfiableReason(TimeSpan.seconds(600)));
   }
 
   @ParameterizedTest
@@ -229,20 +232,22 @@
         "probe(\"/\").p99 > 1s and probe(\"/\").p50 < 1s"
       })
   void whatMayPassIsLeftAlone(String text) throws GateException {
-    assertNull(Gate.parse(text).neverPasses(TimeSpan.seconds(600)));
+    assertNull(Gate.parse(text).unsatisfiableReason(TimeSpan.seconds(600)));
   }
 
   @Test
   void howLongReplicasTakeToStartCanBeAsked() throws GateException {
     ReplicaObservations replicaObservations = new ReplicaObservations();
-    GateEvaluator watch = watch("startup.p90 < 5s");
-    assertEquals(TernaryTruth.UNKNOWN, watch.look(replicaObservations, now).truth());
+    GateEvaluator watch = evaluator("startup.p90 < 5s");
+    assertEquals(TernaryTruth.UNKNOWN, watch.evaluate(replicaObservations, now).truth());
     for (int i = 1; i <= 10; i++) {
-      replicaObservations.started(TimeSpan.seconds(i < 10 ? 2 : 60), now);
+      replicaObservations.recordStart(TimeSpan.seconds(i < 10 ? 2 : 60), now);
     }
     assertEquals(
-        TernaryTruth.TRUE, watch.look(replicaObservations, now).truth(), "one of ten may be slow");
-    replicaObservations.started(TimeSpan.seconds(60), now);
-    assertEquals(TernaryTruth.FALSE, watch.look(replicaObservations, now).truth());
+        TernaryTruth.TRUE,
+        watch.evaluate(replicaObservations, now).truth(),
+        "one of ten may be slow");
+    replicaObservations.recordStart(TimeSpan.seconds(60), now);
+    assertEquals(TernaryTruth.FALSE, watch.evaluate(replicaObservations, now).truth());
   }
 }
--- a/src/test/java/io/saltflow/probes/ProbeSchedulerTest.java
+++ b/src/test/java/io/saltflow/probes/ProbeSchedulerTest.java
@@ -20,7 +20,7 @@
       new ProbeScheduler.Limits(10, TimeSpan.seconds(5), TimeSpan.seconds(2));
 
   private long nowMs = 50_000;
-  private final ProbeScheduler probing = new ProbeScheduler(LIMITS, now());
+  private final ProbeScheduler scheduler = new ProbeScheduler(LIMITS, now());
 
   private MonotonicTime now() {
     return new MonotonicTime(nowMs);
@@ -34,7 +34,7 @@
     return out;
   }
 
-  private static List<Long> all(ProbeBatch ask, long ms) {
+  private static List<Long> responses(ProbeBatch ask, long ms) {
     return Collections.nCopies(ask.targets().size(), ms);
   }
 
@@ -42,14 +42,14 @@
   @Test
   void theRateIsSharedByAllServicesAndEachReplicaComesInItsTurn() {
     for (int s = 0; s < 50; s++) {
-      probing.targets("s" + s, replicas("s" + s, 40));
+      scheduler.setTargets("s" + s, replicas("s" + s, 40));
     }
     Map<ReplicaProbe, Integer> asked = new HashMap<>();
     for (int quarter = 0; quarter < 4 * 600; quarter++) {
-      for (ProbeBatch ask : probing.due(List.of("b", "c"), now())) {
+      for (ProbeBatch ask : scheduler.due(List.of("b", "c"), now())) {
         ask.targets().forEach(t -> asked.merge(t, 1, Integer::sum));
         assertTrue(ask.targets().size() <= ProbeFrame.MAX_TARGETS);
-        probing.answered(ask.prober(), ask.batch(), all(ask, 3), true);
+        scheduler.onResponse(ask.prober(), ask.batch(), responses(ask, 3), true);
       }
       nowMs += 250;
     }
@@ -62,12 +62,12 @@
 
   @Test
   void fewReplicasAreNotAskedMoreOftenThanIsUseful() {
-    probing.targets("s", replicas("s", 2));
+    scheduler.setTargets("s", replicas("s", 2));
     int asked = 0;
     for (int quarter = 0; quarter < 4 * 20; quarter++) {
-      for (ProbeBatch ask : probing.due(List.of(), now())) {
+      for (ProbeBatch ask : scheduler.due(List.of(), now())) {
         asked += ask.targets().size();
-        probing.answered("", ask.batch(), all(ask, 3), false);
+        scheduler.onResponse("", ask.batch(), responses(ask, 3), false);
       }
       nowMs += 250;
     }
@@ -77,46 +77,50 @@
   /** A prober behind a cut reaches nothing: others are asked before a sound version is blamed. */
   @Test
   void whatOneProberCannotReachAnotherIsAskedAbout() {
-    probing.targets("s", replicas("s", 1));
-    ProbeBatch first = probing.due(List.of("b"), now()).get(0);
+    scheduler.setTargets("s", replicas("s", 1));
+    ProbeBatch first = scheduler.due(List.of("b"), now()).get(0);
     assertEquals("b", first.prober());
     assertEquals(
-        List.of(), probing.answered("b", first.batch(), all(first, ProbeFrame.UNREACHABLE), true));
-    ProbeBatch second = probing.due(List.of("b"), now()).get(0);
+        List.of(),
+        scheduler.onResponse("b", first.batch(), responses(first, ProbeFrame.UNREACHABLE), true));
+    ProbeBatch second = scheduler.due(List.of("b"), now()).get(0);
     assertEquals("", second.prober(), "not by the same again");
     assertEquals(
-        12, probing.answered("", second.batch(), all(second, 12), true).get(0).ms(), "it is well");
+        12,
+        scheduler.onResponse("", second.batch(), responses(second, 12), true).get(0).latencyMs(),
+        "it is well");
     nowMs += 6000;
-    ProbeBatch third = probing.due(List.of("b"), now()).get(0);
-    probing.answered(third.prober(), third.batch(), all(third, ProbeFrame.UNREACHABLE), true);
-    ProbeBatch fourth = probing.due(List.of("b"), now()).get(0);
+    ProbeBatch third = scheduler.due(List.of("b"), now()).get(0);
+    scheduler.onResponse(
+        third.prober(), third.batch(), responses(third, ProbeFrame.UNREACHABLE), true);
+    ProbeBatch fourth = scheduler.due(List.of("b"), now()).get(0);
     List<ReplicaHealth> found =
-        probing.answered(
-            fourth.prober(), fourth.batch(), all(fourth, ProbeFrame.UNREACHABLE), true);
-    assertEquals(ProbeFrame.UNREACHABLE, found.get(0).ms(), "two could not");
+        scheduler.onResponse(
+            fourth.prober(), fourth.batch(), responses(fourth, ProbeFrame.UNREACHABLE), true);
+    assertEquals(ProbeFrame.UNREACHABLE, found.get(0).latencyMs(), "two could not");
   }
 
   @Test
   void anAnswerThatIsBadNeedsNoSecondOpinion() {
-    probing.targets("s", replicas("s", 1));
-    ProbeBatch ask = probing.due(List.of("b"), now()).get(0);
+    scheduler.setTargets("s", replicas("s", 1));
+    ProbeBatch ask = scheduler.due(List.of("b"), now()).get(0);
     List<ReplicaHealth> found =
-        probing.answered(ask.prober(), ask.batch(), all(ask, ProbeFrame.UNHEALTHY), true);
-    assertEquals(ProbeFrame.UNHEALTHY, found.get(0).ms());
+        scheduler.onResponse(ask.prober(), ask.batch(), responses(ask, ProbeFrame.UNHEALTHY), true);
+    assertEquals(ProbeFrame.UNHEALTHY, found.get(0).latencyMs());
   }
 
   /** Half of the calls are lost: what is not answered is not known, and the rest goes on. */
   @Test
   void lostCallsSayNothingAndHoldNothingUp() {
-    probing.targets("s", replicas("s", 10));
+    scheduler.setTargets("s", replicas("s", 10));
     SplittableRandom random = new SplittableRandom(3);
     int told = 0;
     for (int quarter = 0; quarter < 4 * 100; quarter++) {
-      for (ProbeBatch ask : probing.due(List.of("b"), now())) {
+      for (ProbeBatch ask : scheduler.due(List.of("b"), now())) {
         if (random.nextBoolean()) {
           List<ReplicaHealth> found =
-              probing.answered(ask.prober(), ask.batch(), all(ask, 5), true);
-          found.forEach(f -> assertEquals(5, f.ms()));
+              scheduler.onResponse(ask.prober(), ask.batch(), responses(ask, 5), true);
+          found.forEach(f -> assertEquals(5, f.latencyMs()));
           told += found.size();
         }
       }
@@ -124,21 +128,28 @@
     }
     assertTrue(told > 60 && told < 140, "of 200 probes in 100 s: " + told);
     nowMs += 60_000;
-    probing.due(List.of(), now());
-    assertTrue(probing.counts()[1] > 60, "counted as lost: " + probing.counts()[1]);
+    scheduler.due(List.of(), now());
+    assertTrue(scheduler.counts()[1] > 60, "counted as lost: " + scheduler.counts()[1]);
   }
 
   @Test
   void lateForeignAndUnwantedAnswersAreDropped() {
-    probing.targets("s", replicas("s", 2));
-    ProbeBatch ask = probing.due(List.of("b"), now()).get(0);
-    assertEquals(List.of(), probing.answered("c", ask.batch(), all(ask, 1), true), "another's");
-    assertEquals(List.of(), probing.answered(ask.prober(), 99, all(ask, 1), true), "of no batch");
-    assertEquals(List.of(), probing.answered(ask.prober(), ask.batch(), List.of(), true), "short");
-    probing.targets("s", List.of());
+    scheduler.setTargets("s", replicas("s", 2));
+    ProbeBatch ask = scheduler.due(List.of("b"), now()).get(0);
     assertEquals(
-        List.of(), probing.answered(ask.prober(), ask.batch(), all(ask, 1), true), "gone since");
+        List.of(), scheduler.onResponse("c", ask.batch(), responses(ask, 1), true), "another's");
     assertEquals(
-        List.of(), probing.answered(ask.prober(), ask.batch(), all(ask, 1), true), "told before");
+        List.of(), scheduler.onResponse(ask.prober(), 99, responses(ask, 1), true), "of no batch");
+    assertEquals(
+        List.of(), scheduler.onResponse(ask.prober(), ask.batch(), List.of(), true), "short");
+    scheduler.setTargets("s", List.of());
+    assertEquals(
+        List.of(),
+        scheduler.onResponse(ask.prober(), ask.batch(), responses(ask, 1), true),
+        "gone since");
+    assertEquals(
+        List.of(),
+        scheduler.onResponse(ask.prober(), ask.batch(), responses(ask, 1), true),
+        "told before");
   }
 }
--- a/src/test/java/io/saltflow/rollouts/ExplorationTest.java
+++ b/src/test/java/io/saltflow/rollouts/ExplorationTest.java
@@ -32,22 +32,22 @@
    * The whole small world.
    *
    * @param record what is durable
-   * @param actedOld what the machines were last told to hold
-   * @param faults crashes, cuts and drains that are left, one of each
-   * @param hidden a cut hides the new version's replicas from the leader
+   * @param appliedOld what the machines were last told to hold
+   * @param remainingFaults crashes, cuts and drains that are left, one of each
+   * @param partitioned a cut hides the new version's replicas from the leader
    */
   private record State(
       Rollout record,
-      int actedOld,
-      int actedNew,
+      int appliedOld,
+      int appliedNew,
       int readyOld,
       int readyNew,
-      int faults,
-      boolean hidden,
+      int remainingFaults,
+      boolean partitioned,
       boolean aborted) {}
 
   private static final int CRASH = 1;
-  private static final int CUT = 2;
+  private static final int PARTITION = 2;
   private static final int DRAIN = 4;
 
   private RolloutPlan plan(int surge, int mostUnavailable) throws GateException {
@@ -65,18 +65,18 @@
         MaintenanceWindows.ALWAYS);
   }
 
-  private final Map<State, List<State>> edges = new HashMap<>();
-  private final List<String> faults = new ArrayList<>();
+  private final Map<State, List<State>> transitions = new HashMap<>();
+  private final List<String> violations = new ArrayList<>();
   private RolloutPlan plan;
   private RolloutStateMachine machine;
   private boolean zoneByZone;
 
   /** What a planted mistake makes of a decision. */
-  private UnaryOperator<Rollout> mistake = r -> r;
+  private UnaryOperator<Rollout> injectedFault = r -> r;
 
   private void explore(int surge, int mostUnavailable) throws GateException {
-    edges.clear();
-    faults.clear();
+    transitions.clear();
+    violations.clear();
     plan = plan(surge, mostUnavailable);
     machine = new RolloutStateMachine(plan);
     State first =
@@ -86,18 +86,18 @@
             0,
             REPLICAS,
             0,
-            CRASH | CUT | DRAIN,
+            CRASH | PARTITION | DRAIN,
             false,
             false);
     ArrayDeque<State> open = new ArrayDeque<>(List.of(first));
-    edges.put(first, List.of());
+    transitions.put(first, List.of());
     while (!open.isEmpty()) {
       State state = open.poll();
       List<State> next = successors(state);
-      edges.put(state, next);
+      transitions.put(state, next);
       for (State otherState : next) {
-        if (!edges.containsKey(otherState)) {
-          edges.put(otherState, List.of());
+        if (!transitions.containsKey(otherState)) {
+          transitions.put(otherState, List.of());
           open.add(otherState);
         }
       }
@@ -106,56 +106,57 @@
 
   private List<State> successors(State state) {
     List<State> out = new ArrayList<>();
-    world(state, out);
-    leader(state, out);
+    addEnvironmentSteps(state, out);
+    addLeaderSteps(state, out);
     return out;
   }
 
   /** What happens by itself. */
-  private static void world(State state, List<State> out) {
-    if (state.readyOld < state.actedOld) {
-      out.add(ready(state, state.readyOld + 1, state.readyNew));
+  private static void addEnvironmentSteps(State state, List<State> out) {
+    if (state.readyOld < state.appliedOld) {
+      out.add(withReady(state, state.readyOld + 1, state.readyNew));
     }
-    if (state.readyNew < state.actedNew) {
-      out.add(ready(state, state.readyOld, state.readyNew + 1));
+    if (state.readyNew < state.appliedNew) {
+      out.add(withReady(state, state.readyOld, state.readyNew + 1));
     }
     if (state.readyNew > 0) {
       // A bad build dies whenever it likes.
-      out.add(ready(state, state.readyOld, state.readyNew - 1));
+      out.add(withReady(state, state.readyOld, state.readyNew - 1));
     }
-    if ((state.faults & DRAIN) != 0 && state.readyOld > 0) {
-      State drained = ready(state, state.readyOld - 1, state.readyNew);
-      out.add(with(drained, state.faults & ~DRAIN, state.hidden));
+    if ((state.remainingFaults & DRAIN) != 0 && state.readyOld > 0) {
+      State drained = withReady(state, state.readyOld - 1, state.readyNew);
+      out.add(with(drained, state.remainingFaults & ~DRAIN, state.partitioned));
     }
-    if ((state.faults & CUT) != 0) {
-      out.add(with(state, state.faults & ~CUT, true));
+    if ((state.remainingFaults & PARTITION) != 0) {
+      out.add(with(state, state.remainingFaults & ~PARTITION, true));
     }
-    if (state.hidden) {
-      out.add(with(state, state.faults, false));
+    if (state.partitioned) {
+      out.add(with(state, state.remainingFaults, false));
     }
     // A leader that crashes loses nothing but its memory, and the record is all that there is.
-    if (state.actedOld != state.record.wantedOld() || state.actedNew != state.record.wantedNew()) {
-      out.add(acted(state));
+    if (state.appliedOld != state.record.desiredOld()
+        || state.appliedNew != state.record.desiredNew()) {
+      out.add(applyRecord(state));
     }
   }
 
-  private static State ready(State state, int old, int fresh) {
+  private static State withReady(State state, int old, int fresh) {
     return new State(
         state.record,
-        state.actedOld,
-        state.actedNew,
+        state.appliedOld,
+        state.appliedNew,
         old,
         fresh,
-        state.faults,
-        state.hidden,
+        state.remainingFaults,
+        state.partitioned,
         state.aborted);
   }
 
   private static State with(State state, int faults, boolean hidden) {
     return new State(
         state.record,
-        state.actedOld,
-        state.actedNew,
+        state.appliedOld,
+        state.appliedNew,
         state.readyOld,
         state.readyNew,
         faults,
@@ -164,30 +165,31 @@
   }
 
   /** The machines are told; those that are not ready go first. */
-  private static State acted(State state) {
-    int old = state.record.wantedOld();
-    int fresh = state.record.wantedNew();
+  private static State applyRecord(State state) {
+    int old = state.record.desiredOld();
+    int fresh = state.record.desiredNew();
     return new State(
         state.record,
         old,
         fresh,
         Math.min(state.readyOld, old),
         Math.min(state.readyNew, fresh),
-        state.faults,
-        state.hidden,
+        state.remainingFaults,
+        state.partitioned,
         state.aborted);
   }
 
-  private void leader(State state, List<State> out) {
+  private void addLeaderSteps(State state, List<State> out) {
     boolean behind =
-        state.actedOld != state.record.wantedOld() || state.actedNew != state.record.wantedNew();
+        state.appliedOld != state.record.desiredOld()
+            || state.appliedNew != state.record.desiredNew();
     if (behind) {
       // It acts upon a record before it decides again.
       return;
     }
-    int seenNew = state.hidden ? 0 : state.readyNew;
+    int seenNew = state.partitioned ? 0 : state.readyNew;
     for (TernaryTruth gate : TernaryTruth.values()) {
-      boolean healthy = seenNew == state.record.wantedNew() && seenNew > 0;
+      boolean healthy = seenNew == state.record.desiredNew() && seenNew > 0;
       if (gate == TernaryTruth.TRUE && !healthy) {
         continue;
       }
@@ -198,103 +200,103 @@
                   state.readyOld,
                   0,
                   seenNew,
-                  state.hidden ? state.actedNew : 0,
+                  state.partitioned ? state.appliedNew : 0,
                   new GateEvaluator.Verdict(gate, List.of("it is so")),
                   new GateEvaluator.Verdict(stop, List.of()),
                   null,
                   state.record.sinceWallMs() + elapsed);
-          decided(state, mistake.apply(machine.next(state.record, seen)), out);
+          addDecision(state, injectedFault.apply(machine.next(state.record, seen)), out);
         }
       }
     }
     if (!state.aborted) {
-      Rollout told = machine.told(state.record, RolloutCommand.ABORT, 0);
-      State after = decide(state, told);
+      Rollout told = machine.applyCommand(state.record, RolloutCommand.ABORT, 0);
+      State after = withRecord(state, told);
       out.add(
           new State(
               after.record,
-              state.actedOld,
-              state.actedNew,
+              state.appliedOld,
+              state.appliedNew,
               state.readyOld,
               state.readyNew,
-              state.faults,
-              state.hidden,
+              state.remainingFaults,
+              state.partitioned,
               true));
     }
   }
 
-  private void decided(State state, Rollout next, List<State> out) {
+  private void addDecision(State state, Rollout next, List<State> out) {
     if (next.equals(state.record)) {
       return;
     }
     check(state, next);
-    out.add(decide(state, next));
-    if ((state.faults & CRASH) != 0) {
+    out.add(withRecord(state, next));
+    if ((state.remainingFaults & CRASH) != 0) {
       // It crashes before the write, or after it: the next leader finds either record.
-      out.add(with(state, state.faults & ~CRASH, state.hidden));
-      out.add(with(decide(state, next), state.faults & ~CRASH, state.hidden));
+      out.add(with(state, state.remainingFaults & ~CRASH, state.partitioned));
+      out.add(with(withRecord(state, next), state.remainingFaults & ~CRASH, state.partitioned));
     }
   }
 
   /** Times are left out of the states, or there would be no end of them. */
-  private static State decide(State state, Rollout next) {
+  private static State withRecord(State state, Rollout next) {
     Rollout timeless =
         new Rollout(
             next.replicas(),
             next.step(),
             next.phase(),
-            next.resumes(),
-            next.wantedOld(),
-            next.wantedNew(),
+            next.resumePhase(),
+            next.desiredOld(),
+            next.desiredNew(),
             0,
             0,
             next.zones(),
             "");
     return new State(
         timeless,
-        state.actedOld,
-        state.actedNew,
+        state.appliedOld,
+        state.appliedNew,
         state.readyOld,
         state.readyNew,
-        state.faults,
-        state.hidden,
+        state.remainingFaults,
+        state.partitioned,
         state.aborted);
   }
 
   private void check(State state, Rollout next) {
-    if (next.wantedOld() + next.wantedNew() > REPLICAS + plan.surge()) {
-      faults.add("more than the surge: " + state + " -> " + next);
+    if (next.desiredOld() + next.desiredNew() > REPLICAS + plan.surge()) {
+      violations.add("more than the surge: " + state + " -> " + next);
     }
-    int floor = REPLICAS - plan.mostUnavailable();
+    int floor = REPLICAS - plan.maxUnavailable();
     int after =
-        Math.min(state.readyOld, next.wantedOld()) + Math.min(state.readyNew, next.wantedNew());
+        Math.min(state.readyOld, next.desiredOld()) + Math.min(state.readyNew, next.desiredNew());
     if (after < Math.min(floor, state.readyOld + state.readyNew)) {
-      faults.add("under the floor: " + state + " -> " + next);
+      violations.add("under the floor: " + state + " -> " + next);
     }
     if (zoneByZone
-        && next.wantedNew() > state.record.wantedNew()
-        && next.wantedNew() > next.through(1)
-        && state.readyNew < next.through(1)) {
-      faults.add("the second zone before the first is ready: " + state + " -> " + next);
+        && next.desiredNew() > state.record.desiredNew()
+        && next.desiredNew() > next.replicasThroughZone(1)
+        && state.readyNew < next.replicasThroughZone(1)) {
+      violations.add("the second zone before the first is ready: " + state + " -> " + next);
     }
     int steps = Math.abs(next.step() - state.record.step());
     boolean moved =
-        next.wantedOld() != state.record.wantedOld()
-            || next.wantedNew() != state.record.wantedNew();
+        next.desiredOld() != state.record.desiredOld()
+            || next.desiredNew() != state.record.desiredNew();
     if (steps > 1 || (steps == 1 && moved)) {
-      faults.add("two moves at once: " + state + " -> " + next);
+      violations.add("two moves at once: " + state + " -> " + next);
     }
   }
 
   /** States from which some way leads to one version serving in full. */
-  private Set<State> canServe() {
+  private Set<State> statesThatCanServe() {
     Map<State, List<State>> backwards = new HashMap<>();
-    edges.forEach(
+    transitions.forEach(
         (s, list) ->
             list.forEach(n -> backwards.computeIfAbsent(n, x -> new ArrayList<>()).add(s)));
     ArrayDeque<State> open = new ArrayDeque<>();
     Set<State> good = new HashSet<>();
-    for (State state : edges.keySet()) {
+    for (State state : transitions.keySet()) {
       boolean old = state.record.phase() == Phase.ROLLED_BACK && state.readyOld == REPLICAS;
       boolean fresh = state.record.phase() == Phase.DONE && state.readyNew == REPLICAS;
       boolean stuck =
@@ -319,11 +321,11 @@
     for (int[] bounds : new int[][] {{1, 0, 0}, {0, 1, 0}, {1, 1, 0}, {2, 1, 0}, {2, 1, 1}}) {
       zoneByZone = bounds[2] == 1;
       explore(bounds[0], bounds[1]);
-      assertEquals(List.of(), faults);
-      Set<State> lost = new HashSet<>(edges.keySet());
-      lost.removeAll(canServe());
+      assertEquals(List.of(), violations);
+      Set<State> lost = new HashSet<>(transitions.keySet());
+      lost.removeAll(statesThatCanServe());
       assertTrue(lost.isEmpty(), lost.size() + " lost, such as " + lost.stream().findFirst());
-      all += edges.size();
+      all += transitions.size();
       System.out.println(
           "surge "
               + bounds[0]
@@ -331,7 +333,7 @@
               + bounds[1]
               + (zoneByZone ? ", zone by zone" : "")
               + ": "
-              + edges.size()
+              + transitions.size()
               + " states");
     }
     assertTrue(all > 5000, "states: " + all);
@@ -340,21 +342,21 @@
   /** The exploration can fail: mistakes that are easily made are found. */
   @Test
   void plantedMistakesAreFound() throws GateException {
-    mistake = r -> r.wantedOld() == 2 && r.wantedNew() == 1 ? r.wanting(1, 1) : r;
+    injectedFault = r -> r.desiredOld() == 2 && r.desiredNew() == 1 ? r.withDesired(1, 1) : r;
     explore(1, 0);
-    assertFalse(faults.isEmpty(), "an old replica too many is let go");
+    assertFalse(violations.isEmpty(), "an old replica too many is let go");
     zoneByZone = true;
-    mistake = r -> r.phase() == Phase.MOVING && r.wantedNew() == 1 ? r.wanting(1, 3) : r;
+    injectedFault = r -> r.phase() == Phase.MOVING && r.desiredNew() == 1 ? r.withDesired(1, 3) : r;
     explore(1, 0);
-    assertTrue(faults.stream().anyMatch(f -> f.startsWith("the second zone")), "zones at once");
+    assertTrue(violations.stream().anyMatch(f -> f.startsWith("the second zone")), "zones at once");
     zoneByZone = false;
-    mistake = r -> r.phase() == Phase.BACK ? r.wanting(REPLICAS, REPLICAS) : r;
+    injectedFault = r -> r.phase() == Phase.BACK ? r.withDesired(REPLICAS, REPLICAS) : r;
     explore(1, 0);
-    assertFalse(faults.isEmpty(), "a roll-back that takes more room than there is");
-    mistake = r -> r.phase() == Phase.BACK ? r.wanting(r.wantedOld(), 1) : r;
+    assertFalse(violations.isEmpty(), "a roll-back that takes more room than there is");
+    injectedFault = r -> r.phase() == Phase.BACK ? r.withDesired(r.desiredOld(), 1) : r;
     explore(1, 1);
-    Set<State> lost = new HashSet<>(edges.keySet());
-    lost.removeAll(canServe());
-    assertFalse(lost.isEmpty() && faults.isEmpty(), "a roll-back that never ends");
+    Set<State> lost = new HashSet<>(transitions.keySet());
+    lost.removeAll(statesThatCanServe());
+    assertFalse(lost.isEmpty() && violations.isEmpty(), "a roll-back that never ends");
   }
 }
--- a/src/test/java/io/saltflow/rollouts/MaintenanceWindowsTest.java
+++ b/src/test/java/io/saltflow/rollouts/MaintenanceWindowsTest.java
@@ -23,35 +23,35 @@
       String zone, String from, String until, Set<DayOfWeek> days) {
     return new MaintenanceWindows(
         ZoneId.of(zone),
-        List.of(new MaintenanceWindows.Span(LocalTime.parse(from), LocalTime.parse(until))),
+        List.of(new MaintenanceWindows.TimeRange(LocalTime.parse(from), LocalTime.parse(until))),
         days,
         Set.of(LocalDate.of(2026, 12, 31)),
         Set.of(LocalDate.of(2026, 12, 6)));
   }
 
-  private static boolean open(MaintenanceWindows maintenanceWindows, String instant) {
-    return maintenanceWindows.open(Instant.parse(instant).toEpochMilli());
+  private static boolean isOpen(MaintenanceWindows maintenanceWindows, String instant) {
+    return maintenanceWindows.isOpen(Instant.parse(instant).toEpochMilli());
   }
 
   @Test
   void opensByTheWallClockOfItsZoneAndByItsCalendar() {
     Set<DayOfWeek> weekdays = EnumSet.range(DayOfWeek.MONDAY, DayOfWeek.FRIDAY);
     MaintenanceWindows almaty = windows("Asia/Almaty", "19:00", "23:00", weekdays);
-    assertTrue(open(almaty, "2026-12-01T14:00:00Z"), "19:00 on a Tuesday there");
-    assertFalse(open(almaty, "2026-12-01T13:59:59Z"));
-    assertFalse(open(almaty, "2026-12-01T18:00:00Z"), "its end is not part of it");
-    assertFalse(open(almaty, "2026-12-05T15:00:00Z"), "a Saturday");
-    assertTrue(open(almaty, "2026-12-06T15:00:00Z"), "a Sunday that is opened");
-    assertFalse(open(almaty, "2026-12-31T15:00:00Z"), "a Thursday that is closed");
+    assertTrue(isOpen(almaty, "2026-12-01T14:00:00Z"), "19:00 on a Tuesday there");
+    assertFalse(isOpen(almaty, "2026-12-01T13:59:59Z"));
+    assertFalse(isOpen(almaty, "2026-12-01T18:00:00Z"), "its end is not part of it");
+    assertFalse(isOpen(almaty, "2026-12-05T15:00:00Z"), "a Saturday");
+    assertTrue(isOpen(almaty, "2026-12-06T15:00:00Z"), "a Sunday that is opened");
+    assertFalse(isOpen(almaty, "2026-12-31T15:00:00Z"), "a Thursday that is closed");
   }
 
   @Test
   void nightsBelongToTheDayOnWhichTheyBegin() {
     MaintenanceWindows night = windows("UTC", "22:00", "02:00", EnumSet.of(DayOfWeek.FRIDAY));
-    assertTrue(open(night, "2026-12-04T22:30:00Z"));
-    assertTrue(open(night, "2026-12-05T01:30:00Z"), "Saturday's first hours are Friday's night");
-    assertFalse(open(night, "2026-12-05T22:30:00Z"));
-    assertFalse(open(night, "2026-12-04T01:30:00Z"));
+    assertTrue(isOpen(night, "2026-12-04T22:30:00Z"));
+    assertTrue(isOpen(night, "2026-12-05T01:30:00Z"), "Saturday's first hours are Friday's night");
+    assertFalse(isOpen(night, "2026-12-05T22:30:00Z"));
+    assertFalse(isOpen(night, "2026-12-04T01:30:00Z"));
   }
 
   /** Berlin's clocks skip from 2 to 3 on 28 March 2027, and show 2 to 3 twice on 31 October. */
@@ -61,11 +61,11 @@
         windows("Europe/Berlin", "02:00", "03:00", EnumSet.allOf(DayOfWeek.class));
     for (int minute = 0; minute < 180; minute++) {
       String instant = Instant.parse("2027-03-28T00:00:00Z").plusSeconds(60L * minute).toString();
-      assertFalse(open(two, instant), instant);
+      assertFalse(isOpen(two, instant), instant);
     }
-    assertTrue(open(two, "2027-10-31T00:30:00Z"));
-    assertTrue(open(two, "2027-10-31T01:30:00Z"), "the same hour on the wall again");
-    assertFalse(open(two, "2027-10-31T02:00:00Z"));
+    assertTrue(isOpen(two, "2027-10-31T00:30:00Z"));
+    assertTrue(isOpen(two, "2027-10-31T01:30:00Z"), "the same hour on the wall again");
+    assertFalse(isOpen(two, "2027-10-31T02:00:00Z"));
   }
 
   /** A step waits for its window, ends outside of it, and a clock that steps changes nothing. */
@@ -82,21 +82,21 @@
     long inside = Instant.parse("2026-12-01T20:59:59Z").toEpochMilli();
     long after = Instant.parse("2026-12-01T21:00:01Z").toEpochMilli();
     Rollout rollout = Rollout.begin(2, before);
-    assertEquals(Phase.WAITING, machine.next(rollout, seen(2, 0, before)).phase());
-    rollout = machine.next(rollout, seen(2, 0, inside));
+    assertEquals(Phase.WAITING, machine.next(rollout, status(2, 0, before)).phase());
+    rollout = machine.next(rollout, status(2, 0, inside));
     assertEquals(Phase.MOVING, rollout.phase());
-    rollout = machine.next(rollout, seen(2, 0, after));
-    assertEquals(1, rollout.wantedNew(), "begun inside, it goes on");
-    rollout = machine.next(rollout, seen(2, 1, before));
-    assertEquals(1, rollout.wantedOld(), "the clock was set back");
-    rollout = machine.next(rollout, seen(1, 1, after));
-    rollout = machine.next(rollout, seen(1, 1, after));
+    rollout = machine.next(rollout, status(2, 0, after));
+    assertEquals(1, rollout.desiredNew(), "begun inside, it goes on");
+    rollout = machine.next(rollout, status(2, 1, before));
+    assertEquals(1, rollout.desiredOld(), "the clock was set back");
+    rollout = machine.next(rollout, status(1, 1, after));
+    rollout = machine.next(rollout, status(1, 1, after));
     assertEquals(Phase.WAITING, rollout.phase(), "the next step waits for tomorrow");
-    assertEquals(rollout, machine.next(rollout, seen(1, 1, after + 3_600_000)), "however long");
-    assertEquals(Phase.BACK, machine.told(rollout, RolloutCommand.ABORT, after).phase());
+    assertEquals(rollout, machine.next(rollout, status(1, 1, after + 3_600_000)), "however long");
+    assertEquals(Phase.BACK, machine.applyCommand(rollout, RolloutCommand.ABORT, after).phase());
   }
 
-  private static ReplicaStatus seen(int old, int fresh, long wallMs) {
+  private static ReplicaStatus status(int old, int fresh, long wallMs) {
     return new ReplicaStatus(
         old,
         0,
--- a/src/test/java/io/saltflow/rollouts/RolloutSimulation.java
+++ b/src/test/java/io/saltflow/rollouts/RolloutSimulation.java
@@ -17,41 +17,41 @@
 final class RolloutSimulation {
   /** What is wrong with the new build. */
   enum Build {
-    SOUND,
+    HEALTHY,
     /** Its replicas die some seconds after they start. */
     CRASHES,
     /** They answer, but ten times more slowly. */
     SLOW,
     /** They die after 25 to 35 s, about when a gate has seen enough. */
-    LATE,
+    CRASHES_LATE,
     /** They are broken in one zone of three. */
     ONE_ZONE,
     /** They are well until half of the replicas are new. */
-    CROWD,
+    FAILS_AT_SCALE,
     /** They are well and ill by turns. */
-    FLAPS
+    FLAPPING
   }
 
   /** How the build goes out. */
-  enum Way {
+  enum Strategy {
     GATED,
     FIXED_DELAY,
     ALL_AT_ONCE
   }
 
   /** What else goes wrong in that night. */
-  enum Trouble {
+  enum Fault {
     NONE,
     /** The key-value store is down for a minute in mid-step, and for one at a rollback. */
-    STATE_DOWN,
+    STORE_OUTAGE,
     /** The leader is killed every 45 s: the next one knows the record and nothing else. */
-    LEADERS,
+    FAILOVERS,
     /** Half of all probes are lost. */
-    HALF_OF_PROBES,
+    PROBE_LOSS,
     /** A zone is cut off for a while: its replicas serve, and the leader can't see them. */
-    ZONE_CUT,
+    ZONE_PARTITION,
     /** Other work fills the team's limit: no replica beyond the service's own number starts. */
-    NO_ROOM
+    NO_SURGE_CAPACITY
   }
 
   static final int REPLICAS = 20;
@@ -71,7 +71,7 @@
     int diesAt;
 
     /** What ends it is no fault of its build. */
-    boolean sound;
+    boolean healthyBuild;
 
     Replica(boolean fresh, int zone) {
       this.fresh = fresh;
@@ -82,28 +82,28 @@
   private final SplittableRandom random;
   private final Build build;
   private final List<Replica> replicas = new ArrayList<>();
-  private final List<Integer> lost = new ArrayList<>();
+  private final List<Integer> lossTimes = new ArrayList<>();
   private Rollout rollout = Rollout.begin(REPLICAS, 0);
   private int now;
 
   /** Seconds in which a replica was broken or missing, summed over replicas. */
-  long spoiledSeconds;
+  long unhealthyReplicaSeconds;
 
   /** Seconds in which fewer were ready than the plan's floor, machines lost just before aside. */
-  int underFloorSeconds;
+  int secondsBelowFloor;
 
-  private final Trouble trouble;
-  private ReplicaObservations sightings = new ReplicaObservations();
-  private int wentBackAt;
+  private final Fault fault;
+  private ReplicaObservations observations = new ReplicaObservations();
+  private int rollbackStartedAt;
 
   RolloutSimulation(long seed, Build build) {
-    this(seed, build, Trouble.NONE);
+    this(seed, build, Fault.NONE);
   }
 
-  RolloutSimulation(long seed, Build build, Trouble trouble) {
+  RolloutSimulation(long seed, Build build, Fault trouble) {
     random = new SplittableRandom(seed);
     this.build = build;
-    this.trouble = trouble;
+    this.fault = trouble;
     for (int i = 0; i < REPLICAS; i++) {
       Replica replica = new Replica(false, i % ZONES);
       replica.diesAt = Integer.MAX_VALUE;
@@ -136,31 +136,31 @@
     return rollout;
   }
 
-  void run(Way way) throws GateException {
+  void run(Strategy way) throws GateException {
     RolloutPlan plan = plan();
     RolloutStateMachine machine = new RolloutStateMachine(plan);
     GateEvaluator gate = new GateEvaluator(plan.gate(), TimeSpan.seconds(60));
     GateEvaluator stop = new GateEvaluator(plan.stop(), TimeSpan.seconds(3600));
     int stepOf = 0;
     for (now = 1; now <= SECONDS; now++) {
-      live();
-      hold(true, rollout.wantedNew());
-      hold(false, rollout.wantedOld());
-      spoil();
+      stepReplicas();
+      adjustReplicas(true, rollout.desiredNew());
+      adjustReplicas(false, rollout.desiredOld());
+      measureAvailability();
       if (now % PROBE_EVERY_S != 0) {
         continue;
       }
       observe();
-      if (way != Way.GATED) {
-        ungated(way);
-      } else if (!rollout.phase().over()) {
-        if (trouble == Trouble.LEADERS && now % 45 == 0) {
+      if (way != Strategy.GATED) {
+        runUngated(way);
+      } else if (!rollout.phase().isFinal()) {
+        if (fault == Fault.FAILOVERS && now % 45 == 0) {
           gate = new GateEvaluator(plan.gate(), TimeSpan.seconds(60));
           stop = new GateEvaluator(plan.stop(), TimeSpan.seconds(3600));
-          sightings = new ReplicaObservations();
+          observations = new ReplicaObservations();
         }
         Rollout next = machine.next(rollout, seen(gate, stop));
-        if (stateDown(next)) {
+        if (storeUnavailable(next)) {
           // What can't be recorded is not acted upon.
           continue;
         }
@@ -174,38 +174,40 @@
     }
   }
 
-  private boolean stateDown(Rollout next) {
-    if (trouble != Trouble.STATE_DOWN) {
+  private boolean storeUnavailable(Rollout next) {
+    if (fault != Fault.STORE_OUTAGE) {
       return false;
     }
-    if (next.phase() == Rollout.Phase.BACK && wentBackAt == 0) {
-      wentBackAt = now;
+    if (next.phase() == Rollout.Phase.BACK && rollbackStartedAt == 0) {
+      rollbackStartedAt = now;
     }
-    return (now >= 100 && now < 160) || (wentBackAt > 0 && now < wentBackAt + 60);
+    return (now >= 100 && now < 160) || (rollbackStartedAt > 0 && now < rollbackStartedAt + 60);
   }
 
-  private boolean cut(Replica replica) {
-    return trouble == Trouble.ZONE_CUT && replica.zone == 1 && now >= 150 && now < 240;
+  private boolean partitioned(Replica replica) {
+    return fault == Fault.ZONE_PARTITION && replica.zone == 1 && now >= 150 && now < 240;
   }
 
-  private int unseen(boolean fresh) {
-    return (int) replicas.stream().filter(r -> r.fresh == fresh && cut(r)).count();
+  private int unreachable(boolean fresh) {
+    return (int) replicas.stream().filter(r -> r.fresh == fresh && partitioned(r)).count();
   }
 
   private int seenReady(boolean fresh, int then) {
     return (int)
-        replicas.stream().filter(r -> r.fresh == fresh && r.readyAt <= then && !cut(r)).count();
+        replicas.stream()
+            .filter(r -> r.fresh == fresh && r.readyAt <= then && !partitioned(r))
+            .count();
   }
 
   private ReplicaStatus seen(GateEvaluator gate, GateEvaluator stop) {
     MonotonicTime at = time();
     return new ReplicaStatus(
         seenReady(false, now - SETTLE_S),
-        unseen(false),
+        unreachable(false),
         seenReady(true, now - SETTLE_S),
-        unseen(true),
-        gate.look(sightings, at),
-        stop.look(sightings, at),
+        unreachable(true),
+        gate.evaluate(observations, at),
+        stop.evaluate(observations, at),
         null,
         now * 1000L);
   }
@@ -215,13 +217,13 @@
   }
 
   /** Steps by the clock alone, or everything as fast as replicas start. */
-  private void ungated(Way way) {
+  private void runUngated(Strategy way) {
     int target = REPLICAS;
-    if (way == Way.FIXED_DELAY) {
+    if (way == Strategy.FIXED_DELAY) {
       int[] steps = {1, REPLICAS / 5, REPLICAS / 2, REPLICAS};
       target = steps[Math.min(steps.length - 1, now / FIXED_DELAY_S)];
     }
-    rollout = rollout.wanting(REPLICAS - target, target);
+    rollout = rollout.withDesired(REPLICAS - target, target);
     if (target == REPLICAS && ready(true) == REPLICAS) {
       rollout = rollout.phase(Rollout.Phase.DONE, 0, now * 1000L);
     }
@@ -236,32 +238,32 @@
   }
 
   /** Replicas die, and machines are drained now and then; what is wanted is started again. */
-  private void live() {
+  private void stepReplicas() {
     for (Replica replica : List.copyOf(replicas)) {
       if (replica.diesAt <= now) {
         replicas.remove(replica);
-        if (replica.sound) {
-          lost.add(now);
+        if (replica.healthyBuild) {
+          lossTimes.add(now);
         }
         if (replica.fresh) {
-          sightings.exited("error", true, time());
+          observations.recordExit("error", true, time());
         }
       }
     }
     if (random.nextInt(1200) == 0 && !replicas.isEmpty()) {
       // A drained machine is nobody's failure.
       replicas.remove(random.nextInt(replicas.size()));
-      lost.add(now);
+      lossTimes.add(now);
     }
   }
 
-  private void hold(boolean fresh, int wanted) {
+  private void adjustReplicas(boolean fresh, int wanted) {
     List<Replica> mine = new ArrayList<>(replicas.stream().filter(r -> r.fresh == fresh).toList());
     for (int n = mine.size(); n < wanted; n++) {
-      if (trouble == Trouble.NO_ROOM && replicas.size() >= REPLICAS) {
+      if (fault == Fault.NO_SURGE_CAPACITY && replicas.size() >= REPLICAS) {
         break;
       }
-      Replica replica = new Replica(fresh, emptiest(fresh));
+      Replica replica = new Replica(fresh, leastLoadedZone(fresh));
       replica.readyAt = now + BOOT_S;
       replica.diesAt = now + BOOT_S + lifetime(replica);
       replicas.add(replica);
@@ -274,7 +276,7 @@
   }
 
   /** Replicas are spread: the next goes to the zone that has the fewest. */
-  private int emptiest(boolean fresh) {
+  private int leastLoadedZone(boolean fresh) {
     int[] count = new int[ZONES];
     replicas.stream().filter(r -> r.fresh == fresh).forEach(r -> count[r.zone]++);
     int zone = 0;
@@ -285,21 +287,21 @@
   }
 
   private int recentlyLost() {
-    lost.removeIf(at -> now - at > BOOT_S + PROBE_EVERY_S + 1);
-    return lost.size();
+    lossTimes.removeIf(at -> now - at > BOOT_S + PROBE_EVERY_S + 1);
+    return lossTimes.size();
   }
 
   private int lifetime(Replica replica) {
     int sound = 5_000 + random.nextInt(50_000);
     int life = replica.fresh ? lifetime(replica, sound) : sound;
-    replica.sound = life == sound;
+    replica.healthyBuild = life == sound;
     return life;
   }
 
   private int lifetime(Replica replica, int sound) {
     return switch (build) {
       case CRASHES -> 3 + random.nextInt(10);
-      case LATE -> 25 + random.nextInt(10);
+      case CRASHES_LATE -> 25 + random.nextInt(10);
       case ONE_ZONE -> replica.zone == 0 ? 10 + random.nextInt(10) : sound;
       default -> sound;
     };
@@ -310,38 +312,41 @@
       return false;
     }
     return switch (build) {
-      case SOUND, CRASHES, LATE, ONE_ZONE -> false;
+      case HEALTHY, CRASHES, CRASHES_LATE, ONE_ZONE -> false;
       case SLOW -> true;
-      case CROWD -> rollout.wantedNew() > REPLICAS / 2;
-      case FLAPS -> now / 20 % 2 == 0;
+      case FAILS_AT_SCALE -> rollout.desiredNew() > REPLICAS / 2;
+      case FLAPPING -> now / 20 % 2 == 0;
     };
   }
 
-  private void spoil() {
+  private void measureAvailability() {
     int well = 0;
     for (Replica replica : replicas) {
       if (replica.readyAt <= now && !broken(replica)) {
         well++;
       }
     }
-    spoiledSeconds += Math.max(0, REPLICAS - well);
-    underFloorSeconds += ready(true) + ready(false) < FLOOR - recentlyLost() ? 1 : 0;
+    unhealthyReplicaSeconds += Math.max(0, REPLICAS - well);
+    secondsBelowFloor += ready(true) + ready(false) < FLOOR - recentlyLost() ? 1 : 0;
   }
 
   private void observe() {
-    sightings.ready(seenReady(true, now), rollout.wantedNew(), time());
+    observations.ready(seenReady(true, now), rollout.desiredNew(), time());
     for (Replica replica : replicas) {
-      double lost = trouble == Trouble.HALF_OF_PROBES ? 0.5 : LOST_PROBES;
-      if (replica.fresh && replica.readyAt <= now && !cut(replica) && random.nextDouble() >= lost) {
+      double lost = fault == Fault.PROBE_LOSS ? 0.5 : LOST_PROBES;
+      if (replica.fresh
+          && replica.readyAt <= now
+          && !partitioned(replica)
+          && random.nextDouble() >= lost) {
         long ms = 20L + random.nextInt(60);
-        sightings.probed("/", broken(replica) ? ms * 10 + 300 : ms, time());
+        observations.recordProbe("/", broken(replica) ? ms * 10 + 300 : ms, time());
       }
     }
-    sightings.forget(time());
+    observations.dropExpired(time());
   }
 
   /** Whether the new version ended up serving. */
-  boolean wentOut() {
+  boolean newVersionServes() {
     return rollout.phase() == Rollout.Phase.DONE;
   }
 }
