--- a/src/test/java/io/saltflow/rollouts/RolloutSimulationTest.java
+++ b/src/test/java/io/saltflow/rollouts/RolloutSimulationTest.java
@@ -15,9 +15,10 @@
  */
 class RolloutSimulationTest {
   /** What came of many nights; replica-minutes, and seconds under the floor, are a night's. */
-  private record Sum(int nights, double spoiledMinutes, int wentOut, double underFloorS) {}
+  private record Summary(int nights, double spoiledMinutes, int wentOut, double underFloorS) {}
 
-  private static Sum nights(RolloutSimulation.Build build, RolloutSimulation.Way way, int count)
+  private static Summary simulate(
+      RolloutSimulation.Build build, RolloutSimulation.Strategy way, int count)
       throws GateException {
     long spoiled = 0;
     int out = 0;
@@ -25,19 +26,19 @@
     for (int seed = 0; seed < count; seed++) {
       RolloutSimulation night = new RolloutSimulation(seed, build);
       night.run(way);
-      spoiled += night.spoiledSeconds;
-      out += night.wentOut() ? 1 : 0;
-      under += night.underFloorSeconds;
+      spoiled += night.unhealthyReplicaSeconds;
+      out += night.newVersionServes() ? 1 : 0;
+      under += night.secondsBelowFloor;
     }
-    return new Sum(count, spoiled / 60.0 / count, out, under / (double) count);
+    return new Summary(count, spoiled / 60.0 / count, out, under / (double) count);
   }
 
   @Test
   void brokenBuildsAreTakenBackAndSoundOnesGoOut() throws GateException {
     for (RolloutSimulation.Build build : RolloutSimulation.Build.values()) {
-      Sum gated = nights(build, RolloutSimulation.Way.GATED, 40);
-      Sum atOnce = nights(build, RolloutSimulation.Way.ALL_AT_ONCE, 40);
-      if (build == RolloutSimulation.Build.SOUND) {
+      Summary gated = simulate(build, RolloutSimulation.Strategy.GATED, 40);
+      Summary atOnce = simulate(build, RolloutSimulation.Strategy.ALL_AT_ONCE, 40);
+      if (build == RolloutSimulation.Build.HEALTHY) {
         assertTrue(gated.wentOut >= 38, "false roll-backs: " + gated);
       } else {
         assertEquals(0, gated.wentOut, build + ": the old version serves at the end");
@@ -49,18 +50,18 @@
   /** Whatever else goes wrong: no broken build serves at the end, and none goes under the floor. */
   @Test
   void troublesDoNotLetABrokenBuildThrough() throws GateException {
-    for (RolloutSimulation.Trouble trouble : RolloutSimulation.Trouble.values()) {
+    for (RolloutSimulation.Fault trouble : RolloutSimulation.Fault.values()) {
       int sound = 0;
       for (RolloutSimulation.Build build : RolloutSimulation.Build.values()) {
         for (int seed = 0; seed < 8; seed++) {
           RolloutSimulation night = new RolloutSimulation(seed, build, trouble);
-          night.run(RolloutSimulation.Way.GATED);
+          night.run(RolloutSimulation.Strategy.GATED);
           String which = trouble + ", " + build + ", seed " + seed + ": " + night.rollout();
-          assertEquals(0, night.underFloorSeconds, which);
-          if (build == RolloutSimulation.Build.SOUND) {
-            sound += night.wentOut() ? 1 : 0;
+          assertEquals(0, night.secondsBelowFloor, which);
+          if (build == RolloutSimulation.Build.HEALTHY) {
+            sound += night.newVersionServes() ? 1 : 0;
           } else {
-            assertFalse(night.wentOut(), which);
+            assertFalse(night.newVersionServes(), which);
           }
         }
       }
@@ -68,13 +69,14 @@
       // ten replicas one after the other take longer than the step's limit where there is no room
       // for the surge: taken back, which is no harm. Everywhere else sound builds go out.
       boolean slow =
-          trouble == RolloutSimulation.Trouble.LEADERS
-              || trouble == RolloutSimulation.Trouble.NO_ROOM;
+          trouble == RolloutSimulation.Fault.FAILOVERS
+              || trouble == RolloutSimulation.Fault.NO_SURGE_CAPACITY;
       assertTrue(slow || sound >= 7, trouble + ": " + sound + " of 8 sound builds");
     }
     RolloutSimulation noRoom =
-        new RolloutSimulation(0, RolloutSimulation.Build.SOUND, RolloutSimulation.Trouble.NO_ROOM);
-    noRoom.run(RolloutSimulation.Way.GATED);
+        new RolloutSimulation(
+            0, RolloutSimulation.Build.HEALTHY, RolloutSimulation.Fault.NO_SURGE_CAPACITY);
+    noRoom.run(RolloutSimulation.Strategy.GATED);
     assertTrue(
         noRoom
             .rollout()
@@ -88,7 +90,7 @@
   @Test
   void whyItStoppedIsSaidPlainly() throws GateException {
     RolloutSimulation slow = new RolloutSimulation(1, RolloutSimulation.Build.SLOW);
-    slow.run(RolloutSimulation.Way.GATED);
+    slow.run(RolloutSimulation.Strategy.GATED);
     assertEquals(Rollout.Phase.ROLLED_BACK, slow.rollout().phase());
     assertTrue(
         slow.rollout()
@@ -98,7 +100,7 @@
                     + " for .*, it is .*s\\."),
         slow.rollout().reason());
     RolloutSimulation crashes = new RolloutSimulation(1, RolloutSimulation.Build.CRASHES);
-    crashes.run(RolloutSimulation.Way.GATED);
+    crashes.run(RolloutSimulation.Strategy.GATED);
     assertTrue(
         crashes
             .rollout()
@@ -111,9 +113,10 @@
   public static void main(String[] args) throws GateException {
     int count = args.length > 0 ? Integer.parseInt(args[0]) : 500;
     for (RolloutSimulation.Build build : RolloutSimulation.Build.values()) {
-      Map<RolloutSimulation.Way, Sum> sums = new EnumMap<>(RolloutSimulation.Way.class);
-      for (RolloutSimulation.Way way : RolloutSimulation.Way.values()) {
-        sums.put(way, nights(build, way, count));
+      Map<RolloutSimulation.Strategy, Summary> sums =
+          new EnumMap<>(RolloutSimulation.Strategy.class);
+      for (RolloutSimulation.Strategy way : RolloutSimulation.Strategy.values()) {
+        sums.put(way, simulate(build, way, count));
       }
       System.out.println(build + " " + sums);
     }
--- a/src/test/java/io/saltflow/rollouts/RolloutStateMachineTest.java
+++ b/src/test/java/io/saltflow/rollouts/RolloutStateMachineTest.java
@@ -27,7 +27,7 @@
   private Rollout rollout = Rollout.begin(4, 0);
   private long wallMs;
   private boolean timed;
-  private String oldGone;
+  private String oldVersionFailure;
 
   private static RolloutPlan plan() {
     return SamplePlans.of(
@@ -40,17 +40,18 @@
 
   private boolean step(int readyOld, int readyNew, GateEvaluator.Verdict gate) {
     wallMs += 1000;
-    ReplicaStatus seen = new ReplicaStatus(readyOld, 0, readyNew, 0, gate, null, oldGone, wallMs);
+    ReplicaStatus seen =
+        new ReplicaStatus(readyOld, 0, readyNew, 0, gate, null, oldVersionFailure, wallMs);
     Rollout next = machine.next(rollout, seen);
     boolean moved = !next.equals(rollout);
     rollout = next;
     if (moved) {
-      say(readyOld + " and " + readyNew + " ready");
+      recordLine(readyOld + " and " + readyNew + " ready");
     }
     return moved;
   }
 
-  private void say(String what) {
+  private void recordLine(String what) {
     lines.add(
         (timed ? String.format("%6d s  ", wallMs / 1000) : "")
             + String.format(
@@ -58,66 +59,66 @@
                 what,
                 rollout.step() + 1,
                 rollout.phase(),
-                rollout.wantedOld(),
-                rollout.wantedNew(),
+                rollout.desiredOld(),
+                rollout.desiredNew(),
                 (rollout.openZones() == null ? "" : " in " + rollout.openZones())
                     + (rollout.reason().isEmpty() ? "" : "; " + rollout.reason())));
   }
 
   /** All that is wanted is ready, at once. */
-  private void healthy(GateEvaluator.Verdict gate, int most) {
-    for (int i = 0; i < most && step(rollout.wantedOld(), rollout.wantedNew(), gate); i++) {
+  private void stepWhileHealthy(GateEvaluator.Verdict gate, int most) {
+    for (int i = 0; i < most && step(rollout.desiredOld(), rollout.desiredNew(), gate); i++) {
       assertTrue(i < 99);
     }
   }
 
-  private void tell(RolloutCommand command) {
-    rollout = machine.told(rollout, command, wallMs);
-    say(command.toString());
+  private void applyCommand(RolloutCommand command) {
+    rollout = machine.applyCommand(rollout, command, wallMs);
+    recordLine(command.toString());
   }
 
   @Test
   void aRollOutAndItsWayBackAreKept() throws IOException {
     lines.add("# a sound version, approved after its first replica, scaled on the way");
-    healthy(PASS, 99);
-    tell(RolloutCommand.APPROVE);
-    healthy(PASS, 2);
-    tell(RolloutCommand.PAUSE);
-    healthy(PASS, 99);
-    tell(RolloutCommand.RESUME);
-    rollout = machine.scaled(rollout, 6);
-    say("scaled to 6");
-    healthy(PASS, 99);
+    stepWhileHealthy(PASS, 99);
+    applyCommand(RolloutCommand.APPROVE);
+    stepWhileHealthy(PASS, 2);
+    applyCommand(RolloutCommand.PAUSE);
+    stepWhileHealthy(PASS, 99);
+    applyCommand(RolloutCommand.RESUME);
+    rollout = machine.scale(rollout, 6);
+    recordLine("scaled to 6");
+    stepWhileHealthy(PASS, 99);
     lines.add("# one whose gate does not pass with half of the replicas");
     rollout = Rollout.begin(4, wallMs);
-    healthy(PASS, 99);
-    tell(RolloutCommand.APPROVE);
-    healthy(FAIL, 99);
+    stepWhileHealthy(PASS, 99);
+    applyCommand(RolloutCommand.APPROVE);
+    stepWhileHealthy(FAIL, 99);
     wallMs += 60_000;
-    healthy(FAIL, 99);
-    tell(RolloutCommand.APPROVE);
+    stepWhileHealthy(FAIL, 99);
+    applyCommand(RolloutCommand.APPROVE);
     lines.add("# an abort that races the last step, and the old image gone at the roll-back");
     rollout = new Rollout(4, 2, Phase.MOVING, null, 1, 4, wallMs, 0, List.of(), "");
-    tell(RolloutCommand.ABORT);
+    applyCommand(RolloutCommand.ABORT);
     step(1, 4, PASS);
-    oldGone = "its image is gone";
+    oldVersionFailure = "its image is gone";
     step(1, 3, PASS);
     lines.add("# a step that is never complete: there is no room for the surge");
-    oldGone = null;
+    oldVersionFailure = null;
     rollout = Rollout.begin(4, wallMs);
     step(4, 0, FAIL);
     wallMs += 60_000;
     step(4, 0, FAIL);
-    healthy(FAIL, 99);
+    stepWhileHealthy(FAIL, 99);
     lines.add("# six starts a minute, two at a time; the clock is set back an hour on the way");
-    rate();
+    runWithStartRate();
     lines.add(
         "# zone by zone: five replicas in two zones, the second begins when the first is well");
-    zones();
+    runZoneByZone();
     GoldenTraces.check("roll-outs", lines);
   }
 
-  private RolloutPlan with(RolloutPlan.Pace pace, boolean zoneByZone) {
+  private RolloutPlan planWith(RolloutPlan.Pace pace, boolean zoneByZone) {
     RolloutPlan rolloutPlan = plan();
     return new RolloutPlan(
         List.of(new RolloutPlan.Step(100, true, false)),
@@ -127,30 +128,30 @@
         zoneByZone,
         rolloutPlan.settle(),
         TimeSpan.seconds(600),
-        rolloutPlan.backLimit(),
+        rolloutPlan.rollbackTimeout(),
         rolloutPlan.gate(),
         null,
         MaintenanceWindows.ALWAYS);
   }
 
-  private void rate() {
+  private void runWithStartRate() {
     timed = true;
-    machine = new RolloutStateMachine(with(new RolloutPlan.Pace(2, 6), false));
+    machine = new RolloutStateMachine(planWith(new RolloutPlan.Pace(2, 6), false));
     rollout = Rollout.begin(6, wallMs);
     for (int s = 0; s < 60; s++) {
       if (s == 20) {
         wallMs -= 3_600_000;
       }
-      step(rollout.wantedOld(), rollout.wantedNew(), PASS);
+      step(rollout.desiredOld(), rollout.desiredNew(), PASS);
     }
   }
 
-  private void zones() {
-    machine = new RolloutStateMachine(with(RolloutPlan.Pace.atOnce(5), true));
+  private void runZoneByZone() {
+    machine = new RolloutStateMachine(planWith(RolloutPlan.Pace.atOnce(5), true));
     rollout = Rollout.begin(5, List.of("a", "b"), wallMs);
     for (int s = 0; s < 20; s++) {
       // Nothing of what was started is ready before the sixth second.
-      step(rollout.wantedOld(), s < 6 ? 0 : rollout.wantedNew(), PASS);
+      step(rollout.desiredOld(), s < 6 ? 0 : rollout.desiredNew(), PASS);
     }
   }
 
@@ -165,8 +166,8 @@
             RolloutPlan.Pace.atOnce(0),
             false,
             rolloutPlan.settle(),
-            rolloutPlan.limit(),
-            rolloutPlan.backLimit(),
+            rolloutPlan.stepTimeout(),
+            rolloutPlan.rollbackTimeout(),
             rolloutPlan.gate(),
             null,
             MaintenanceWindows.ALWAYS);
--- a/src/test/java/io/saltflow/services/ServiceRecordForms.java
+++ b/src/test/java/io/saltflow/services/ServiceRecordForms.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A service's record, with and without a rollout, and as earlier builds wrote it. */
+/** Service records with and without a rollout, and in the form written by earlier builds. */
 public final class ServiceRecordForms {
   private static final long WALL_MS = 1_796_189_000_000L;
   private static final int REPLICAS = 4;
@@ -24,7 +24,7 @@
 
   private ServiceRecordForms() {}
 
-  /** The forms of the record. */
+  /** Returns the stored forms of a service record. */
   public static List<StoredForm> all() throws InvalidMessageException {
     MessageBody earlier =
         MessagePackCodec.decode(MessagePackCodec.encode(ServiceCodec.encode(service(rollout()))));
@@ -47,7 +47,7 @@
         StoredForm.earlier("service record, earlier", MessagePackCodec.encode(earlier), CODEC));
   }
 
-  private static Service service(Service.Current current) {
+  private static Service service(Service.RolloutRecord current) {
     Map<String, String> parameters = new TreeMap<>(Map.of("cache", "2g", "shard", "7"));
     return new Service(
         "page-cache",
@@ -63,7 +63,7 @@
         List.of("Version 2 (img-2) was taken back, version 1 serves: aborted"));
   }
 
-  private static Service.Current rollout() throws InvalidMessageException {
+  private static Service.RolloutRecord rollout() throws InvalidMessageException {
     Rollout rollout =
         new Rollout(
             REPLICAS,
@@ -76,7 +76,7 @@
             WALL_MS + 61_000,
             List.of("a", "b"),
             "paused by an operator");
-    return new Service.Current(
+    return new Service.RolloutRecord(
         1, 2, WALL_MS + 10, PLAN, RolloutPlanReader.read(PLAN, REPLICAS), rollout);
   }
 }
--- a/src/test/java/io/saltflow/tracing/RolloutTracerTest.java
+++ b/src/test/java/io/saltflow/tracing/RolloutTracerTest.java
@@ -34,8 +34,8 @@
 
 /** A rollout as a trace, through a change of leaders, and to where it is exported. */
 class RolloutTracerTest {
-  private static final RolloutEvent.Which WHICH =
-      new RolloutEvent.Which("thumbs", "v1", "v2", 1_000_000);
+  private static final RolloutEvent.RolloutId ROLLOUT_ID =
+      new RolloutEvent.RolloutId("thumbs", "v1", "v2", 1_000_000);
 
   private static final class Root extends Routine {
     Root() {
@@ -43,7 +43,7 @@
     }
   }
 
-  private static final class Kept implements SpanExporter {
+  private static final class RecordingExporter implements SpanExporter {
     final List<SpanData> spans = new ArrayList<>();
 
     @Override
@@ -63,29 +63,30 @@
     }
   }
 
-  private static Rollout in(Rollout.Phase phase, String reason) {
+  private static Rollout rolloutIn(Rollout.Phase phase, String reason) {
     return new Rollout(2, 0, phase, null, 2, 1, 1_000_000, 0, List.of(), reason);
   }
 
-  private static void tell(RolloutTracer rolloutTracer, Rollout rollout, long wallMs) {
-    rolloutTracer.accept(new RolloutEvent.Stands(WHICH, rollout, wallMs));
+  private static void recordState(RolloutTracer rolloutTracer, Rollout rollout, long wallMs) {
+    rolloutTracer.accept(new RolloutEvent.StateRecorded(ROLLOUT_ID, rollout, wallMs));
   }
 
   @Test
   void twoLeadersWriteOneTrace() {
-    Kept kept = new Kept();
+    RecordingExporter kept = new RecordingExporter();
     RolloutTracer first = new RolloutTracer(SimpleSpanProcessor.create(kept), "a");
-    tell(first, in(Rollout.Phase.MOVING, ""), 1_000_100);
-    first.accept(new RolloutEvent.Started(WHICH, 700, 1_000_900));
-    tell(first, in(Rollout.Phase.CHECKING, ""), 1_001_000);
-    first.accept(new RolloutEvent.Probed(WHICH, "10.0.0.1:9000/", -1, 1_001_500));
-    first.accept(new RolloutEvent.Left(WHICH, 1_002_000));
+    recordState(first, rolloutIn(Rollout.Phase.MOVING, ""), 1_000_100);
+    first.accept(new RolloutEvent.ReplicaStarted(ROLLOUT_ID, 700, 1_000_900));
+    recordState(first, rolloutIn(Rollout.Phase.CHECKING, ""), 1_001_000);
+    first.accept(new RolloutEvent.ReplicaProbed(ROLLOUT_ID, "10.0.0.1:9000/", -1, 1_001_500));
+    first.accept(new RolloutEvent.LeadershipLost(ROLLOUT_ID, 1_002_000));
     RolloutTracer second = new RolloutTracer(SimpleSpanProcessor.create(kept), "b");
-    tell(second, in(Rollout.Phase.CHECKING, ""), 1_003_000);
+    recordState(second, rolloutIn(Rollout.Phase.CHECKING, ""), 1_003_000);
     second.accept(
-        new RolloutEvent.Judged(WHICH, TernaryTruth.FALSE, List.of("ready: 50%"), 1_004_000));
-    tell(second, in(Rollout.Phase.BACK, "too slow"), 1_005_000);
-    tell(second, in(Rollout.Phase.ROLLED_BACK, "too slow"), 1_006_000);
+        new RolloutEvent.VerdictChanged(
+            ROLLOUT_ID, TernaryTruth.FALSE, List.of("ready: 50%"), 1_004_000));
+    recordState(second, rolloutIn(Rollout.Phase.BACK, "too slow"), 1_005_000);
+    recordState(second, rolloutIn(Rollout.Phase.ROLLED_BACK, "too slow"), 1_006_000);
     Set<String> traces = kept.spans.stream().map(SpanData::getTraceId).collect(Collectors.toSet());
     assertEquals(1, traces.size());
     SpanData root = kept.spans.get(kept.spans.size() - 1);
@@ -115,13 +116,13 @@
   @Test
   void aFileHoldsOtlpsJsonLineByLine(@TempDir Path folder) throws Exception {
     RolloutTracer rolloutTracer = RolloutTracer.to(folder.resolve("traces").toString(), "a");
-    tell(rolloutTracer, in(Rollout.Phase.MOVING, ""), 1_000_100);
-    tell(rolloutTracer, in(Rollout.Phase.DONE, ""), 1_009_000);
+    recordState(rolloutTracer, rolloutIn(Rollout.Phase.MOVING, ""), 1_000_100);
+    recordState(rolloutTracer, rolloutIn(Rollout.Phase.DONE, ""), 1_009_000);
     rolloutTracer.close();
     String line = Files.readAllLines(folder.resolve("traces0")).get(0);
     JsonNode node = new ObjectMapper().readTree(line);
     assertTrue(node.toString().contains("roll-out of thumbs"), line);
-    assertTrue(node.toString().contains("\"traceId\":\"" + SpanIds.trace(WHICH)), line);
+    assertTrue(node.toString().contains("\"traceId\":\"" + SpanIds.traceId(ROLLOUT_ID)), line);
   }
 
   @Test
@@ -147,8 +148,8 @@
     LoopThread thread = LoopThread.start(loop, root);
     RolloutTracer rolloutTracer =
         RolloutTracer.to("http://127.0.0.1:" + collector.port() + "/v1/traces", "a");
-    tell(rolloutTracer, in(Rollout.Phase.MOVING, ""), 1_000_100);
-    tell(rolloutTracer, in(Rollout.Phase.DONE, ""), 1_009_000);
+    recordState(rolloutTracer, rolloutIn(Rollout.Phase.MOVING, ""), 1_000_100);
+    recordState(rolloutTracer, rolloutIn(Rollout.Phase.DONE, ""), 1_009_000);
     rolloutTracer.close();
     assertEquals("POST /v1/traces true", posted.poll(30, TimeUnit.SECONDS));
     thread.stop();
