--- a/src/main/java/io/saltflow/rollouts/MaintenanceWindows.java
+++ b/src/main/java/io/saltflow/rollouts/MaintenanceWindows.java
@@ -10,16 +10,16 @@
 import java.util.Set;
 
 /**
- * When a step may begin: times of day in a zone, on days of a calendar with exceptions. What counts
- * is the clock on the wall there, so a window within a skipped hour does not open on that day, and
- * one within a repeated hour opens twice.
+ * The times at which a step may begin: times of day in a time zone, on days of a calendar with
+ * exceptions. Local time applies, so a window within an hour skipped by daylight saving does not
+ * open on that day, and one within a repeated hour opens twice.
  *
- * @param zone of all times and days; its rules are those of the Java platform's copy of the tz
+ * @param zone the time zone of all times and days, with the rules of the Java platform's tz
  *     database
- * @param timeRanges when, on each day that is open; none: always
+ * @param timeRanges the open times of each open day; if empty, a step may begin at any time
  * @param days the days of the week that are open
- * @param closed days that are closed although their day of the week is open
- * @param opened days that are open although their day of the week is not
+ * @param closed dates that are closed although their day of the week is open
+ * @param opened dates that are open although their day of the week is not
  */
 public record MaintenanceWindows(
     ZoneId zone,
@@ -29,8 +29,8 @@
     Set<LocalDate> opened) {
 
   /**
-   * From a time of day until another, which is not part of it. One that ends before it begins goes
-   * on into the next day, and belongs to the day on which it began.
+   * A range of times of day, excluding its end. A range whose end is not after its start continues
+   * into the next day and belongs to the day on which it starts.
    */
   public record TimeRange(LocalTime from, LocalTime until) {
     boolean isOvernight() {
@@ -38,19 +38,19 @@
     }
   }
 
-  /** Always open. */
+  /** Windows that are always open. */
   public static final MaintenanceWindows ALWAYS =
       new MaintenanceWindows(
           ZoneId.of("UTC"), List.of(), Set.of(DayOfWeek.values()), Set.of(), Set.of());
 
-  /** Whether a step may begin at that time of day. */
+  /** Returns whether a step may begin at this wall-clock time. */
   public boolean isOpen(long wallMs) {
     if (timeRanges.isEmpty()) {
       return true;
     }
-    ZonedDateTime there = Instant.ofEpochMilli(wallMs).atZone(zone);
-    LocalDate today = there.toLocalDate();
-    LocalTime time = there.toLocalTime();
+    ZonedDateTime local = Instant.ofEpochMilli(wallMs).atZone(zone);
+    LocalDate today = local.toLocalDate();
+    LocalTime time = local.toLocalTime();
     for (TimeRange span : timeRanges) {
       if (span.isOvernight()) {
         if ((isOpen(today) && !time.isBefore(span.from))
--- a/src/main/java/io/saltflow/rollouts/ReplicaStatus.java
+++ b/src/main/java/io/saltflow/rollouts/ReplicaStatus.java
@@ -5,13 +5,13 @@
 /**
  * A leader's observations of both versions' replicas.
  *
- * @param readyOld replicas of the old version that have been ready for as long as the plan wants
- * @param unreachableOld those of which nothing is known now, behind a cut perhaps: they count
- *     neither as ready nor as free to go, since they may be serving
+ * @param readyOld replicas of the old version that have been ready for the plan's settle time
+ * @param unreachableOld replicas of the old version that are unreachable now. They count neither as
+ *     ready nor as removable, since they may be serving behind a network partition.
  * @param gate the verdict of the step's gate
- * @param stop the value of the stop condition; null: there is none
- * @param oldVersionFailure why the old version can't be started any more, such as an image that is
- *     gone; null: it can
+ * @param stop the verdict of the stop condition; {@code null} if the plan has none
+ * @param oldVersionFailure why the old version cannot be started any more, for example a deleted
+ *     image; {@code null} if it can
  */
 public record ReplicaStatus(
     int readyOld,
--- a/src/main/java/io/saltflow/rollouts/Rollout.java
+++ b/src/main/java/io/saltflow/rollouts/Rollout.java
@@ -3,21 +3,21 @@
 import java.util.List;
 
 /**
- * The durable record of a rollout. It takes effect only once it is recorded, so that a new leader
- * continues from it.
+ * The durable state of a rollout. A state takes effect only after it is recorded, so that a new
+ * leader continues from it.
  *
- * @param replicas how many the service should have
- * @param step the step under way, from 0
- * @param phase what is done now
- * @param resumePhase the phase that a pause interrupted; null: it is not paused
- * @param desiredOld how many replicas of the old version there should be
- * @param desiredNew how many of the new one
- * @param sinceWallMs since when the step, or the rollback, is under way, by time of day
- * @param startsUsedUntilWallMs up to when the starts that the plan's rate allows are used up, by
- *     time of day
- * @param zones the zones of the service in the order in which they are gone through; empty: the
- *     plan does not go zone by zone
- * @param reason why it stopped, in plain sentences; empty while it goes on
+ * @param replicas the desired number of replicas of the service
+ * @param step the current step, from 0
+ * @param phase the current phase
+ * @param resumePhase the phase that a pause interrupted; {@code null} if the rollout is not paused
+ * @param desiredOld the desired number of replicas of the old version
+ * @param desiredNew the desired number of replicas of the new version
+ * @param sinceWallMs wall-clock time at which the step or the rollback began
+ * @param startsUsedUntilWallMs wall-clock time up to which the starts allowed by the plan's rate
+ *     are used up
+ * @param zones the service's zones in rollout order; empty if the plan does not proceed zone by
+ *     zone
+ * @param reason why the rollout stopped, in sentences; empty while it proceeds
  */
 public record Rollout(
     int replicas,
@@ -31,52 +31,55 @@
     List<String> zones,
     String reason) {
 
-  /** What is done now. */
+  /** The phase of a rollout. */
   public enum Phase {
-    /** Replicas are replaced until the step's number is reached. */
+    /** Replicas are replaced until the step's target is reached. */
     MOVING,
-    /** The step's gate is looked at. */
+    /** The step's gate is evaluated. */
     CHECKING,
-    /** The step may not begin before a window opens. */
+    /** The step waits for a maintenance window. */
     WAITING,
-    /** Somebody must approve. */
+    /** The step waits for an operator's approval. */
     APPROVAL,
     PAUSED,
-    /** Back to the old version. */
+    /** The rollout is being rolled back to the old version. */
     BACK,
     /** The new version serves. */
     DONE,
     /** The old version serves again. */
     ROLLED_BACK,
-    /** Neither could be brought to serve in full; what serves is left as it is. */
+    /** The rollback failed as well; serving replicas of both versions are kept. */
     STUCK;
 
-    /** Whether the rollout has ended. */
+    /** Returns whether the rollout has ended. */
     public boolean isFinal() {
       return this == DONE || this == ROLLED_BACK || this == STUCK;
     }
   }
 
-  /** A rollout that has not moved anything yet. */
+  /** Returns a rollout that has not replaced any replica yet. */
   public static Rollout begin(int replicas, long wallMs) {
     return begin(replicas, List.of(), wallMs);
   }
 
-  /** One that goes through these zones in order. */
+  /** Returns a rollout that proceeds through these zones in order. */
   public static Rollout begin(int replicas, List<String> zones, long wallMs) {
     return new Rollout(replicas, 0, Phase.WAITING, null, replicas, 0, wallMs, 0, zones, "");
   }
 
   /**
-   * How many replicas are of the new version once the first so many zones are done: each zone has
-   * as many as any other, or one more.
+   * Returns the number of new replicas once the first {@code zoneCount} zones are complete.
+   * Replicas are spread evenly; the first zones take the remainder.
    */
   int replicasThroughZone(int zoneCount) {
     int each = replicas / zones.size();
     return zoneCount * each + Math.min(zoneCount, replicas % zones.size());
   }
 
-  /** Where replicas of the new version may be, as many as are wanted; null: anywhere. */
+  /**
+   * Returns the zones in which the desired replicas of the new version may run, or {@code null} for
+   * any zone.
+   */
   public List<String> openZones() {
     if (zones.isEmpty()) {
       return null;
--- a/src/main/java/io/saltflow/rollouts/RolloutCommand.java
+++ b/src/main/java/io/saltflow/rollouts/RolloutCommand.java
@@ -1,6 +1,6 @@
 package io.saltflow.rollouts;
 
-/** An operator's command to a rollout. */
+/** An operator's command for a rollout. */
 public enum RolloutCommand {
   PAUSE,
   RESUME,
--- a/src/main/java/io/saltflow/rollouts/RolloutPlan.java
+++ b/src/main/java/io/saltflow/rollouts/RolloutPlan.java
@@ -10,20 +10,21 @@
 import java.util.TreeSet;
 
 /**
- * How a service goes from one version to another.
+ * A plan that replaces one version of a service by another.
  *
- * @param steps how many replicas are of the new version after each step
- * @param surge how many replicas there may be beyond the service's own number
- * @param maxUnavailable how many may be missing by the rollout's own doing
- * @param pace how fast the version that grows may do so
- * @param zoneByZone whether a zone's replicas are all replaced, and ready, before the next zone's
- * @param settle a replica counts as ready once it has been so for this long: old ones are let go
- *     for it, and it must not die right afterwards
- * @param stepTimeout how long a step may take until its gate passes
+ * @param steps the number of replicas of the new version after each step
+ * @param surge how many replicas may exist beyond the service's number of replicas
+ * @param maxUnavailable how many replicas the rollout itself may make unavailable
+ * @param pace limits on starting replicas of the growing version
+ * @param zoneByZone whether all replicas of a zone are replaced and ready before the next zone
+ *     begins
+ * @param settle how long a replica must stay ready before it counts as available and an old one is
+ *     removed
+ * @param stepTimeout how long a step may take to pass its gate
  * @param rollbackTimeout how long a rollback may take
- * @param gate what must hold for a step to be good
- * @param windows when a step may begin
- * @param stop what ends the rollout at once; null: nothing but the limit does
+ * @param gate the condition that a step must meet
+ * @param windows the times at which a step may begin
+ * @param stop the condition that starts a rollback at once; {@code null} if there is none
  */
 public record RolloutPlan(
     List<Step> steps,
@@ -38,39 +39,42 @@
     Gate stop,
     MaintenanceWindows windows) {
 
-  /** In the place of a probe's path: connecting is all that is asked. */
+  /** Stands in for a probe's path: the probe only opens a TCP connection. */
   public static final String CONNECT = "tcp";
 
   /**
-   * How fast a version may grow.
+   * Limits on starting replicas.
    *
-   * @param atOnce replicas that are not ready yet at a time
-   * @param startsPerMinute replicas that are started anew in a minute on the way forth; 0: as many
-   *     as may be. A rollback is not slowed down by it.
+   * @param maxStarting the most replicas that may be starting at a time
+   * @param startsPerMinute the most replicas started per minute, or 0 for no limit. It does not
+   *     apply to rollbacks.
    */
-  public record Pace(int atOnce, int startsPerMinute) {
-    /** So many at a time, at any rate. */
-    public static Pace atOnce(int count) {
+  public record Pace(int maxStarting, int startsPerMinute) {
+    /** Returns a limit on concurrent starts without a limit on their rate. */
+    public static Pace withoutRateLimit(int count) {
       return new Pace(count, 0);
     }
   }
 
   /**
-   * A step.
+   * A step of the plan.
    *
-   * @param count replicas of the new version, or a percentage of all
-   * @param percent whether it is a percentage
-   * @param approval whether somebody must approve of it before the next begins
+   * @param count the number of replicas of the new version, or their percentage
+   * @param percent whether {@code count} is a percentage
+   * @param approval whether an operator must approve the step before the next one begins
    */
   public record Step(int count, boolean percent, boolean approval) {
-    /** How many of so many replicas; a percentage is rounded up, so that each step moves one. */
+    /**
+     * Returns the step's number of new replicas. Percentages are rounded up, so that no step rounds
+     * to zero.
+     */
     int targetOf(int replicas) {
       int n = percent ? (replicas * count + 99) / 100 : count;
       return Math.min(replicas, n);
     }
   }
 
-  /** Why the plan can never work, a sentence for each reason. */
+  /** Returns the reasons why the plan can never succeed, one text each. */
   public List<String> faults(int replicas) {
     List<String> out = new ArrayList<>();
     if (surge + maxUnavailable < 1) {
@@ -94,17 +98,17 @@
     if (never != null) {
       out.add("the gate can never pass: " + never);
     }
-    if (pace.atOnce < 1) {
+    if (pace.maxStarting < 1) {
       out.add("startsAtOnce is 0: nothing would ever start");
     }
     return out;
   }
 
-  /** What the gates ask probes for: paths, or {@link #CONNECT}. */
+  /** Returns the paths that the plan's conditions probe, or {@link #CONNECT}. */
   public Set<String> probePaths() {
     Set<String> out = new TreeSet<>();
-    for (Gate otherGate : stop == null ? List.of(gate) : List.of(gate, stop)) {
-      for (Quantity quantity : otherGate.quantities()) {
+    for (Gate condition : stop == null ? List.of(gate) : List.of(gate, stop)) {
+      for (Quantity quantity : condition.quantities()) {
         if (quantity.measure() == Measure.PROBE) {
           out.add(quantity.text());
         }
--- a/src/main/java/io/saltflow/rollouts/RolloutStateMachine.java
+++ b/src/main/java/io/saltflow/rollouts/RolloutStateMachine.java
@@ -4,12 +4,11 @@
 import io.saltflow.rollouts.Rollout.Phase;
 
 /**
- * The state machine of a rollout as a pure function: from the record and the observations to the
- * next record, one small step at a time. The caller records each step, guarded, before acting upon
- * it.
+ * The state machine of a rollout, a pure function from the current state and the observations to
+ * the next state. The caller records each state with a guarded write before it takes effect.
  *
- * <p>Two bounds hold whatever happens: never more than {@code replicas + surge} are wanted, and no
- * move of its own takes what is ready under {@code replicas - mostUnavailable}.
+ * <p>Two invariants hold: at most {@code replicas + surge} replicas are desired, and no move lowers
+ * the number of ready replicas below {@code replicas - maxUnavailable}.
  */
 public final class RolloutStateMachine {
   private final RolloutPlan plan;
@@ -19,7 +18,7 @@
     this.plan = plan;
   }
 
-  /** The next record; the same one if nothing is to be done yet. */
+  /** Returns the next state, or the same state if there is nothing to do yet. */
   public Rollout next(Rollout rollout, ReplicaStatus seen) {
     return switch (rollout.phase()) {
       case WAITING -> waiting(rollout, seen);
@@ -33,8 +32,8 @@
   }
 
   /**
-   * A step begins when a window is open, and goes on when it closes: a service is not left between
-   * two versions for the sake of the clock. A clock that is set back changes nothing.
+   * Begins the step when a window is open. A step continues after its window closes, so that the
+   * service is not left between two versions, and a clock that is set back does not interrupt it.
    */
   private Rollout waiting(Rollout rollout, ReplicaStatus seen) {
     if (stopConditionHolds(rollout, seen)) {
@@ -82,7 +81,7 @@
       return rollBackOnStopCondition(rollout, seen);
     }
     if (rollout.desiredNew() != plan.targetReplicas(rollout.step(), rollout.replicas())) {
-      // The service was scaled meanwhile: the step is not complete any more.
+      // The service was scaled meanwhile, so the step is no longer complete.
       return rollout.phase(Phase.MOVING, rollout.step(), rollout.sinceWallMs());
     }
     if (seen.gate().truth() == TernaryTruth.TRUE) {
@@ -175,8 +174,8 @@
   }
 
   /**
-   * What serves is kept, of either version, and the old one is wanted in as large a number as there
-   * is room for: nobody looks any more, so whatever can still come up must be wanted now.
+   * Ends a failed rollback. Serving replicas of both versions are kept, and as many old ones are
+   * desired as the surge allows, since this final state is not evaluated again.
    */
   private Rollout stuck(Rollout rollout, String why, ReplicaStatus seen) {
     int old =
@@ -187,9 +186,9 @@
   }
 
   /**
-   * One move: the version that grows by what there is room for, or the other shrinks by what may be
-   * missed. Replicas that are known not to be ready are missed by nobody, and go first. One that
-   * can't be seen may be serving behind a cut (the exploration of small worlds found it let go).
+   * Makes one move: grows one version within the surge, or shrinks the other within the allowed
+   * unavailability. Replicas known not to be ready are removed first. Unreachable replicas are not
+   * counted as idle, as they may be serving behind a network partition.
    */
   private Rollout move(
       Rollout rollout, ReplicaStatus seen, int growTo, int shrinkTo, boolean forth) {
@@ -200,7 +199,7 @@
     int unseenShrinking = forth ? seen.unreachableOld() : seen.unreachableNew();
     int roomFor = rollout.replicas() + plan.surge() - shrinks;
     int grown =
-        Math.min(Math.min(growTo, roomFor), readyGrowing + Math.max(1, plan.pace().atOnce()));
+        Math.min(Math.min(growTo, roomFor), readyGrowing + Math.max(1, plan.pace().maxStarting()));
     if (forth) {
       grown = Math.min(grown, zoneBound(rollout, readyGrowing));
       int starts = Math.min(grown - grows, availableStarts(rollout, seen));
@@ -212,7 +211,7 @@
     }
     int back = Math.min(shrinkTo, rollout.replicas() + plan.surge() - grows);
     if (back > shrinks) {
-      // The service was made larger: the version that goes has its part of that, too.
+      // The service was scaled up: the shrinking version gets its part of the new replicas, too.
       return forth ? rollout.withDesired(back, grows) : rollout.withDesired(grows, back);
     }
     int floor = rollout.replicas() - plan.maxUnavailable();
@@ -223,13 +222,13 @@
       return forth ? rollout.withDesired(fewer, grows) : rollout.withDesired(grows, fewer);
     }
     if (grows > growTo) {
-      // The service was made smaller.
+      // The service was scaled down.
       return forth ? rollout.withDesired(shrinks, growTo) : rollout.withDesired(growTo, shrinks);
     }
     return rollout;
   }
 
-  /** Up to the end of the zone that is gone through: the next begins once this one is ready. */
+  /** Returns the number of new replicas up to which the first zone that is not ready may grow. */
   private static int zoneBound(Rollout rollout, int ready) {
     for (int zones = 1; zones <= rollout.zones().size(); zones++) {
       if (rollout.replicasThroughZone(zones) > ready) {
@@ -239,14 +238,14 @@
     return rollout.replicas();
   }
 
-  /** How many starts the plan's rate leaves now; after a clock was set back one, and so on. */
+  /** Returns how many starts the plan's rate allows now; one if the clock was set back. */
   private int availableStarts(Rollout rollout, ReplicaStatus seen) {
     if (plan.pace().startsPerMinute() == 0) {
       return Integer.MAX_VALUE;
     }
     long unused = seen.wallMs() - rollout.startsUsedUntilWallMs();
     long starts = unused < 0 ? 1 : unused * plan.pace().startsPerMinute() / 60_000;
-    return (int) Math.min(starts, plan.pace().atOnce());
+    return (int) Math.min(starts, plan.pace().maxStarting());
   }
 
   private Rollout withStartsConsumed(Rollout rollout, int starts, ReplicaStatus seen) {
@@ -255,11 +254,11 @@
     }
     long each = 60_000 / plan.pace().startsPerMinute();
     long unusedSince =
-        Math.max(rollout.startsUsedUntilWallMs(), seen.wallMs() - plan.pace().atOnce() * each);
+        Math.max(rollout.startsUsedUntilWallMs(), seen.wallMs() - plan.pace().maxStarting() * each);
     return rollout.withStartsUsedUntil(Math.min(seen.wallMs(), unusedSince + starts * each));
   }
 
-  /** The record after an operator's command; the same one if the command does not apply. */
+  /** Returns the state after an operator's command, or the same state if it does not apply. */
   public Rollout applyCommand(Rollout rollout, RolloutCommand command, long wallMs) {
     if (rollout.phase().isFinal()) {
       return rollout;
@@ -290,7 +289,7 @@
     };
   }
 
-  /** Changes the number of replicas during a rollout. */
+  /** Returns the state with another number of replicas for the service. */
   public Rollout scale(Rollout rollout, int replicas) {
     return rollout.withReplicas(replicas);
   }
--- a/src/main/java/io/saltflow/rollouts/package-info.java
+++ b/src/main/java/io/saltflow/rollouts/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The states of a rollout as a pure function: from its record and the observed replicas to its next
- * record.
+ * The state machine of rollouts, a pure function from a rollout's record and the observed replicas
+ * to its next record.
  */
 package io.saltflow.rollouts;
--- a/src/test/java/io/saltflow/rollouts/ExplorationTest.java
+++ b/src/test/java/io/saltflow/rollouts/ExplorationTest.java
@@ -21,20 +21,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every interleaving of a rollout in small bounds: two versions, three replicas; leaders that crash
- * before and after each write and before each act, a cut that hides replicas, a drain, new replicas
- * that come up or fail, gates that say anything, steps that are late or not, and an abort.
+ * Explores every interleaving of a rollout of three replicas with a leader crash around each write,
+ * a partition, a drain, failing replicas, any gate verdict, step timeouts and an abort.
  */
 class ExplorationTest {
   private static final int REPLICAS = 3;
 
   /**
-   * The whole small world.
+   * The state of the model.
    *
-   * @param record what is durable
-   * @param appliedOld what the machines were last told to hold
-   * @param remainingFaults crashes, cuts and drains that are left, one of each
-   * @param partitioned a cut hides the new version's replicas from the leader
+   * @param record the durable state of the rollout
+   * @param appliedOld the number of old replicas that was last applied to the machines
+   * @param remainingFaults the faults that may still be injected, a bit set of crash, partition and
+   *     drain
+   * @param partitioned whether a partition hides the new version's replicas from the leader
    */
   private record State(
       Rollout record,
@@ -55,7 +55,7 @@
         List.of(new RolloutPlan.Step(1, false, false), new RolloutPlan.Step(100, true, false)),
         surge,
         mostUnavailable,
-        RolloutPlan.Pace.atOnce(2),
+        RolloutPlan.Pace.withoutRateLimit(2),
         zoneByZone,
         TimeSpan.seconds(1),
         TimeSpan.seconds(10),
@@ -71,7 +71,7 @@
   private RolloutStateMachine machine;
   private boolean zoneByZone;
 
-  /** What a planted mistake makes of a decision. */
+  /** Alters each decision, to check that the exploration detects faults. */
   private UnaryOperator<Rollout> injectedFault = r -> r;
 
   private void explore(int surge, int mostUnavailable) throws GateException {
@@ -111,7 +111,7 @@
     return out;
   }
 
-  /** What happens by itself. */
+  /** Adds the transitions that do not depend on the leader's decisions. */
   private static void addEnvironmentSteps(State state, List<State> out) {
     if (state.readyOld < state.appliedOld) {
       out.add(withReady(state, state.readyOld + 1, state.readyNew));
@@ -120,7 +120,7 @@
       out.add(withReady(state, state.readyOld, state.readyNew + 1));
     }
     if (state.readyNew > 0) {
-      // A bad build dies whenever it likes.
+      // A replica of a bad build may exit at any time.
       out.add(withReady(state, state.readyOld, state.readyNew - 1));
     }
     if ((state.remainingFaults & DRAIN) != 0 && state.readyOld > 0) {
@@ -133,7 +133,7 @@
     if (state.partitioned) {
       out.add(with(state, state.remainingFaults, false));
     }
-    // A leader that crashes loses nothing but its memory, and the record is all that there is.
+    // Any leader applies the record, as it has no other state to act on.
     if (state.appliedOld != state.record.desiredOld()
         || state.appliedNew != state.record.desiredNew()) {
       out.add(applyRecord(state));
@@ -164,7 +164,7 @@
         state.aborted);
   }
 
-  /** The machines are told; those that are not ready go first. */
+  /** Applies the record to the machines; replicas that are not ready are removed first. */
   private static State applyRecord(State state) {
     int old = state.record.desiredOld();
     int fresh = state.record.desiredNew();
@@ -184,7 +184,7 @@
         state.appliedOld != state.record.desiredOld()
             || state.appliedNew != state.record.desiredNew();
     if (behind) {
-      // It acts upon a record before it decides again.
+      // A leader applies the record before it decides again.
       return;
     }
     int seenNew = state.partitioned ? 0 : state.readyNew;
@@ -210,8 +210,8 @@
       }
     }
     if (!state.aborted) {
-      Rollout told = machine.applyCommand(state.record, RolloutCommand.ABORT, 0);
-      State after = withRecord(state, told);
+      Rollout abortedRollout = machine.applyCommand(state.record, RolloutCommand.ABORT, 0);
+      State after = withRecord(state, abortedRollout);
       out.add(
           new State(
               after.record,
@@ -232,13 +232,13 @@
     check(state, next);
     out.add(withRecord(state, next));
     if ((state.remainingFaults & CRASH) != 0) {
-      // It crashes before the write, or after it: the next leader finds either record.
+      // The leader crashes before or after the write, so the next leader finds either record.
       out.add(with(state, state.remainingFaults & ~CRASH, state.partitioned));
       out.add(with(withRecord(state, next), state.remainingFaults & ~CRASH, state.partitioned));
     }
   }
 
-  /** Times are left out of the states, or there would be no end of them. */
+  /** Times and reasons are left out of the states to keep their number finite. */
   private static State withRecord(State state, Rollout next) {
     Rollout timeless =
         new Rollout(
@@ -265,19 +265,19 @@
 
   private void check(State state, Rollout next) {
     if (next.desiredOld() + next.desiredNew() > REPLICAS + plan.surge()) {
-      violations.add("more than the surge: " + state + " -> " + next);
+      violations.add("surge exceeded: " + state + " -> " + next);
     }
     int floor = REPLICAS - plan.maxUnavailable();
     int after =
         Math.min(state.readyOld, next.desiredOld()) + Math.min(state.readyNew, next.desiredNew());
     if (after < Math.min(floor, state.readyOld + state.readyNew)) {
-      violations.add("under the floor: " + state + " -> " + next);
+      violations.add("too few ready replicas: " + state + " -> " + next);
     }
     if (zoneByZone
         && next.desiredNew() > state.record.desiredNew()
         && next.desiredNew() > next.replicasThroughZone(1)
         && state.readyNew < next.replicasThroughZone(1)) {
-      violations.add("the second zone before the first is ready: " + state + " -> " + next);
+      violations.add("second zone before the first is ready: " + state + " -> " + next);
     }
     int steps = Math.abs(next.step() - state.record.step());
     boolean moved =
@@ -288,7 +288,7 @@
     }
   }
 
-  /** States from which some way leads to one version serving in full. */
+  /** Returns the states from which a state with all replicas serving can be reached. */
   private Set<State> statesThatCanServe() {
     Map<State, List<State>> backwards = new HashMap<>();
     transitions.forEach(
@@ -316,7 +316,7 @@
   }
 
   @Test
-  void everyStateLeadsToAVersionThatServesAndNoMoveGoesTooFar() throws GateException {
+  void everyStateCanReachFullServiceAndNoMoveBreaksBounds() throws GateException {
     int all = 0;
     for (int[] bounds : new int[][] {{1, 0, 0}, {0, 1, 0}, {1, 1, 0}, {2, 1, 0}, {2, 1, 1}}) {
       zoneByZone = bounds[2] == 1;
@@ -324,7 +324,8 @@
       assertEquals(List.of(), violations);
       Set<State> lost = new HashSet<>(transitions.keySet());
       lost.removeAll(statesThatCanServe());
-      assertTrue(lost.isEmpty(), lost.size() + " lost, such as " + lost.stream().findFirst());
+      assertTrue(
+          lost.isEmpty(), lost.size() + " dead-end states, such as " + lost.stream().findFirst());
       all += transitions.size();
       System.out.println(
           "surge "
@@ -339,24 +340,25 @@
     assertTrue(all > 5000, "states: " + all);
   }
 
-  /** The exploration can fail: mistakes that are easily made are found. */
+  /** Guards against an exploration that cannot detect faults. */
   @Test
-  void plantedMistakesAreFound() throws GateException {
+  void injectedFaultsAreDetected() throws GateException {
     injectedFault = r -> r.desiredOld() == 2 && r.desiredNew() == 1 ? r.withDesired(1, 1) : r;
     explore(1, 0);
-    assertFalse(violations.isEmpty(), "an old replica too many is let go");
+    assertFalse(violations.isEmpty(), "one old replica too many is removed");
     zoneByZone = true;
     injectedFault = r -> r.phase() == Phase.MOVING && r.desiredNew() == 1 ? r.withDesired(1, 3) : r;
     explore(1, 0);
-    assertTrue(violations.stream().anyMatch(f -> f.startsWith("the second zone")), "zones at once");
+    assertTrue(
+        violations.stream().anyMatch(f -> f.startsWith("second zone")), "second zone begins early");
     zoneByZone = false;
     injectedFault = r -> r.phase() == Phase.BACK ? r.withDesired(REPLICAS, REPLICAS) : r;
     explore(1, 0);
-    assertFalse(violations.isEmpty(), "a roll-back that takes more room than there is");
+    assertFalse(violations.isEmpty(), "rollback exceeds the surge");
     injectedFault = r -> r.phase() == Phase.BACK ? r.withDesired(r.desiredOld(), 1) : r;
     explore(1, 1);
     Set<State> lost = new HashSet<>(transitions.keySet());
     lost.removeAll(statesThatCanServe());
-    assertFalse(lost.isEmpty() && violations.isEmpty(), "a roll-back that never ends");
+    assertFalse(lost.isEmpty() && violations.isEmpty(), "rollback never ends");
   }
 }
--- a/src/test/java/io/saltflow/rollouts/MaintenanceWindowsTest.java
+++ b/src/test/java/io/saltflow/rollouts/MaintenanceWindowsTest.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Windows on the wall clocks of zones, through days on which these are set. */
+/** Tests windows in local time, across changes to and from daylight saving time. */
 class MaintenanceWindowsTest {
   private static MaintenanceWindows windows(
       String zone, String from, String until, Set<DayOfWeek> days) {
@@ -34,29 +34,29 @@
   }
 
   @Test
-  void opensByTheWallClockOfItsZoneAndByItsCalendar() {
+  void windowFollowsLocalTimeAndCalendar() {
     Set<DayOfWeek> weekdays = EnumSet.range(DayOfWeek.MONDAY, DayOfWeek.FRIDAY);
     MaintenanceWindows almaty = windows("Asia/Almaty", "19:00", "23:00", weekdays);
-    assertTrue(isOpen(almaty, "2026-12-01T14:00:00Z"), "19:00 on a Tuesday there");
+    assertTrue(isOpen(almaty, "2026-12-01T14:00:00Z"), "19:00 local time on a Tuesday");
     assertFalse(isOpen(almaty, "2026-12-01T13:59:59Z"));
-    assertFalse(isOpen(almaty, "2026-12-01T18:00:00Z"), "its end is not part of it");
+    assertFalse(isOpen(almaty, "2026-12-01T18:00:00Z"), "the end is exclusive");
     assertFalse(isOpen(almaty, "2026-12-05T15:00:00Z"), "a Saturday");
-    assertTrue(isOpen(almaty, "2026-12-06T15:00:00Z"), "a Sunday that is opened");
-    assertFalse(isOpen(almaty, "2026-12-31T15:00:00Z"), "a Thursday that is closed");
+    assertTrue(isOpen(almaty, "2026-12-06T15:00:00Z"), "a Sunday listed as open");
+    assertFalse(isOpen(almaty, "2026-12-31T15:00:00Z"), "a Thursday listed as closed");
   }
 
   @Test
-  void nightsBelongToTheDayOnWhichTheyBegin() {
+  void overnightWindowBelongsToItsFirstDay() {
     MaintenanceWindows night = windows("UTC", "22:00", "02:00", EnumSet.of(DayOfWeek.FRIDAY));
     assertTrue(isOpen(night, "2026-12-04T22:30:00Z"));
-    assertTrue(isOpen(night, "2026-12-05T01:30:00Z"), "Saturday's first hours are Friday's night");
+    assertTrue(isOpen(night, "2026-12-05T01:30:00Z"), "Friday's window continues into Saturday");
     assertFalse(isOpen(night, "2026-12-05T22:30:00Z"));
     assertFalse(isOpen(night, "2026-12-04T01:30:00Z"));
   }
 
-  /** Berlin's clocks skip from 2 to 3 on 28 March 2027, and show 2 to 3 twice on 31 October. */
+  /** Berlin skips 02:00 to 03:00 on 28 March 2027 and repeats it on 31 October 2027. */
   @Test
-  void aSkippedHourDoesNotOpenAndARepeatedOneOpensTwice() {
+  void skippedHourNeverOpensAndRepeatedHourOpensTwice() {
     MaintenanceWindows two =
         windows("Europe/Berlin", "02:00", "03:00", EnumSet.allOf(DayOfWeek.class));
     for (int minute = 0; minute < 180; minute++) {
@@ -64,13 +64,13 @@
       assertFalse(isOpen(two, instant), instant);
     }
     assertTrue(isOpen(two, "2027-10-31T00:30:00Z"));
-    assertTrue(isOpen(two, "2027-10-31T01:30:00Z"), "the same hour on the wall again");
+    assertTrue(isOpen(two, "2027-10-31T01:30:00Z"), "the repeated hour");
     assertFalse(isOpen(two, "2027-10-31T02:00:00Z"));
   }
 
-  /** A step waits for its window, ends outside of it, and a clock that steps changes nothing. */
+  /** Guards against steps that begin outside a window or are interrupted when it closes. */
   @Test
-  void stepsBeginInWindowsOnlyAndAreNotBrokenOff() {
+  void stepsBeginOnlyInWindowsAndContinueAfterwards() {
     MaintenanceWindows maintenanceWindows =
         windows("UTC", "20:00", "21:00", EnumSet.allOf(DayOfWeek.class));
     RolloutPlan plan =
@@ -86,13 +86,16 @@
     rollout = machine.next(rollout, status(2, 0, inside));
     assertEquals(Phase.MOVING, rollout.phase());
     rollout = machine.next(rollout, status(2, 0, after));
-    assertEquals(1, rollout.desiredNew(), "begun inside, it goes on");
+    assertEquals(1, rollout.desiredNew(), "a step begun inside the window continues");
     rollout = machine.next(rollout, status(2, 1, before));
-    assertEquals(1, rollout.desiredOld(), "the clock was set back");
+    assertEquals(1, rollout.desiredOld(), "the step continues after the clock was set back");
     rollout = machine.next(rollout, status(1, 1, after));
     rollout = machine.next(rollout, status(1, 1, after));
-    assertEquals(Phase.WAITING, rollout.phase(), "the next step waits for tomorrow");
-    assertEquals(rollout, machine.next(rollout, status(1, 1, after + 3_600_000)), "however long");
+    assertEquals(Phase.WAITING, rollout.phase(), "the next step waits for the next window");
+    assertEquals(
+        rollout,
+        machine.next(rollout, status(1, 1, after + 3_600_000)),
+        "it waits however long it takes");
     assertEquals(Phase.BACK, machine.applyCommand(rollout, RolloutCommand.ABORT, after).phase());
   }
 
--- a/src/test/java/io/saltflow/rollouts/RolloutSimulation.java
+++ b/src/test/java/io/saltflow/rollouts/RolloutSimulation.java
@@ -11,46 +11,46 @@
 import java.util.SplittableRandom;
 
 /**
- * One night of one service, in simulated seconds and by one seed: a build that is sound or broken
- * in some way goes out to its replicas, while probes get lost and machines are drained.
+ * Seeded simulation of one rollout of a healthy or broken build, in steps of a second, while probes
+ * are lost and machines are drained.
  */
 final class RolloutSimulation {
-  /** What is wrong with the new build. */
+  /** The behaviour of the new build. */
   enum Build {
     HEALTHY,
-    /** Its replicas die some seconds after they start. */
+    /** Replicas exit some seconds after they start. */
     CRASHES,
-    /** They answer, but ten times more slowly. */
+    /** Replicas answer ten times more slowly. */
     SLOW,
-    /** They die after 25 to 35 s, about when a gate has seen enough. */
+    /** Replicas exit after 25 to 35 s, about when a gate passes. */
     CRASHES_LATE,
-    /** They are broken in one zone of three. */
+    /** Replicas exit in one zone of three. */
     ONE_ZONE,
-    /** They are well until half of the replicas are new. */
+    /** Replicas fail once more than half of them are new. */
     FAILS_AT_SCALE,
-    /** They are well and ill by turns. */
+    /** Replicas alternate between healthy and slow. */
     FLAPPING
   }
 
-  /** How the build goes out. */
+  /** How the build is rolled out. */
   enum Strategy {
     GATED,
     FIXED_DELAY,
     ALL_AT_ONCE
   }
 
-  /** What else goes wrong in that night. */
+  /** An additional fault during the rollout. */
   enum Fault {
     NONE,
-    /** The key-value store is down for a minute in mid-step, and for one at a rollback. */
+    /** The key-value store is down for a minute during a step and for another at a rollback. */
     STORE_OUTAGE,
-    /** The leader is killed every 45 s: the next one knows the record and nothing else. */
+    /** A failover every 45 s; the new leader has only the record. */
     FAILOVERS,
     /** Half of all probes are lost. */
     PROBE_LOSS,
-    /** A zone is cut off for a while: its replicas serve, and the leader can't see them. */
+    /** A zone is partitioned for a while: its replicas serve but the leader cannot reach them. */
     ZONE_PARTITION,
-    /** Other work fills the team's limit: no replica beyond the service's own number starts. */
+    /** Other jobs use up the team's limit, so that no surge replica starts. */
     NO_SURGE_CAPACITY
   }
 
@@ -70,7 +70,7 @@
     int readyAt;
     int diesAt;
 
-    /** What ends it is no fault of its build. */
+    /** Whether its build does not limit its lifetime. */
     boolean healthyBuild;
 
     Replica(boolean fresh, int zone) {
@@ -89,7 +89,7 @@
   /** Seconds in which a replica was broken or missing, summed over replicas. */
   long unhealthyReplicaSeconds;
 
-  /** Seconds in which fewer were ready than the plan's floor, machines lost just before aside. */
+  /** Seconds below the plan's minimum of ready replicas, not counting recently lost machines. */
   int secondsBelowFloor;
 
   private final Fault fault;
@@ -120,7 +120,7 @@
             new RolloutPlan.Step(100, true, false)),
         2,
         1,
-        RolloutPlan.Pace.atOnce(4),
+        RolloutPlan.Pace.withoutRateLimit(4),
         false,
         TimeSpan.seconds(SETTLE_S),
         TimeSpan.seconds(240),
@@ -161,11 +161,11 @@
         }
         Rollout next = machine.next(rollout, seen(gate, stop));
         if (storeUnavailable(next)) {
-          // What can't be recorded is not acted upon.
+          // A state that cannot be recorded does not take effect.
           continue;
         }
         if (next.step() != stepOf) {
-          // Each step is judged by itself.
+          // Each step is evaluated afresh.
           stepOf = next.step();
           gate = new GateEvaluator(plan.gate(), TimeSpan.seconds(60));
         }
@@ -216,7 +216,7 @@
     return new MonotonicTime(now * 1000L);
   }
 
-  /** Steps by the clock alone, or everything as fast as replicas start. */
+  /** Moves by fixed delays, or as fast as replicas start. */
   private void runUngated(Strategy way) {
     int target = REPLICAS;
     if (way == Strategy.FIXED_DELAY) {
@@ -237,7 +237,7 @@
     return (int) replicas.stream().filter(r -> r.fresh == fresh && r.readyAt <= then).count();
   }
 
-  /** Replicas die, and machines are drained now and then; what is wanted is started again. */
+  /** Removes replicas that exit, and drains a random machine now and then. */
   private void stepReplicas() {
     for (Replica replica : List.copyOf(replicas)) {
       if (replica.diesAt <= now) {
@@ -251,7 +251,7 @@
       }
     }
     if (random.nextInt(1200) == 0 && !replicas.isEmpty()) {
-      // A drained machine is nobody's failure.
+      // A drain does not count as a failure of the build.
       replicas.remove(random.nextInt(replicas.size()));
       lossTimes.add(now);
     }
@@ -268,14 +268,14 @@
       replica.diesAt = now + BOOT_S + lifetime(replica);
       replicas.add(replica);
     }
-    // Those that are not ready go first.
+    // Remove the most recently started replicas first.
     mine.sort((a, b) -> b.readyAt - a.readyAt);
     for (int i = 0; i < mine.size() - wanted; i++) {
       replicas.remove(mine.get(i));
     }
   }
 
-  /** Replicas are spread: the next goes to the zone that has the fewest. */
+  /** Returns the zone with the fewest replicas of the version. */
   private int leastLoadedZone(boolean fresh) {
     int[] count = new int[ZONES];
     replicas.stream().filter(r -> r.fresh == fresh).forEach(r -> count[r.zone]++);
@@ -345,7 +345,7 @@
     observations.dropExpired(time());
   }
 
-  /** Whether the new version ended up serving. */
+  /** Returns whether the rollout completed. */
   boolean newVersionServes() {
     return rollout.phase() == Rollout.Phase.DONE;
   }
--- a/src/test/java/io/saltflow/rollouts/RolloutSimulationTest.java
+++ b/src/test/java/io/saltflow/rollouts/RolloutSimulationTest.java
@@ -10,68 +10,71 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seeded nights of sound and broken builds, with gates, by a fixed delay, and all at once. Run as a
- * program it prints the figures of {@code docs/PERFORMANCE.md}.
+ * Compares gated rollouts of healthy and broken builds with ungated ones. The main method prints
+ * the figures of {@code docs/PERFORMANCE.md}.
  */
 class RolloutSimulationTest {
-  /** What came of many nights; replica-minutes, and seconds under the floor, are a night's. */
-  private record Summary(int nights, double spoiledMinutes, int wentOut, double underFloorS) {}
+  /**
+   * Results of many simulations. Unhealthy replica-minutes and seconds below the minimum are means.
+   */
+  private record Summary(int runs, double unhealthyMinutes, int completed, double belowFloorS) {}
 
   private static Summary simulate(
       RolloutSimulation.Build build, RolloutSimulation.Strategy way, int count)
       throws GateException {
-    long spoiled = 0;
-    int out = 0;
-    int under = 0;
+    long unhealthySeconds = 0;
+    int completed = 0;
+    int belowFloor = 0;
     for (int seed = 0; seed < count; seed++) {
-      RolloutSimulation night = new RolloutSimulation(seed, build);
-      night.run(way);
-      spoiled += night.unhealthyReplicaSeconds;
-      out += night.newVersionServes() ? 1 : 0;
-      under += night.secondsBelowFloor;
+      RolloutSimulation simulation = new RolloutSimulation(seed, build);
+      simulation.run(way);
+      unhealthySeconds += simulation.unhealthyReplicaSeconds;
+      completed += simulation.newVersionServes() ? 1 : 0;
+      belowFloor += simulation.secondsBelowFloor;
     }
-    return new Summary(count, spoiled / 60.0 / count, out, under / (double) count);
+    return new Summary(
+        count, unhealthySeconds / 60.0 / count, completed, belowFloor / (double) count);
   }
 
   @Test
-  void brokenBuildsAreTakenBackAndSoundOnesGoOut() throws GateException {
+  void brokenBuildsAreRolledBackAndHealthyOnesComplete() throws GateException {
     for (RolloutSimulation.Build build : RolloutSimulation.Build.values()) {
       Summary gated = simulate(build, RolloutSimulation.Strategy.GATED, 40);
       Summary atOnce = simulate(build, RolloutSimulation.Strategy.ALL_AT_ONCE, 40);
       if (build == RolloutSimulation.Build.HEALTHY) {
-        assertTrue(gated.wentOut >= 38, "false roll-backs: " + gated);
+        assertTrue(gated.completed >= 38, "false rollbacks: " + gated);
       } else {
-        assertEquals(0, gated.wentOut, build + ": the old version serves at the end");
-        assertTrue(gated.spoiledMinutes * 2 < atOnce.spoiledMinutes, build + ": " + gated);
+        assertEquals(0, gated.completed, build + ": the broken build was rolled out");
+        assertTrue(gated.unhealthyMinutes * 2 < atOnce.unhealthyMinutes, build + ": " + gated);
       }
     }
   }
 
-  /** Whatever else goes wrong: no broken build serves at the end, and none goes under the floor. */
+  /** Guards against broken builds, and too few ready replicas, under additional faults. */
   @Test
-  void troublesDoNotLetABrokenBuildThrough() throws GateException {
+  void faultsDoNotLetBrokenBuildComplete() throws GateException {
     for (RolloutSimulation.Fault trouble : RolloutSimulation.Fault.values()) {
-      int sound = 0;
+      int completed = 0;
       for (RolloutSimulation.Build build : RolloutSimulation.Build.values()) {
         for (int seed = 0; seed < 8; seed++) {
-          RolloutSimulation night = new RolloutSimulation(seed, build, trouble);
-          night.run(RolloutSimulation.Strategy.GATED);
-          String which = trouble + ", " + build + ", seed " + seed + ": " + night.rollout();
-          assertEquals(0, night.secondsBelowFloor, which);
+          RolloutSimulation simulation = new RolloutSimulation(seed, build, trouble);
+          simulation.run(RolloutSimulation.Strategy.GATED);
+          String which = trouble + ", " + build + ", seed " + seed + ": " + simulation.rollout();
+          assertEquals(0, simulation.secondsBelowFloor, which);
           if (build == RolloutSimulation.Build.HEALTHY) {
-            sound += night.newVersionServes() ? 1 : 0;
+            completed += simulation.newVersionServes() ? 1 : 0;
           } else {
-            assertFalse(night.newVersionServes(), which);
+            assertFalse(simulation.newVersionServes(), which);
           }
         }
       }
-      // A gate that wants forty seconds in a row hardly passes where a leader lives for 45, and
-      // ten replicas one after the other take longer than the step's limit where there is no room
-      // for the surge: taken back, which is no harm. Everywhere else sound builds go out.
+      // A gate that must hold for 40 s rarely passes with a failover every 45 s, and steps without
+      // surge capacity time out. Rollbacks are acceptable there; elsewhere healthy builds complete.
       boolean slow =
           trouble == RolloutSimulation.Fault.FAILOVERS
               || trouble == RolloutSimulation.Fault.NO_SURGE_CAPACITY;
-      assertTrue(slow || sound >= 7, trouble + ": " + sound + " of 8 sound builds");
+      assertTrue(
+          slow || completed >= 7, trouble + ": " + completed + " of 8 healthy builds completed");
     }
     RolloutSimulation noRoom =
         new RolloutSimulation(
@@ -86,9 +89,9 @@
         noRoom.rollout().reason());
   }
 
-  /** The reason is for people to read: which step, which gate, what was seen, since when. */
+  /** Guards against rollback reasons without the step, the gate, the value or the duration. */
   @Test
-  void whyItStoppedIsSaidPlainly() throws GateException {
+  void rollbackReasonNamesStepAndGate() throws GateException {
     RolloutSimulation slow = new RolloutSimulation(1, RolloutSimulation.Build.SLOW);
     slow.run(RolloutSimulation.Strategy.GATED);
     assertEquals(Rollout.Phase.ROLLED_BACK, slow.rollout().phase());
--- a/src/test/java/io/saltflow/rollouts/RolloutStateMachineTest.java
+++ b/src/test/java/io/saltflow/rollouts/RolloutStateMachineTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Rollouts move by move, for people to read. */
+/** Compares the moves of rollouts with recorded traces. */
 class RolloutStateMachineTest {
   private static final GateEvaluator.Verdict PASS =
       new GateEvaluator.Verdict(TernaryTruth.TRUE, List.of());
@@ -65,7 +65,7 @@
                     + (rollout.reason().isEmpty() ? "" : "; " + rollout.reason())));
   }
 
-  /** All that is wanted is ready, at once. */
+  /** Steps while all desired replicas are ready at once, at most {@code most} times. */
   private void stepWhileHealthy(GateEvaluator.Verdict gate, int most) {
     for (int i = 0; i < most && step(rollout.desiredOld(), rollout.desiredNew(), gate); i++) {
       assertTrue(i < 99);
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void aRollOutAndItsWayBackAreKept() throws IOException {
+  void rolloutsAndRollbacksMatchRecordedTrace() throws IOException {
     lines.add("# a sound version, approved after its first replica, scaled on the way");
     stepWhileHealthy(PASS, 99);
     applyCommand(RolloutCommand.APPROVE);
@@ -147,23 +147,23 @@
   }
 
   private void runZoneByZone() {
-    machine = new RolloutStateMachine(planWith(RolloutPlan.Pace.atOnce(5), true));
+    machine = new RolloutStateMachine(planWith(RolloutPlan.Pace.withoutRateLimit(5), true));
     rollout = Rollout.begin(5, List.of("a", "b"), wallMs);
     for (int s = 0; s < 20; s++) {
-      // Nothing of what was started is ready before the sixth second.
+      // No started replica is ready before the sixth second.
       step(rollout.desiredOld(), s < 6 ? 0 : rollout.desiredNew(), PASS);
     }
   }
 
   @Test
-  void whatCanNeverWorkIsSaid() throws GateException {
+  void planFaultsAreReported() throws GateException {
     RolloutPlan rolloutPlan = plan();
     RolloutPlan none =
         new RolloutPlan(
             List.of(new RolloutPlan.Step(2, false, false), new RolloutPlan.Step(10, true, false)),
             0,
             0,
-            RolloutPlan.Pace.atOnce(0),
+            RolloutPlan.Pace.withoutRateLimit(0),
             false,
             rolloutPlan.settle(),
             rolloutPlan.stepTimeout(),
--- a/src/test/java/io/saltflow/rollouts/SamplePlans.java
+++ b/src/test/java/io/saltflow/rollouts/SamplePlans.java
@@ -5,18 +5,18 @@
 import io.saltflow.model.TimeSpan;
 import java.util.List;
 
-/** Plans of rollouts for tests. */
+/** Rollout plans for tests. */
 final class SamplePlans {
   private SamplePlans() {}
 
-  /** One replica more at a time, two replicas a move, and a gate on 95% that are ready. */
+  /** Returns a plan with a surge of 1, two concurrent starts and a gate on 95% ready replicas. */
   static RolloutPlan of(List<RolloutPlan.Step> steps, MaintenanceWindows windows) {
     try {
       return new RolloutPlan(
           steps,
           1,
           0,
-          RolloutPlan.Pace.atOnce(2),
+          RolloutPlan.Pace.withoutRateLimit(2),
           false,
           TimeSpan.seconds(5),
           TimeSpan.seconds(60),
