--- a/src/main/java/io/saltflow/healthgates/Condition.java
+++ b/src/main/java/io/saltflow/healthgates/Condition.java
@@ -15,8 +15,8 @@
   record Not(Condition part) implements Condition {}
 
   /**
-   * A comparison of a quantity with a limit in the quantity's unit (shares from 0 to 1, times in
-   * ms).
+   * A comparison of a quantity with a limit in the quantity's unit: shares from 0 to 1, times in
+   * milliseconds.
    */
   record Compare(Quantity quantity, Operator operator, double limit) implements Condition {
     @Override
@@ -26,13 +26,14 @@
   }
 
   /**
-   * A condition that must last.
+   * A condition that must hold for some time.
    *
-   * @param id its place among those of the gate: what is remembered of it goes by that
-   * @param minDuration it passes once it has been true for so long
-   * @param recoveryDuration once it was true and then false, it fails until it has been true for so
-   *     long; null: as at first
-   * @param noDataTimeout unknown for longer than this counts as false; null: the gate's default
+   * @param id the index among such conditions of the gate, the key of its evaluation state
+   * @param minDuration how long the condition must hold before it passes
+   * @param recoveryDuration how long the condition must hold after it has turned from true to
+   *     false, during which it counts as false; {@code null}: {@code minDuration} applies
+   * @param noDataTimeout how long the condition may be unknown before it counts as failing; {@code
+   *     null}: the evaluator's default applies
    */
   record Held(
       int id,
@@ -42,7 +43,7 @@
       TimeSpan noDataTimeout)
       implements Condition {}
 
-  /** How a quantity is compared. */
+  /** A comparison operator. */
   enum Operator {
     LESS("<"),
     AT_MOST("<="),
--- a/src/main/java/io/saltflow/healthgates/Gate.java
+++ b/src/main/java/io/saltflow/healthgates/Gate.java
@@ -14,8 +14,8 @@
 import org.antlr.v4.runtime.tree.TerminalNode;
 
 /**
- * A health gate as an operator wrote it, read and typed: {@code ready >= 95% for 30s and
- * failures(5m) < 2 and probe("/healthz").p99 < 200ms}.
+ * A parsed and type-checked health gate, for example {@code ready >= 95% for 30s and failures(5m) <
+ * 2 and probe("/healthz").p99 < 200ms}.
  */
 public final class Gate {
   private static final int MAX_TEXT_LENGTH = 2000;
@@ -30,7 +30,11 @@
     this.condition = condition;
   }
 
-  /** Reads a gate; the error points at the column. */
+  /**
+   * Parses a gate.
+   *
+   * @throws GateException if the text is not a valid gate, with the column of the error
+   */
   public static Gate parse(String text) throws GateException {
     if (text.length() > MAX_TEXT_LENGTH) {
       throw new GateException(
@@ -53,7 +57,7 @@
     return new Gate(text, condition);
   }
 
-  /** The parser descends as deep as a text is nested, and negations nest as brackets do. */
+  /** Bounds the recursion of the parser. Negations nest as brackets do. */
   private static void checkNesting(String text) throws GateException {
     int depth = 0;
     for (int i = 0; i < text.length(); i++) {
@@ -69,12 +73,12 @@
     return condition;
   }
 
-  /** Why it can never pass within that time; null: it may. */
+  /** Returns why the gate can never pass within this time, or {@code null} if it may. */
   public String unsatisfiableReason(TimeSpan limit) {
     return SatisfiabilityCheck.fault(this, limit);
   }
 
-  /** Everything that it asks for: what has to be observed. */
+  /** Returns the quantities that the gate compares. */
   public List<Quantity> quantities() {
     List<Quantity> out = new ArrayList<>();
     collect(condition, out);
@@ -117,7 +121,7 @@
     }
   }
 
-  /** From the tree of the text to its meaning. */
+  /** Builds the condition from the parse tree. */
   private static final class Builder {
     private int nextHeldId;
 
@@ -148,7 +152,7 @@
           heldContext.comparison() == null
               ? either(heldContext.either())
               : comparison(heldContext.comparison());
-      // Each comparison is remembered, held for a time or not: it may be without data for too long.
+      // Comparisons without a duration are held as well, since they may lack data for too long.
       if (heldContext.comparison() == null
           && heldContext.steady() == null
           && heldContext.recovery() == null
--- a/src/main/java/io/saltflow/healthgates/GateEvaluator.java
+++ b/src/main/java/io/saltflow/healthgates/GateEvaluator.java
@@ -8,12 +8,13 @@
 import java.util.Map;
 
 /**
- * Evaluates a gate over time. Its only state is since when each lasting condition has had its
- * value; a new leader starts without it, so that nothing passes on what it has not observed.
+ * Evaluates a gate over time. Its state is how long each held condition has had its value. A new
+ * leader starts without that state, so that no condition passes on time that it has not observed.
  */
 public final class GateEvaluator {
   /**
-   * The verdict at a moment, with the reasons why the gate does not pass, or the observed values.
+   * The result of an evaluation, with the reasons why the gate does not pass, or the observed
+   * values if it passes.
    */
   public record Verdict(TernaryTruth truth, List<String> reasons) {}
 
@@ -22,7 +23,7 @@
     MonotonicTime since;
     boolean everTrue;
 
-    /** It was true and then false, and has not recovered since. */
+    /** Whether it turned from true to false and has not recovered since. */
     boolean relapsed;
   }
 
@@ -31,30 +32,31 @@
   private final Map<Integer, HeldState> heldStates = new HashMap<>();
 
   /**
-   * @param withoutData how long a condition may be without data before it counts as failing, where
-   *     the gate does not say
+   * @param withoutData how long a condition may be without data before it counts as failing, unless
+   *     the gate specifies it
    */
   public GateEvaluator(Gate gate, TimeSpan withoutData) {
     this.gate = gate;
     this.noDataTimeout = withoutData;
   }
 
-  /** The gate that is evaluated. */
+  /** Returns the gate that is evaluated. */
   public Gate gate() {
     return gate;
   }
 
-  /** Evaluates the gate on what is observed now. */
-  public Verdict evaluate(Observations seen, MonotonicTime now) {
+  /** Evaluates the gate on the current observations. */
+  public Verdict evaluate(Observations observations, MonotonicTime now) {
     List<String> reasons = new ArrayList<>();
-    TernaryTruth truth = eval(gate.condition(), seen, now, true, reasons);
-    return new Verdict(truth, truth == TernaryTruth.TRUE ? observedValues(seen, now) : reasons);
+    TernaryTruth truth = eval(gate.condition(), observations, now, true, reasons);
+    return new Verdict(
+        truth, truth == TernaryTruth.TRUE ? observedValues(observations, now) : reasons);
   }
 
-  private List<String> observedValues(Observations seen, MonotonicTime now) {
+  private List<String> observedValues(Observations observations, MonotonicTime now) {
     List<String> out = new ArrayList<>();
     for (Quantity quantity : gate.quantities()) {
-      Double value = seen.value(quantity, now);
+      Double value = observations.value(quantity, now);
       out.add(
           quantity
               + (value == null ? " is not known" : " is " + Units.format(quantity.unit(), value)));
@@ -63,40 +65,40 @@
   }
 
   /**
-   * @param wanted which way the condition helps the gate: under a negation, what is true hinders
+   * @param wanted the value with which the condition lets the gate pass; negations flip it
    */
   private TernaryTruth eval(
       Condition condition,
-      Observations seen,
+      Observations observations,
       MonotonicTime now,
       boolean wanted,
       List<String> reasons) {
     if (condition instanceof Condition.All all) {
-      TernaryTruth ternaryTruth = TernaryTruth.TRUE;
-      for (Condition otherCondition : all.parts()) {
-        ternaryTruth = ternaryTruth.and(eval(otherCondition, seen, now, wanted, reasons));
+      TernaryTruth result = TernaryTruth.TRUE;
+      for (Condition part : all.parts()) {
+        result = result.and(eval(part, observations, now, wanted, reasons));
       }
-      return ternaryTruth;
+      return result;
     }
     if (condition instanceof Condition.Any any) {
-      TernaryTruth ternaryTruth = TernaryTruth.FALSE;
-      for (Condition otherCondition : any.parts()) {
-        ternaryTruth = ternaryTruth.or(eval(otherCondition, seen, now, wanted, reasons));
+      TernaryTruth result = TernaryTruth.FALSE;
+      for (Condition part : any.parts()) {
+        result = result.or(eval(part, observations, now, wanted, reasons));
       }
-      return ternaryTruth;
+      return result;
     }
     if (condition instanceof Condition.Not not) {
-      return eval(not.part(), seen, now, !wanted, reasons).not();
+      return eval(not.part(), observations, now, !wanted, reasons).not();
     }
     if (condition instanceof Condition.Held held) {
-      return held(held, seen, now, wanted, reasons);
+      return held(held, observations, now, wanted, reasons);
     }
-    return compare((Condition.Compare) condition, seen, now);
+    return compare((Condition.Compare) condition, observations, now);
   }
 
   private static TernaryTruth compare(
-      Condition.Compare compare, Observations seen, MonotonicTime now) {
-    Double value = seen.value(compare.quantity(), now);
+      Condition.Compare compare, Observations observations, MonotonicTime now) {
+    Double value = observations.value(compare.quantity(), now);
     return value == null
         ? TernaryTruth.UNKNOWN
         : TernaryTruth.of(compare.operator().holds(value, compare.limit()));
@@ -104,35 +106,35 @@
 
   private TernaryTruth held(
       Condition.Held held,
-      Observations seen,
+      Observations observations,
       MonotonicTime now,
       boolean wanted,
       List<String> reasons) {
     List<String> inner = new ArrayList<>();
-    TernaryTruth raw = eval(held.part(), seen, now, wanted, inner);
-    HeldState memory = heldStates.computeIfAbsent(held.id(), id -> new HeldState());
-    if (raw != memory.raw) {
-      memory.raw = raw;
-      memory.since = now;
+    TernaryTruth raw = eval(held.part(), observations, now, wanted, inner);
+    HeldState state = heldStates.computeIfAbsent(held.id(), id -> new HeldState());
+    if (raw != state.raw) {
+      state.raw = raw;
+      state.since = now;
     }
-    memory.everTrue |= raw == TernaryTruth.TRUE;
-    memory.relapsed |= memory.everTrue && raw == TernaryTruth.FALSE;
-    TimeSpan lasted = now.since(memory.since);
+    state.everTrue |= raw == TernaryTruth.TRUE;
+    state.relapsed |= state.everTrue && raw == TernaryTruth.FALSE;
+    TimeSpan lasted = now.since(state.since);
     TernaryTruth out =
         switch (raw) {
           case FALSE -> TernaryTruth.FALSE;
           case UNKNOWN -> {
-            TimeSpan patience = held.noDataTimeout() == null ? noDataTimeout : held.noDataTimeout();
-            // Under a negation nothing may pass for lack of data either.
-            yield lasted.longerThan(patience)
+            TimeSpan timeout = held.noDataTimeout() == null ? noDataTimeout : held.noDataTimeout();
+            // A lack of data must not let the gate pass under a negation either.
+            yield lasted.longerThan(timeout)
                 ? (wanted ? TernaryTruth.FALSE : TernaryTruth.TRUE)
                 : raw;
           }
           case TRUE -> {
-            boolean recovers = memory.relapsed && held.recoveryDuration() != null;
+            boolean recovers = state.relapsed && held.recoveryDuration() != null;
             boolean longEnough =
                 lasted.compareTo(recovers ? held.recoveryDuration() : held.minDuration()) >= 0;
-            memory.relapsed &= !longEnough;
+            state.relapsed &= !longEnough;
             yield longEnough
                 ? TernaryTruth.TRUE
                 : (recovers ? TernaryTruth.FALSE : TernaryTruth.UNKNOWN);
@@ -141,7 +143,7 @@
     if (out != TernaryTruth.of(wanted)) {
       reasons.addAll(inner);
       if (inner.isEmpty()) {
-        reasons.add(describe(held, raw, out, lasted, seen, now));
+        reasons.add(describe(held, raw, out, lasted, observations, now));
       }
     }
     return out;
@@ -152,7 +154,7 @@
       TernaryTruth raw,
       TernaryTruth out,
       TimeSpan lasted,
-      Observations seen,
+      Observations observations,
       MonotonicTime now) {
     String since = " for " + Units.formatDuration((double) lasted.ms());
     if (raw == TernaryTruth.UNKNOWN) {
@@ -160,7 +162,7 @@
     }
     String value = "";
     if (held.part() instanceof Condition.Compare compare) {
-      Double v = seen.value(compare.quantity(), now);
+      Double v = observations.value(compare.quantity(), now);
       value = v == null ? "" : ", it is " + Units.format(compare.quantity().unit(), v);
     }
     if (raw == TernaryTruth.TRUE && out != TernaryTruth.TRUE) {
--- a/src/main/java/io/saltflow/healthgates/GateException.java
+++ b/src/main/java/io/saltflow/healthgates/GateException.java
@@ -1,6 +1,6 @@
 package io.saltflow.healthgates;
 
-/** A gate is not valid; the error names the column (from 1) of its text. */
+/** Thrown when a gate's text is not valid. The message names the column of the error. */
 public final class GateException extends Exception {
   private final int column;
 
@@ -9,7 +9,7 @@
     this.column = column;
   }
 
-  /** The column of the error in the gate's text, from 1. */
+  /** Returns the column of the error in the gate's text, from 1. */
   public int column() {
     return column;
   }
--- a/src/main/java/io/saltflow/healthgates/Measure.java
+++ b/src/main/java/io/saltflow/healthgates/Measure.java
@@ -2,21 +2,21 @@
 
 import java.util.List;
 
-/** A measure of a service's replicas, with its arguments and its unit. */
+/** A measure of a service's replicas with its arguments, unit and fields. */
 public enum Measure {
   /** The share of the desired replicas of the new version that are ready. */
   READY("ready", Unit.SHARE, List.of(), List.of()),
-  /** Tasks that failed, or ended without being told to, within the window. */
+  /** The number of tasks that failed or exited unexpectedly within the window. */
   FAILURES("failures", Unit.COUNT, List.of(Argument.WINDOW), List.of()),
-  /** Tasks that ended with that cause within the window. */
+  /** The number of tasks that exited with the given cause within the window. */
   EXITS("exits", Unit.COUNT, List.of(Argument.TEXT, Argument.WINDOW), List.of()),
-  /** Replicas that had to be started again within the window. */
+  /** The number of replicas that were restarted within the window. */
   RESTARTS("restarts", Unit.COUNT, List.of(Argument.WINDOW), List.of()),
-  /** Since the step was complete. */
+  /** The time since the step was complete. */
   AGE("age", Unit.TIME, List.of(), List.of()),
-  /** How long the new version's tasks took from their launch until they ran, over the last hour. */
+  /** The start latencies of the new version's tasks over the last hour, from launch to running. */
   STARTUP("startup", Unit.TIME, List.of(), List.of("p50", "p90", "p99", "max", "count")),
-  /** The results of probes of a path: latencies, or the share of successes. */
+  /** The latencies, the share of successes or the number of probes of a path. */
   PROBE(
       "probe",
       Unit.TIME,
@@ -77,7 +77,7 @@
     return field.equals("count") ? Unit.COUNT : unit;
   }
 
-  /** The measure of that name, or null. */
+  /** Returns the measure with this name, or {@code null} if there is none. */
   static Measure of(String text) {
     for (Measure measure : values()) {
       if (measure.text.equals(text)) {
--- a/src/main/java/io/saltflow/healthgates/Observations.java
+++ b/src/main/java/io/saltflow/healthgates/Observations.java
@@ -4,6 +4,6 @@
 
 /** The observations of a service's replicas. */
 public interface Observations {
-  /** The value in the quantity's unit; null: unknown. */
+  /** Returns the value in the quantity's unit, or {@code null} if it is unknown. */
   Double value(Quantity quantity, MonotonicTime now);
 }
--- a/src/main/java/io/saltflow/healthgates/Quantity.java
+++ b/src/main/java/io/saltflow/healthgates/Quantity.java
@@ -5,12 +5,12 @@
 /**
  * A measure with its arguments.
  *
- * @param text a path or a cause; empty: the measure takes none
- * @param window how far back; null: the measure takes none
- * @param field which of a probe's figures; empty: the measure has one only
+ * @param text a path or a cause; empty if the measure takes none
+ * @param window the length of the observed window; {@code null} if the measure takes none
+ * @param field the statistic, such as {@code p99}; empty if the measure has a single value
  */
 public record Quantity(Measure measure, String text, TimeSpan window, String field) {
-  /** The unit of the quantity's values. */
+  /** Returns the unit of the quantity's values. */
   public Measure.Unit unit() {
     return measure.unit(field);
   }
--- a/src/main/java/io/saltflow/healthgates/ReplicaObservations.java
+++ b/src/main/java/io/saltflow/healthgates/ReplicaObservations.java
@@ -8,8 +8,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Observations of the new version's replicas in a bounded window, the oldest dropped first. A probe
- * that could not be made is not observed at all.
+ * Observations of the new version's replicas in a window of bounded length and size; the oldest are
+ * dropped first. Probes that could not be made are not recorded.
  */
 public final class ReplicaObservations implements Observations {
   private static final int MAX_EVENTS = 4096;
@@ -19,10 +19,10 @@
   private static final TimeSpan MAX_READY_AGE = TimeSpan.seconds(15);
   private static final long MAX_LATENCY_MS = 600_000;
 
-  /** A replica's task exited. */
+  /** An exit of a replica's task. */
   private record Exit(MonotonicTime at, String cause, boolean failure) {}
 
-  /** The result of a probe; a negative latency: it failed or timed out. */
+  /** A latency sample; negative if the probe failed or timed out. */
   private record Sample(MonotonicTime at, long ms) {}
 
   private final Map<String, ArrayDeque<Sample>> probes = new HashMap<>();
@@ -34,7 +34,7 @@
   private MonotonicTime readyUpdatedAt = MonotonicTime.LONG_AGO;
   private double ready;
 
-  /** Sets the number of ready replicas of those desired; no desired ones: unknown. */
+  /** Sets the share of desired replicas that are ready. Ignored while none is desired. */
   public void ready(int count, int wanted, MonotonicTime now) {
     if (wanted > 0) {
       ready = count / (double) wanted;
@@ -42,14 +42,14 @@
     }
   }
 
-  /** Another step has started and is not complete yet. */
+  /** Records that another step has started and is not complete yet. */
   public void stepStarted() {
     stepCompletedAt = null;
   }
 
   /**
-   * The step is complete; what was seen before still counts. Told at every look, so only the first
-   * says since when: a gate on {@code age} would else never pass.
+   * Records that the step is complete; earlier observations still count. Called at each evaluation,
+   * so only the first call sets the time: a gate on {@code age} could never pass otherwise.
    */
   public void stepCompleted(MonotonicTime now) {
     if (stepCompletedAt == null) {
@@ -62,25 +62,25 @@
     addBounded(exits, new Exit(now, cause, failure));
   }
 
-  /** Records that a replica was started again. */
+  /** Records that a replica was restarted. */
   public void recordRestart(MonotonicTime now) {
     addBounded(restarts, now);
   }
 
-  /** Records the time from a replica's launch until it ran, image fetch included. */
+  /** Records the time from a replica's launch until it ran, including the image fetch. */
   public void recordStart(TimeSpan took, MonotonicTime now) {
     addBounded(startLatencies, new Sample(now, took.ms()));
   }
 
   /** Records a probe: its latency, or a negative value if it failed. */
   public void recordProbe(String path, long ms, MonotonicTime now) {
-    ArrayDeque<Sample> of = probes.get(path);
-    if (of == null && probes.size() < MAX_PATHS) {
-      of = new ArrayDeque<>();
-      probes.put(path, of);
+    ArrayDeque<Sample> samples = probes.get(path);
+    if (samples == null && probes.size() < MAX_PATHS) {
+      samples = new ArrayDeque<>();
+      probes.put(path, samples);
     }
-    if (of != null) {
-      addBounded(of, new Sample(now, ms));
+    if (samples != null) {
+      addBounded(samples, new Sample(now, ms));
     }
   }
 
@@ -121,7 +121,7 @@
     };
   }
 
-  /** Counts are known while the replicas are: silence is not the same as nothing having failed. */
+  /** Returns whether counts are known: missing reports do not mean that there were no failures. */
   private boolean hasCurrentData(MonotonicTime now) {
     return !now.since(readyUpdatedAt).longerThan(MAX_READY_AGE);
   }
@@ -142,14 +142,14 @@
   }
 
   private Double percentile(
-      ArrayDeque<Sample> answers, TimeSpan window, Quantity quantity, MonotonicTime now) {
+      ArrayDeque<Sample> samples, TimeSpan window, Quantity quantity, MonotonicTime now) {
     histogram.reset();
     int all = 0;
-    for (Sample answer : answers) {
-      if (within(answer.at, window, now)) {
+    for (Sample sample : samples) {
+      if (within(sample.at, window, now)) {
         all++;
-        if (answer.ms >= 0) {
-          histogram.recordValue(Math.min(answer.ms, MAX_LATENCY_MS));
+        if (sample.ms >= 0) {
+          histogram.recordValue(Math.min(sample.ms, MAX_LATENCY_MS));
         }
       }
     }
@@ -166,7 +166,7 @@
         quantity.field().equals("max")
             ? 1
             : Integer.parseInt(quantity.field().substring(1)) / 100.0;
-    // Probes without an answer count as slower than any: the percentile is over all that were made.
+    // Failed probes rank as slower than any other, so that the percentile covers all probes.
     double rank = part * all;
     if (rank > histogram.getTotalCount()) {
       return Double.POSITIVE_INFINITY;
--- a/src/main/java/io/saltflow/healthgates/SatisfiabilityCheck.java
+++ b/src/main/java/io/saltflow/healthgates/SatisfiabilityCheck.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * Finds gates that can never pass: a share above 100%, a count below 0, bounds of one quantity that
- * exclude each other, or a wait that is longer than a step may take. It finds those and no more: a
- * gate without a fault here may yet be one that no version ever meets.
+ * Finds gates that can never pass: a share above 100%, a count below 0, contradictory bounds of one
+ * quantity, or a duration longer than the step timeout. The check is incomplete: a gate without a
+ * fault may still be unsatisfiable.
  */
 final class SatisfiabilityCheck {
   private final double stepTimeoutMs;
@@ -18,12 +18,12 @@
     this.stepTimeoutMs = limitMs;
   }
 
-  /** Why the gate can't pass within that time; null: it may. */
+  /** Returns why the gate can never pass within this time, or {@code null} if it may. */
   static String fault(Gate gate, TimeSpan limit) {
     return new SatisfiabilityCheck(limit.ms()).fault(gate.condition(), true);
   }
 
-  /** From a least to a greatest value, both of them included. */
+  /** A range of values, both ends included. */
   private record Range(double min, double max) {
     Range and(Range other) {
       return new Range(Math.max(min, other.min), Math.min(max, other.max));
@@ -55,7 +55,7 @@
         condition instanceof Condition.All otherAll
             ? otherAll.parts()
             : ((Condition.Any) condition).parts();
-    // By De Morgan: to be false, a conjunction needs one part that is.
+    // By De Morgan's laws, a conjunction is false if any of its parts is.
     return all == wanted ? conjunctionFault(parts, wanted) : disjunctionFault(parts, wanted);
   }
 
--- a/src/main/java/io/saltflow/healthgates/Units.java
+++ b/src/main/java/io/saltflow/healthgates/Units.java
@@ -2,11 +2,11 @@
 
 import io.saltflow.model.TimeSpan;
 
-/** Amounts as gates write them. */
+/** Parses and formats amounts in the syntax of gates. */
 final class Units {
   private Units() {}
 
-  /** A duration's milliseconds: {@code 200ms}, {@code 30s}, {@code 5m}, {@code 1h}. */
+  /** Parses a duration such as {@code 200ms}, {@code 30s}, {@code 5m} or {@code 1h}. */
   static TimeSpan parseDuration(String text) {
     int unit = text.length() - (text.endsWith("ms") ? 2 : 1);
     double number = Double.parseDouble(text.substring(0, unit));
@@ -30,7 +30,7 @@
     return formatNumber(ms) + "ms";
   }
 
-  /** A value in its unit: shares from 0 to 1 as percentages, times in milliseconds. */
+  /** Formats a value: shares from 0 to 1 as percentages, times from milliseconds. */
   static String format(Measure.Unit unit, double value) {
     return switch (unit) {
       case SHARE -> formatNumber(value * 100) + "%";
--- a/src/main/java/io/saltflow/probes/ProbeBatch.java
+++ b/src/main/java/io/saltflow/probes/ProbeBatch.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * Probes to be made now.
+ * A batch of probes to send now.
  *
- * @param prober which controller makes them; empty: the leader itself
+ * @param prober the controller that sends them; empty for the leader itself
  */
-public record ProbeBatch(long batch, String prober, List<ReplicaProbe> targets) {
-  /** Where, in order. */
-  public List<ProbeFrame.ProbeTarget> places() {
-    return targets.stream().map(ReplicaProbe::place).toList();
+public record ProbeBatch(long batch, String prober, List<ReplicaProbe> probes) {
+  /** Returns the targets in the order of the probes. */
+  public List<ProbeFrame.ProbeTarget> targets() {
+    return probes.stream().map(ReplicaProbe::target).toList();
   }
 }
--- a/src/main/java/io/saltflow/probes/ProbeScheduler.java
+++ b/src/main/java/io/saltflow/probes/ProbeScheduler.java
@@ -16,24 +16,24 @@
 import java.util.Set;
 
 /**
- * Whom to probe next, by whom, and what the answers say: at a bounded rate over all services, each
- * service in turn and each of its replicas in turn. It knows no sockets and no clock.
+ * Schedules probes at a bounded rate over all services, round robin over services and over the
+ * replicas of each, and evaluates the responses. It uses neither sockets nor a clock.
  *
- * <p>A replica that one prober can't reach is asked by another where there is one, and counts as
- * failing only when both can't: a prober behind a cut would else take a sound version back. What
- * was not asked, or not answered by the prober, is not known at all.
+ * <p>A replica that one prober cannot reach is probed by another if there is one, and counts as
+ * failing only if both cannot reach it. Otherwise a partitioned prober could roll back a healthy
+ * version. Probes that were not made, or whose results were lost, have no result.
  */
 public final class ProbeScheduler {
   /**
-   * What may be asked.
+   * Limits of probing.
    *
-   * @param probesPerS probes a second over all services
-   * @param interval how often a replica is asked, if the rate allows it
-   * @param timeout how long a replica may take
+   * @param probesPerS probes per second over all services
+   * @param interval minimum time between two probes of a replica
+   * @param timeout how long a replica may take to respond
    */
   public record Limits(double probesPerS, TimeSpan interval, TimeSpan timeout) {}
 
-  /** A prober that asks for longer than this after the timeout has lost the call or its answer. */
+  /** Time beyond the probe timeout after which a request or its response counts as lost. */
   private static final TimeSpan RESPONSE_GRACE = TimeSpan.seconds(2);
 
   private static final int MAX_BATCHES = 64;
@@ -50,10 +50,10 @@
 
   private record PendingBatch(ProbeBatch probes, boolean isRetry, MonotonicTime expiresAt) {}
 
-  /** To be asked again, by another than this one. */
+  /** A probe to repeat from another prober than the first. */
   private record RetryProbe(ReplicaProbe target, String firstProber) {}
 
-  /** A service's replicas in turn. */
+  /** The replicas of a service in round-robin order. */
   private static final class TargetQueue {
     private final Map<ReplicaProbe, MonotonicTime> lastProbed = new HashMap<>();
     private final ArrayDeque<ReplicaProbe> order = new ArrayDeque<>();
@@ -69,7 +69,7 @@
       }
     }
 
-    /** The next that is due, or null. */
+    /** Returns the next replica that is due, or {@code null} if there is none. */
     ReplicaProbe due(TimeSpan every, MonotonicTime now) {
       ReplicaProbe next = order.peek();
       if (next == null || now.since(lastProbed.get(next)).compareTo(every) < 0) {
@@ -82,13 +82,13 @@
     }
   }
 
-  /** Creates a scheduler that knows no services. */
+  /** Creates a scheduler without services. */
   public ProbeScheduler(Limits limits, MonotonicTime now) {
     this.limits = limits;
     budget = new RateLimiter(limits.probesPerS, limits.probesPerS, now);
   }
 
-  /** The service's replicas that can be asked now; none: it is not probed. */
+  /** Sets the replicas of a service to probe; an empty collection ends its probes. */
   public void setTargets(String service, Collection<ReplicaProbe> targets) {
     if (targets.isEmpty()) {
       services.remove(service);
@@ -98,45 +98,45 @@
   }
 
   /**
-   * What to ask now.
+   * Returns the batches to send now.
    *
-   * @param peers the controllers that probe for the leader, as far as it can hear them
+   * @param peers the reachable controllers that probe for the leader
    */
   public List<ProbeBatch> due(List<String> peers, MonotonicTime now) {
     expire(now);
     List<String> probers = new ArrayList<>(peers);
     probers.add("");
-    Map<String, List<ReplicaProbe>> again = retries(probers, now);
-    Map<String, List<ReplicaProbe>> fresh = new LinkedHashMap<>();
-    List<TargetQueue> rotas = new ArrayList<>(services.values());
+    Map<String, List<ReplicaProbe>> retryTargets = retries(probers, now);
+    Map<String, List<ReplicaProbe>> newTargets = new LinkedHashMap<>();
+    List<TargetQueue> queues = new ArrayList<>(services.values());
     int idle = 0;
     int most = ProbeFrame.MAX_TARGETS * probers.size();
     for (int taken = 0;
-        idle < rotas.size() && taken < most && budget.canAcquire(1, now);
+        idle < queues.size() && taken < most && budget.canAcquire(1, now);
         nextService++) {
       ReplicaProbe target =
-          rotas.get(Math.floorMod(nextService, rotas.size())).due(limits.interval, now);
+          queues.get(Math.floorMod(nextService, queues.size())).due(limits.interval, now);
       idle = target == null ? idle + 1 : 0;
       if (target != null) {
         budget.tryAcquire(1, now);
         String prober = probers.get(taken++ % probers.size());
-        fresh.computeIfAbsent(prober, p -> new ArrayList<>()).add(target);
+        newTargets.computeIfAbsent(prober, p -> new ArrayList<>()).add(target);
       }
     }
     List<ProbeBatch> out = new ArrayList<>();
-    again.forEach((prober, targets) -> send(prober, targets, true, now, out));
-    fresh.forEach((prober, targets) -> send(prober, targets, false, now, out));
+    retryTargets.forEach((prober, targets) -> send(prober, targets, true, now, out));
+    newTargets.forEach((prober, targets) -> send(prober, targets, false, now, out));
     return out;
   }
 
   private Map<String, List<ReplicaProbe>> retries(List<String> probers, MonotonicTime now) {
     Map<String, List<ReplicaProbe>> out = new LinkedHashMap<>();
     for (int n = retries.size(); n > 0 && budget.tryAcquire(1, now); n--) {
-      RetryProbe second = retries.poll();
+      RetryProbe retry = retries.poll();
       for (String prober : probers) {
         List<ReplicaProbe> mine = out.computeIfAbsent(prober, p -> new ArrayList<>());
-        if (!prober.equals(second.firstProber) && mine.size() < ProbeFrame.MAX_TARGETS) {
-          mine.add(second.target);
+        if (!prober.equals(retry.firstProber) && mine.size() < ProbeFrame.MAX_TARGETS) {
+          mine.add(retry.target);
           break;
         }
       }
@@ -147,15 +147,15 @@
   private void send(
       String prober,
       List<ReplicaProbe> targets,
-      boolean second,
+      boolean isRetry,
       MonotonicTime now,
       List<ProbeBatch> out) {
     if (!targets.isEmpty() && pendingBatches.size() < MAX_BATCHES) {
-      ProbeBatch ask = new ProbeBatch(++lastBatch, prober, List.copyOf(targets));
+      ProbeBatch batch = new ProbeBatch(++lastBatch, prober, List.copyOf(targets));
       pendingBatches.put(
-          ask.batch(),
-          new PendingBatch(ask, second, now.plus(limits.timeout).plus(RESPONSE_GRACE)));
-      out.add(ask);
+          batch.batch(),
+          new PendingBatch(batch, isRetry, now.plus(limits.timeout).plus(RESPONSE_GRACE)));
+      out.add(batch);
     }
   }
 
@@ -163,37 +163,37 @@
     for (Iterator<PendingBatch> it = pendingBatches.values().iterator(); it.hasNext(); ) {
       PendingBatch batch = it.next();
       if (now.after(batch.expiresAt)) {
-        lostProbes += batch.probes.targets().size();
+        lostProbes += batch.probes.probes().size();
         it.remove();
       }
     }
   }
 
   /**
-   * A prober's answers; what they say of replicas that are still there.
+   * Handles a prober's response and returns the health of those replicas that are still targets.
    *
-   * @param times until the answers came, or one of {@link ProbeFrame}'s negative ones
-   * @param others whether anybody else could be asked too
+   * @param times the latencies in milliseconds, or one of {@link ProbeFrame}'s negative codes
+   * @param others whether there is another prober
    */
   public List<ReplicaHealth> onResponse(
       String prober, long batch, List<Long> times, boolean others) {
-    PendingBatch otherBatch = pendingBatches.get(batch);
+    PendingBatch pending = pendingBatches.get(batch);
     List<ReplicaHealth> out = new ArrayList<>();
-    if (otherBatch == null
-        || !otherBatch.probes.prober().equals(prober)
-        || times.size() != otherBatch.probes.targets().size()) {
+    if (pending == null
+        || !pending.probes.prober().equals(prober)
+        || times.size() != pending.probes.probes().size()) {
       return out;
     }
     pendingBatches.remove(batch);
     for (int i = 0; i < times.size(); i++) {
-      ReplicaProbe target = otherBatch.probes.targets().get(i);
-      TargetQueue rota = services.get(target.service());
+      ReplicaProbe target = pending.probes.probes().get(i);
+      TargetQueue queue = services.get(target.service());
       long ms = times.get(i);
       if (ms == ProbeFrame.NOT_PROBED) {
         lostProbes++;
-      } else if (rota != null && rota.lastProbed.containsKey(target)) {
+      } else if (queue != null && queue.lastProbed.containsKey(target)) {
         completedProbes++;
-        if (ms == ProbeFrame.UNREACHABLE && !otherBatch.isRetry && others) {
+        if (ms == ProbeFrame.UNREACHABLE && !pending.isRetry && others) {
           retries.add(new RetryProbe(target, prober));
         } else {
           out.add(new ReplicaHealth(target, ms));
@@ -203,7 +203,7 @@
     return out;
   }
 
-  /** Probes that were made, and those that were asked for and not made. */
+  /** Returns the number of probes that were made, and of those requested but not made. */
   public long[] counts() {
     return new long[] {completedProbes, lostProbes};
   }
--- a/src/main/java/io/saltflow/probes/ReplicaHealth.java
+++ b/src/main/java/io/saltflow/probes/ReplicaHealth.java
@@ -1,8 +1,9 @@
 package io.saltflow.probes;
 
 /**
- * What is known of a replica now.
+ * The result of a replica's probe.
  *
- * @param latencyMs until its answer came; negative: it answered badly, or nobody could reach it
+ * @param latencyMs the response time in milliseconds, or a negative code if the replica is
+ *     unhealthy or unreachable
  */
-public record ReplicaHealth(ReplicaProbe target, long latencyMs) {}
+public record ReplicaHealth(ReplicaProbe probe, long latencyMs) {}
--- a/src/main/java/io/saltflow/probes/ReplicaProbe.java
+++ b/src/main/java/io/saltflow/probes/ReplicaProbe.java
@@ -2,5 +2,5 @@
 
 import io.saltflow.protocol.ProbeFrame;
 
-/** A replica's place, and the service for which it is asked. */
-public record ReplicaProbe(String service, ProbeFrame.ProbeTarget place) {}
+/** The probe target of a replica and the service that it belongs to. */
+public record ReplicaProbe(String service, ProbeFrame.ProbeTarget target) {}
--- a/src/main/java/io/saltflow/rollouts/RolloutStateMachine.java
+++ b/src/main/java/io/saltflow/rollouts/RolloutStateMachine.java
@@ -19,14 +19,14 @@
   }
 
   /** Returns the next state, or the same state if there is nothing to do yet. */
-  public Rollout next(Rollout rollout, ReplicaStatus seen) {
+  public Rollout next(Rollout rollout, ReplicaStatus status) {
     return switch (rollout.phase()) {
-      case WAITING -> waiting(rollout, seen);
-      case MOVING -> moving(rollout, seen);
-      case CHECKING -> checking(rollout, seen);
+      case WAITING -> waiting(rollout, status);
+      case MOVING -> moving(rollout, status);
+      case CHECKING -> checking(rollout, status);
       case APPROVAL, PAUSED ->
-          stopConditionHolds(rollout, seen) ? rollBackOnStopCondition(rollout, seen) : rollout;
-      case BACK -> rollingBack(rollout, seen);
+          stopConditionHolds(rollout, status) ? rollBackOnStopCondition(rollout, status) : rollout;
+      case BACK -> rollingBack(rollout, status);
       case DONE, ROLLED_BACK, STUCK -> rollout;
     };
   }
@@ -35,40 +35,40 @@
    * Begins the step when a window is open. A step continues after its window closes, so that the
    * service is not left between two versions, and a clock that is set back does not interrupt it.
    */
-  private Rollout waiting(Rollout rollout, ReplicaStatus seen) {
-    if (stopConditionHolds(rollout, seen)) {
-      return rollBackOnStopCondition(rollout, seen);
+  private Rollout waiting(Rollout rollout, ReplicaStatus status) {
+    if (stopConditionHolds(rollout, status)) {
+      return rollBackOnStopCondition(rollout, status);
     }
-    return plan.windows().isOpen(seen.wallMs())
-        ? rollout.phase(Phase.MOVING, rollout.step(), seen.wallMs())
+    return plan.windows().isOpen(status.wallMs())
+        ? rollout.phase(Phase.MOVING, rollout.step(), status.wallMs())
         : rollout;
   }
 
-  private Rollout moving(Rollout rollout, ReplicaStatus seen) {
-    if (stopConditionHolds(rollout, seen)) {
-      return rollBackOnStopCondition(rollout, seen);
+  private Rollout moving(Rollout rollout, ReplicaStatus status) {
+    if (stopConditionHolds(rollout, status)) {
+      return rollBackOnStopCondition(rollout, status);
     }
     int target = plan.targetReplicas(rollout.step(), rollout.replicas());
-    Rollout moved = move(rollout, seen, target, rollout.replicas() - target, true);
+    Rollout moved = move(rollout, status, target, rollout.replicas() - target, true);
     if (!moved.equals(rollout)) {
       return moved;
     }
     if (rollout.desiredNew() == target && rollout.desiredOld() == rollout.replicas() - target) {
       return rollout.phase(Phase.CHECKING, rollout.step(), rollout.sinceWallMs());
     }
-    if (timedOut(rollout, seen)) {
+    if (timedOut(rollout, status)) {
       return rollBack(
           rollout,
-          seen,
+          status,
           stepName(rollout)
               + " was not complete within "
               + plan.stepTimeout().toSeconds()
               + " s: "
-              + seen.readyNew()
+              + status.readyNew()
               + " of "
               + rollout.desiredNew()
               + " new and "
-              + seen.readyOld()
+              + status.readyOld()
               + " of "
               + rollout.desiredOld()
               + " old replicas were ready.");
@@ -76,99 +76,101 @@
     return rollout;
   }
 
-  private Rollout checking(Rollout rollout, ReplicaStatus seen) {
-    if (stopConditionHolds(rollout, seen)) {
-      return rollBackOnStopCondition(rollout, seen);
+  private Rollout checking(Rollout rollout, ReplicaStatus status) {
+    if (stopConditionHolds(rollout, status)) {
+      return rollBackOnStopCondition(rollout, status);
     }
     if (rollout.desiredNew() != plan.targetReplicas(rollout.step(), rollout.replicas())) {
       // The service was scaled meanwhile, so the step is no longer complete.
       return rollout.phase(Phase.MOVING, rollout.step(), rollout.sinceWallMs());
     }
-    if (seen.gate().truth() == TernaryTruth.TRUE) {
+    if (status.gate().truth() == TernaryTruth.TRUE) {
       boolean approval = plan.steps().get(rollout.step()).approval();
       return approval
-          ? rollout.phase(Phase.APPROVAL, rollout.step(), seen.wallMs())
-          : nextStep(rollout, seen);
+          ? rollout.phase(Phase.APPROVAL, rollout.step(), status.wallMs())
+          : nextStep(rollout, status);
     }
-    if (timedOut(rollout, seen)) {
+    if (timedOut(rollout, status)) {
       return rollBack(
           rollout,
-          seen,
+          status,
           stepName(rollout)
               + " did not pass its gate within "
               + plan.stepTimeout().toSeconds()
               + " s: "
-              + String.join("; ", seen.gate().reasons())
+              + String.join("; ", status.gate().reasons())
               + ".");
     }
     return rollout;
   }
 
-  private Rollout nextStep(Rollout rollout, ReplicaStatus seen) {
+  private Rollout nextStep(Rollout rollout, ReplicaStatus status) {
     boolean last = rollout.step() + 1 == plan.steps().size();
     return last
-        ? rollout.phase(Phase.DONE, rollout.step(), seen.wallMs())
-        : rollout.phase(Phase.WAITING, rollout.step() + 1, seen.wallMs());
+        ? rollout.phase(Phase.DONE, rollout.step(), status.wallMs())
+        : rollout.phase(Phase.WAITING, rollout.step() + 1, status.wallMs());
   }
 
   private static String stepName(Rollout rollout) {
     return "Step " + (rollout.step() + 1);
   }
 
-  private boolean timedOut(Rollout rollout, ReplicaStatus seen) {
-    return seen.wallMs() - rollout.sinceWallMs() > plan.stepTimeout().ms();
+  private boolean timedOut(Rollout rollout, ReplicaStatus status) {
+    return status.wallMs() - rollout.sinceWallMs() > plan.stepTimeout().ms();
   }
 
-  private static boolean stopConditionHolds(Rollout rollout, ReplicaStatus seen) {
+  private static boolean stopConditionHolds(Rollout rollout, ReplicaStatus status) {
     return rollout.desiredNew() > 0
-        && seen.stop() != null
-        && seen.stop().truth() == TernaryTruth.TRUE;
+        && status.stop() != null
+        && status.stop().truth() == TernaryTruth.TRUE;
   }
 
-  private Rollout rollBackOnStopCondition(Rollout rollout, ReplicaStatus seen) {
+  private Rollout rollBackOnStopCondition(Rollout rollout, ReplicaStatus status) {
     return rollBack(
         rollout,
-        seen,
+        status,
         stepName(rollout)
             + " was stopped: "
             + plan.stop()
             + "; "
-            + String.join(", ", seen.stop().reasons())
+            + String.join(", ", status.stop().reasons())
             + ".");
   }
 
-  private static Rollout rollBack(Rollout rollout, ReplicaStatus seen, String why) {
-    return rollout.withReason(Phase.BACK, why, seen.wallMs());
+  private static Rollout rollBack(Rollout rollout, ReplicaStatus status, String why) {
+    return rollout.withReason(Phase.BACK, why, status.wallMs());
   }
 
-  private Rollout rollingBack(Rollout rollout, ReplicaStatus seen) {
-    if (seen.oldVersionFailure() != null) {
+  private Rollout rollingBack(Rollout rollout, ReplicaStatus status) {
+    if (status.oldVersionFailure() != null) {
       return stuck(
-          rollout, " The old version can't be started: " + seen.oldVersionFailure() + ".", seen);
+          rollout,
+          " The old version can't be started: " + status.oldVersionFailure() + ".",
+          status);
     }
-    Rollout moved = move(rollout, seen, rollout.replicas(), 0, false);
+    Rollout moved = move(rollout, status, rollout.replicas(), 0, false);
     if (!moved.equals(rollout)) {
       return moved;
     }
     int floor = Math.max(1, rollout.replicas() - plan.maxUnavailable());
     if (rollout.desiredNew() == 0
         && rollout.desiredOld() == rollout.replicas()
-        && seen.readyOld() >= floor) {
-      return rollout.withReason(Phase.ROLLED_BACK, rollout.reason(), seen.wallMs());
+        && status.readyOld() >= floor) {
+      return rollout.withReason(Phase.ROLLED_BACK, rollout.reason(), status.wallMs());
     }
-    if (seen.wallMs() - rollout.sinceWallMs() > plan.rollbackTimeout().ms()) {
+    if (status.wallMs() - rollout.sinceWallMs() > plan.rollbackTimeout().ms()) {
       return stuck(
           rollout,
           " Rolling back did not end within "
               + plan.rollbackTimeout().toSeconds()
               + " s either: "
-              + seen.readyOld()
+              + status.readyOld()
               + " of "
               + rollout.replicas()
               + " old replicas serve, and "
-              + seen.readyNew()
+              + status.readyNew()
               + " new ones.",
-          seen);
+          status);
     }
     return rollout;
   }
@@ -177,12 +179,12 @@
    * Ends a failed rollback. Serving replicas of both versions are kept, and as many old ones are
    * desired as the surge allows, since this final state is not evaluated again.
    */
-  private Rollout stuck(Rollout rollout, String why, ReplicaStatus seen) {
+  private Rollout stuck(Rollout rollout, String why, ReplicaStatus status) {
     int old =
         Math.min(rollout.replicas(), rollout.replicas() + plan.surge() - rollout.desiredNew());
     return rollout
         .withDesired(Math.max(old, rollout.desiredOld()), rollout.desiredNew())
-        .withReason(Phase.STUCK, rollout.reason() + why, seen.wallMs());
+        .withReason(Phase.STUCK, rollout.reason() + why, status.wallMs());
   }
 
   /**
@@ -191,39 +193,39 @@
    * counted as idle, as they may be serving behind a network partition.
    */
   private Rollout move(
-      Rollout rollout, ReplicaStatus seen, int growTo, int shrinkTo, boolean forth) {
-    int grows = forth ? rollout.desiredNew() : rollout.desiredOld();
-    int shrinks = forth ? rollout.desiredOld() : rollout.desiredNew();
-    int readyGrowing = forth ? seen.readyNew() : seen.readyOld();
-    int readyShrinking = forth ? seen.readyOld() : seen.readyNew();
-    int unseenShrinking = forth ? seen.unreachableOld() : seen.unreachableNew();
+      Rollout rollout, ReplicaStatus status, int growTo, int shrinkTo, boolean forward) {
+    int grows = forward ? rollout.desiredNew() : rollout.desiredOld();
+    int shrinks = forward ? rollout.desiredOld() : rollout.desiredNew();
+    int readyGrowing = forward ? status.readyNew() : status.readyOld();
+    int readyShrinking = forward ? status.readyOld() : status.readyNew();
+    int unseenShrinking = forward ? status.unreachableOld() : status.unreachableNew();
     int roomFor = rollout.replicas() + plan.surge() - shrinks;
     int grown =
         Math.min(Math.min(growTo, roomFor), readyGrowing + Math.max(1, plan.pace().maxStarting()));
-    if (forth) {
+    if (forward) {
       grown = Math.min(grown, zoneBound(rollout, readyGrowing));
-      int starts = Math.min(grown - grows, availableStarts(rollout, seen));
+      int starts = Math.min(grown - grows, availableStarts(rollout, status));
       if (starts > 0) {
-        return withStartsConsumed(rollout.withDesired(shrinks, grows + starts), starts, seen);
+        return withStartsConsumed(rollout.withDesired(shrinks, grows + starts), starts, status);
       }
     } else if (grown > grows) {
       return rollout.withDesired(grown, shrinks);
     }
-    int back = Math.min(shrinkTo, rollout.replicas() + plan.surge() - grows);
-    if (back > shrinks) {
+    int regrown = Math.min(shrinkTo, rollout.replicas() + plan.surge() - grows);
+    if (regrown > shrinks) {
       // The service was scaled up: the shrinking version gets its part of the new replicas, too.
-      return forth ? rollout.withDesired(back, grows) : rollout.withDesired(grows, back);
+      return forward ? rollout.withDesired(regrown, grows) : rollout.withDesired(grows, regrown);
     }
     int floor = rollout.replicas() - plan.maxUnavailable();
     int idle = Math.max(0, shrinks - readyShrinking - unseenShrinking);
     int spare = Math.max(0, readyShrinking + readyGrowing - floor);
     int fewer = Math.max(shrinkTo, shrinks - idle - spare);
     if (fewer < shrinks) {
-      return forth ? rollout.withDesired(fewer, grows) : rollout.withDesired(grows, fewer);
+      return forward ? rollout.withDesired(fewer, grows) : rollout.withDesired(grows, fewer);
     }
     if (grows > growTo) {
       // The service was scaled down.
-      return forth ? rollout.withDesired(shrinks, growTo) : rollout.withDesired(growTo, shrinks);
+      return forward ? rollout.withDesired(shrinks, growTo) : rollout.withDesired(growTo, shrinks);
     }
     return rollout;
   }
@@ -239,23 +241,24 @@
   }
 
   /** Returns how many starts the plan's rate allows now; one if the clock was set back. */
-  private int availableStarts(Rollout rollout, ReplicaStatus seen) {
+  private int availableStarts(Rollout rollout, ReplicaStatus status) {
     if (plan.pace().startsPerMinute() == 0) {
       return Integer.MAX_VALUE;
     }
-    long unused = seen.wallMs() - rollout.startsUsedUntilWallMs();
+    long unused = status.wallMs() - rollout.startsUsedUntilWallMs();
     long starts = unused < 0 ? 1 : unused * plan.pace().startsPerMinute() / 60_000;
     return (int) Math.min(starts, plan.pace().maxStarting());
   }
 
-  private Rollout withStartsConsumed(Rollout rollout, int starts, ReplicaStatus seen) {
+  private Rollout withStartsConsumed(Rollout rollout, int starts, ReplicaStatus status) {
     if (plan.pace().startsPerMinute() == 0) {
       return rollout;
     }
     long each = 60_000 / plan.pace().startsPerMinute();
     long unusedSince =
-        Math.max(rollout.startsUsedUntilWallMs(), seen.wallMs() - plan.pace().maxStarting() * each);
-    return rollout.withStartsUsedUntil(Math.min(seen.wallMs(), unusedSince + starts * each));
+        Math.max(
+            rollout.startsUsedUntilWallMs(), status.wallMs() - plan.pace().maxStarting() * each);
+    return rollout.withStartsUsedUntil(Math.min(status.wallMs(), unusedSince + starts * each));
   }
 
   /** Returns the state after an operator's command, or the same state if it does not apply. */
--- a/src/main/java/io/saltflow/services/LiveService.java
+++ b/src/main/java/io/saltflow/services/LiveService.java
@@ -75,14 +75,14 @@
 
   /** Replaces the record. A new rollout clears the observations. */
   void applyRecord(Service next) {
-    boolean other =
+    boolean newRollout =
         next.current() != null
             && (service.current() == null
                 || next.current().to() != service.current().to()
                 || next.version(next.current().to()).generation()
                     != service.version(service.current().to()).generation());
     service = next;
-    if (other) {
+    if (newRollout) {
       observations = new ReplicaObservations();
       evaluatedStep = -1;
       lastVerdict = null;
@@ -171,16 +171,16 @@
       return List.of();
     }
     List<ReplicaProbe> out = new ArrayList<>();
-    for (ServiceReplicas.TaskEndpoint at : job.replicas().servingEndpoints()) {
-      int colon = at.address().lastIndexOf(':');
+    for (ServiceReplicas.TaskEndpoint endpoint : job.replicas().servingEndpoints()) {
+      int colon = endpoint.address().lastIndexOf(':');
       if (colon > 0) {
-        String host = at.address().substring(0, colon);
+        String host = endpoint.address().substring(0, colon);
         for (String path : paths) {
           String get = path.equals(RolloutPlan.CONNECT) ? "" : path;
           out.add(
               new ReplicaProbe(
                   service.name(),
-                  new ProbeFrame.ProbeTarget(host, version.port() + at.index(), get)));
+                  new ProbeFrame.ProbeTarget(host, version.port() + endpoint.index(), get)));
         }
       }
     }
@@ -194,16 +194,16 @@
 
   /** Returns why the old version cannot be started any more, or {@code null} if it can. */
   private String oldVersionFailure(
-      LeaderCore leader, Service.RolloutRecord current, ServiceReplicas.ReplicaCounts old) {
+      LeaderCore leader, Service.RolloutRecord current, ServiceReplicas.ReplicaCounts oldCounts) {
     Job job = leader.jobs().find(jobIdOf(service.version(current.from())));
-    List<ServiceReplicas.UnexpectedExit> ends =
+    List<ServiceReplicas.UnexpectedExit> exits =
         job == null ? List.of() : job.replicas().takeUnexpectedExits();
-    if (current.rollout().phase() != Rollout.Phase.BACK || old.available() > maxOldReady) {
+    if (current.rollout().phase() != Rollout.Phase.BACK || oldCounts.available() > maxOldReady) {
       oldFailures = 0;
-      maxOldReady = old.available();
+      maxOldReady = oldCounts.available();
       return null;
     }
-    for (ServiceReplicas.UnexpectedExit unexpectedExit : ends) {
+    for (ServiceReplicas.UnexpectedExit unexpectedExit : exits) {
       oldFailures += unexpectedExit.failure() ? 1 : 0;
     }
     return oldFailures < MAX_OLD_FAILURES
@@ -218,19 +218,19 @@
   Rollout nextRollout(LeaderCore leader, MonotonicTime now, long wallMs) {
     Service.RolloutRecord current = service.current();
     startStepEvaluation(current, now);
-    ServiceReplicas.ReplicaCounts old = replicas(leader, current.from(), now);
-    ServiceReplicas.ReplicaCounts fresh = replicas(leader, current.to(), now);
-    observe(leader, current, fresh, now);
+    ServiceReplicas.ReplicaCounts oldCounts = replicas(leader, current.from(), now);
+    ServiceReplicas.ReplicaCounts newCounts = replicas(leader, current.to(), now);
+    observe(leader, current, newCounts, now);
     lastVerdict = gate.evaluate(observations, now);
     ReplicaStatus seen =
         new ReplicaStatus(
-            old.available(),
-            old.unreachable(),
-            fresh.available(),
-            fresh.unreachable(),
+            oldCounts.available(),
+            oldCounts.unreachable(),
+            newCounts.available(),
+            newCounts.unreachable(),
             lastVerdict,
             stop == null ? null : stop.evaluate(observations, now),
-            oldVersionFailure(leader, current, old),
+            oldVersionFailure(leader, current, oldCounts),
             wallMs);
     return new RolloutStateMachine(current.plan()).next(current.rollout(), seen);
   }
@@ -254,13 +254,13 @@
   private void observe(
       LeaderCore leader,
       Service.RolloutRecord current,
-      ServiceReplicas.ReplicaCounts fresh,
+      ServiceReplicas.ReplicaCounts newCounts,
       MonotonicTime now) {
     Job job = leader.jobs().find(jobIdOf(service.version(current.to())));
     if (job == null) {
       return;
     }
-    observations.ready(fresh.ready(), current.rollout().desiredNew(), now);
+    observations.ready(newCounts.ready(), current.rollout().desiredNew(), now);
     for (ServiceReplicas.UnexpectedExit unexpectedExit : job.replicas().takeUnexpectedExits()) {
       observations.recordExit(unexpectedExit.cause(), unexpectedExit.failure(), now);
       observations.recordRestart(now);
--- a/src/main/java/io/saltflow/services/ProbeLoop.java
+++ b/src/main/java/io/saltflow/services/ProbeLoop.java
@@ -49,13 +49,17 @@
             loop,
             this,
             links.prober(),
-            batch.places(),
+            batch.targets(),
             LIMITS.timeout(),
             t -> onResponse("", batch.batch(), t));
       } else {
         ProbeFrame.ProbeRequest request =
             new ProbeFrame.ProbeRequest(
-                batch.prober(), links.host(), batch.batch(), LIMITS.timeout().ms(), batch.places());
+                batch.prober(),
+                links.host(),
+                batch.batch(),
+                LIMITS.timeout().ms(),
+                batch.targets());
         links.send().accept(request.encode());
       }
     }
@@ -76,7 +80,7 @@
       TimeSpan timeout,
       Consumer<List<Long>> then) {
     Long[] times = new Long[places.size()];
-    int[] left = {places.size()};
+    int[] remaining = {places.size()};
     for (int i = 0; i < times.length; i++) {
       int index = i;
       prober.probe(
@@ -84,7 +88,7 @@
           timeout,
           ms -> {
             times[index] = ms;
-            if (--left[0] == 0 && !owner.cancelled()) {
+            if (--remaining[0] == 0 && !owner.cancelled()) {
               then.accept(Arrays.asList(times));
             }
           });
--- a/src/main/java/io/saltflow/services/ServiceController.java
+++ b/src/main/java/io/saltflow/services/ServiceController.java
@@ -92,13 +92,13 @@
    * Loads one record per turn of the event loop: loading all of them at once on a slow machine can
    * outlast the new leader's lease, and the next leader would repeat it.
    */
-  private void loadNext(ArrayDeque<Map.Entry<String, MessageBody>> left) {
-    Map.Entry<String, MessageBody> next = left.poll();
+  private void loadNext(ArrayDeque<Map.Entry<String, MessageBody>> remaining) {
+    Map.Entry<String, MessageBody> next = remaining.poll();
     if (next == null) {
       startLoops();
     } else {
       load(next.getKey(), next.getValue());
-      loop.schedule(RECORD_LOAD_INTERVAL, this, () -> loadNext(left));
+      loop.schedule(RECORD_LOAD_INTERVAL, this, () -> loadNext(remaining));
     }
   }
 
@@ -191,9 +191,9 @@
   }
 
   private void onProbeResult(ReplicaHealth replicaHealth) {
-    LiveService live = services.get(replicaHealth.target().service());
+    LiveService live = services.get(replicaHealth.probe().service());
     if (live != null && live.service().isRollingOut()) {
-      ProbeFrame.ProbeTarget place = replicaHealth.target().place();
+      ProbeFrame.ProbeTarget place = replicaHealth.probe().target();
       live.recordProbe(place, replicaHealth.latencyMs(), loop.now());
       traces.replicaProbed(live, place, replicaHealth.latencyMs());
     }
@@ -239,12 +239,12 @@
           live.writeInFlight = false;
           if (result == ServiceRepository.WriteResult.RECORDED) {
             logTransition(live.service(), next);
-            boolean other =
+            boolean rolloutChanged =
                 next.current() != null && !next.current().equals(live.service().current());
             live.applyRecord(next);
             reconcile(live);
             live.updateDisruptionBudget(leader, loop.now());
-            if (other) {
+            if (rolloutChanged) {
               traces.stateRecorded(live);
             }
           }
--- a/src/main/java/io/saltflow/tracing/Exporters.java
+++ b/src/main/java/io/saltflow/tracing/Exporters.java
@@ -12,20 +12,22 @@
 import java.util.logging.Logger;
 
 /**
- * Where spans go: a file of OTLP's JSON, a line a batch, or a collector that takes OTLP by HTTP.
+ * Creates span exporters: to a file of OTLP JSON with one batch per line, or to an OTLP collector
+ * over HTTP.
  */
 final class Exporters {
-  /** A file that is full is kept once, as FILE.1; the one before it goes. */
+  /** Size at which the file is rotated. One earlier file is kept. */
   private static final int MAX_FILE_BYTES = 64 << 20;
 
-  /** Held here: a logger that nobody holds may be collected, and its file with it. */
+  /** A strong reference, without which the logger and its file handler may be collected. */
   private static final Logger LOGGER =
       Logger.getLogger(OtlpJsonLoggingSpanExporter.class.getName());
 
   private Exporters() {}
 
   /**
-   * The exporter for a file's name or a collector's address ({@code http://HOST:PORT/v1/traces}).
+   * Returns the exporter for a file name or a collector's URL such as {@code
+   * http://HOST:PORT/v1/traces}.
    */
   static SpanExporter of(String target) throws IOException {
     if (!target.startsWith("http://") && !target.startsWith("https://")) {
@@ -34,7 +36,7 @@
     try {
       URI.create(target);
     } catch (IllegalArgumentException exception) {
-      throw new IOException(target + ": not an address", exception);
+      throw new IOException(target + ": invalid collector URL", exception);
     }
     return OtlpHttpSpanExporter.builder()
         .setEndpoint(target)
@@ -43,7 +45,7 @@
         .build();
   }
 
-  /** The exporter writes to a logger of its own name, so that logger is given the file. */
+  /** Directs the exporter, which writes to the logger of its class name, to a file. */
   private static SpanExporter file(String name) throws IOException {
     FileHandler file = new FileHandler(name.replace("%", "%%") + "%g", MAX_FILE_BYTES, 2, true);
     file.setFormatter(
--- a/src/main/java/io/saltflow/tracing/RolloutTracer.java
+++ b/src/main/java/io/saltflow/tracing/RolloutTracer.java
@@ -25,10 +25,9 @@
 import java.util.function.Consumer;
 
 /**
- * Each rollout as one trace by the OpenTelemetry library: the rollout, its steps and phases, the
- * starts and probes within them, and what the gate says. Spans are handed to the library's own
- * thread over a bounded queue; what does not fit in is dropped, and the rollout knows nothing of
- * it.
+ * Records each rollout as one OpenTelemetry trace with its phases, replica starts, probes and gate
+ * verdicts. Spans pass to the library's thread over a bounded queue and are dropped when it is
+ * full, without an effect on the rollout.
  */
 public final class RolloutTracer implements Consumer<RolloutEvent> {
   private static final int MAX_WAITING_SPANS = 4096;
@@ -38,13 +37,13 @@
   private final Tracer tracer;
   private final Map<RolloutId, PhaseSpan> phaseSpans = new HashMap<>();
 
-  /** A phase under way, and the span of it. */
+  /** The current phase of a rollout and its span. */
   private record PhaseSpan(Span span, int step, Rollout.Phase phase) {}
 
   /**
-   * To a file, or to a collector.
+   * Creates a tracer that exports to a file or to a collector.
    *
-   * @param target a file's name, or an address such as {@code http://10.0.0.1:4318/v1/traces}
+   * @param target a file name, or a URL such as {@code http://10.0.0.1:4318/v1/traces}
    * @param host this controller's name
    */
   public static RolloutTracer to(String target, String host) throws IOException {
@@ -74,11 +73,11 @@
 
   @Override
   public void accept(RolloutEvent event) {
-    RolloutId which = event.id();
+    RolloutId id = event.id();
     if (event instanceof RolloutEvent.StateRecorded stands) {
-      recordState(which, stands.rollout(), stands.wallMs());
+      recordState(id, stands.rollout(), stands.wallMs());
     } else if (event instanceof RolloutEvent.VerdictChanged judged) {
-      PhaseSpan phase = phaseSpans.get(which);
+      PhaseSpan phase = phaseSpans.get(id);
       if (phase != null) {
         phase.span.addEvent(
             "the gate is " + judged.verdict().name().toLowerCase(Locale.ROOT),
@@ -87,18 +86,18 @@
             TimeUnit.MILLISECONDS);
       }
     } else if (event instanceof RolloutEvent.ReplicaStarted started) {
-      childSpan(which, "start", started.wallMs() - started.tookMs())
+      childSpan(id, "start", started.wallMs() - started.tookMs())
           .startSpan()
           .end(started.wallMs(), MS);
     } else if (event instanceof RolloutEvent.ReplicaProbed probed) {
       long began = probed.wallMs() - Math.max(0, probed.ms());
-      Span span = childSpan(which, "probe", began).setAttribute("at", probed.at()).startSpan();
+      Span span = childSpan(id, "probe", began).setAttribute("at", probed.at()).startSpan();
       if (probed.ms() < 0) {
         span.setStatus(StatusCode.ERROR);
       }
       span.end(probed.wallMs(), MS);
     } else if (event instanceof RolloutEvent.LeadershipLost left) {
-      PhaseSpan phase = phaseSpans.remove(which);
+      PhaseSpan phase = phaseSpans.remove(id);
       if (phase != null) {
         phase.span.addEvent("this controller leads no longer", left.wallMs(), MS);
         phase.span.end(left.wallMs(), MS);
@@ -108,26 +107,26 @@
 
   private static final TimeUnit MS = TimeUnit.MILLISECONDS;
 
-  /** The rollout's span: written by whoever ends it, and known to all by its id. */
-  private static Context rootContext(RolloutId which) {
+  /** Returns the context of the rollout's span, whose id every leader can derive. */
+  private static Context rootContext(RolloutId id) {
     return Context.root()
         .with(
             Span.wrap(
                 SpanContext.createFromRemoteParent(
-                    SpanIds.traceId(which),
-                    SpanIds.rootSpanId(which),
+                    SpanIds.traceId(id),
+                    SpanIds.rootSpanId(id),
                     TraceFlags.getSampled(),
                     TraceState.getDefault())));
   }
 
-  private SpanBuilder childSpan(RolloutId which, String name, long fromWallMs) {
-    PhaseSpan phase = phaseSpans.get(which);
-    Context parent = phase == null ? rootContext(which) : Context.root().with(phase.span);
+  private SpanBuilder childSpan(RolloutId id, String name, long fromWallMs) {
+    PhaseSpan phase = phaseSpans.get(id);
+    Context parent = phase == null ? rootContext(id) : Context.root().with(phase.span);
     return tracer.spanBuilder(name).setParent(parent).setStartTimestamp(fromWallMs, MS);
   }
 
-  private void recordState(RolloutId which, Rollout rollout, long wallMs) {
-    PhaseSpan before = phaseSpans.get(which);
+  private void recordState(RolloutId id, Rollout rollout, long wallMs) {
+    PhaseSpan before = phaseSpans.get(id);
     if (before != null && before.step == rollout.step() && before.phase == rollout.phase()) {
       before.span.addEvent(
           rollout.desiredOld() + " old and " + rollout.desiredNew() + " new replicas are wanted",
@@ -137,10 +136,10 @@
     }
     if (before != null) {
       before.span.end(wallMs, MS);
-      phaseSpans.remove(which);
+      phaseSpans.remove(id);
     }
     if (rollout.phase().isFinal()) {
-      recordRolloutSpan(which, rollout, wallMs);
+      recordRolloutSpan(id, rollout, wallMs);
       return;
     }
     String name =
@@ -148,23 +147,23 @@
     Span span =
         tracer
             .spanBuilder(name)
-            .setParent(rootContext(which))
+            .setParent(rootContext(id))
             .setStartTimestamp(wallMs, MS)
             .setAttribute("wanted.old", rollout.desiredOld())
             .setAttribute("wanted.new", rollout.desiredNew())
             .startSpan();
-    phaseSpans.put(which, new PhaseSpan(span, rollout.step(), rollout.phase()));
+    phaseSpans.put(id, new PhaseSpan(span, rollout.step(), rollout.phase()));
   }
 
-  private void recordRolloutSpan(RolloutId which, Rollout rollout, long wallMs) {
-    ids.useRootIdsNext(which);
+  private void recordRolloutSpan(RolloutId id, Rollout rollout, long wallMs) {
+    ids.useRootIdsNext(id);
     Span root =
         tracer
-            .spanBuilder("roll-out of " + which.service())
+            .spanBuilder("roll-out of " + id.service())
             .setNoParent()
-            .setStartTimestamp(which.beganWallMs(), MS)
-            .setAttribute("from", which.from())
-            .setAttribute("to", which.to())
+            .setStartTimestamp(id.beganWallMs(), MS)
+            .setAttribute("from", id.from())
+            .setAttribute("to", id.to())
             .setAttribute("outcome", rollout.phase().name().toLowerCase(Locale.ROOT))
             .startSpan();
     if (rollout.phase() != Rollout.Phase.DONE) {
@@ -173,7 +172,7 @@
     root.end(wallMs, MS);
   }
 
-  /** Ends in order: what waits is exported, within some seconds. */
+  /** Exports pending spans, waiting for up to 5 s, and shuts down. */
   public void close() {
     provider.shutdown().join(5, TimeUnit.SECONDS);
   }
--- a/src/main/java/io/saltflow/tracing/SpanIds.java
+++ b/src/main/java/io/saltflow/tracing/SpanIds.java
@@ -6,18 +6,18 @@
 import java.util.UUID;
 
 /**
- * Ids of spans. A rollout's own are made from what it is, so that the leaders that follow each
- * other write into one trace without telling each other anything.
+ * Generates span and trace ids. Those of a rollout are derived from its identity, so that
+ * successive leaders write to one trace without coordination.
  */
 final class SpanIds implements IdGenerator {
   private final IdGenerator random = IdGenerator.random();
   private String nextSpanId;
   private String nextTraceId;
 
-  /** The next span is a rollout's own. */
-  void useRootIdsNext(RolloutEvent.RolloutId which) {
-    nextSpanId = rootSpanId(which);
-    nextTraceId = traceId(which);
+  /** Makes the next span the root span of a rollout. */
+  void useRootIdsNext(RolloutEvent.RolloutId rollout) {
+    nextSpanId = rootSpanId(rollout);
+    nextTraceId = traceId(rollout);
   }
 
   @Override
@@ -34,20 +34,26 @@
     return id;
   }
 
-  static String traceId(RolloutEvent.RolloutId which) {
-    UUID uuid = rolloutUuid(which);
+  static String traceId(RolloutEvent.RolloutId rollout) {
+    UUID uuid = rolloutUuid(rollout);
     return String.format(
         "%016x%016x", uuid.getMostSignificantBits(), uuid.getLeastSignificantBits());
   }
 
-  static String rootSpanId(RolloutEvent.RolloutId which) {
-    UUID uuid = rolloutUuid(which);
+  static String rootSpanId(RolloutEvent.RolloutId rollout) {
+    UUID uuid = rolloutUuid(rollout);
     return String.format("%016x", uuid.getMostSignificantBits() ^ uuid.getLeastSignificantBits());
   }
 
-  private static UUID rolloutUuid(RolloutEvent.RolloutId which) {
+  private static UUID rolloutUuid(RolloutEvent.RolloutId rollout) {
     String text =
-        which.service() + "\0" + which.from() + "\0" + which.to() + "\0" + which.beganWallMs();
+        rollout.service()
+            + "\0"
+            + rollout.from()
+            + "\0"
+            + rollout.to()
+            + "\0"
+            + rollout.beganWallMs();
     return UUID.nameUUIDFromBytes(text.getBytes(StandardCharsets.UTF_8));
   }
 }
--- a/src/main/java/io/saltflow/tracing/package-info.java
+++ b/src/main/java/io/saltflow/tracing/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Exports rollouts as OpenTelemetry traces. Optional: it is loaded only when operators ask for it,
- * and nothing depends on whether a span arrives.
+ * Exports rollouts as OpenTelemetry traces. The package is loaded only if tracing is enabled, and
+ * no decision depends on the delivery of a span.
  */
 package io.saltflow.tracing;
--- a/src/test/java/io/saltflow/healthgates/GateTest.java
+++ b/src/test/java/io/saltflow/healthgates/GateTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Gates: what they mean, when they pass, and what they say when they do not. */
+/** Tests parsing and evaluation of gates and the reasons that they report. */
 class GateTest {
   private static final TimeSpan NO_DATA_TIMEOUT = TimeSpan.seconds(60);
 
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void theExampleOfThePageIsRead() throws GateException {
+  void documentedExampleIsParsed() throws GateException {
     Gate gate =
         Gate.parse(
             "ready >= 95% for 30s and failures(5m) < 2 and probe(\"/healthz\").p99 < 200ms"
@@ -67,14 +67,14 @@
         "7  | ready $ 5% | mismatched input '$'",
         "12 | ready > 5% for | missing DURATION"
       })
-  void errorsPointAtTheColumn(int column, String text, String why) {
+  void parseErrorNamesColumn(int column, String text, String why) {
     GateException gateException = assertThrows(GateException.class, () -> Gate.parse(text));
     assertTrue(gateException.getMessage().contains(why), gateException.getMessage());
   }
 
-  /** A text that is nested without end must not end the leader's stack. */
+  /** Guards against a stack overflow of the leader by a deeply nested text. */
   @Test
-  void depthAndLengthAreBounded() {
+  void nestingAndLengthAreBounded() {
     assertThrows(GateException.class, () -> Gate.parse("(".repeat(900) + "ready > 1%"));
     assertThrows(GateException.class, () -> Gate.parse("not ".repeat(400) + "ready > 1%"));
     assertThrows(
@@ -83,7 +83,7 @@
   }
 
   @Test
-  void aConditionMustLast() throws GateException {
+  void conditionPassesOnlyAfterItsDuration() throws GateException {
     GateEvaluator gateEvaluator = evaluator("ready >= 95% for 30s");
     observedValues.put("ready", 0.5);
     assertEquals(TernaryTruth.FALSE, truthAfter(gateEvaluator, 0));
@@ -100,9 +100,9 @@
     assertEquals(List.of("ready >= 95%: false for 0ms, it is 90%"), fell.reasons());
   }
 
-  /** A check that flaps does not pass until it has been steady for as long as the gate says. */
+  /** Guards against a flapping check that passes before its recovery time. */
   @Test
-  void flappingFailsUntilItHasRecovered() throws GateException {
+  void flappingConditionFailsUntilRecovered() throws GateException {
     GateEvaluator gateEvaluator = evaluator("probe(\"/\").ok >= 99% for 5s recovers for 20s");
     String ok = "probe(\"/\").ok";
     for (int i = 0; i < 10; i++) {
@@ -119,7 +119,7 @@
   }
 
   @Test
-  void missingDataHoldsAndThenFailsAndNeverPasses() throws GateException {
+  void missingDataIsUnknownThenFails() throws GateException {
     GateEvaluator gateEvaluator =
         evaluator("ready >= 95% without data for 10s and not failures(1m) > 3");
     assertEquals(TernaryTruth.UNKNOWN, truthAfter(gateEvaluator, 0));
@@ -128,8 +128,11 @@
     assertEquals(TernaryTruth.FALSE, late.truth());
     assertEquals("ready >= 95%: no data for 10.1s", late.reasons().get(0));
     observedValues.put("ready", 1.0);
-    assertEquals(TernaryTruth.UNKNOWN, truthAfter(gateEvaluator, 1), "the other is not known yet");
-    assertEquals(TernaryTruth.FALSE, truthAfter(gateEvaluator, 60), "nor has it been for a minute");
+    assertEquals(
+        TernaryTruth.UNKNOWN,
+        truthAfter(gateEvaluator, 1),
+        "the second condition is still unknown");
+    assertEquals(TernaryTruth.FALSE, truthAfter(gateEvaluator, 60), "no data for a minute");
     observedValues.put("failures(1m)", 0.0);
     assertEquals(TernaryTruth.TRUE, truthAfter(gateEvaluator, 1));
     observedValues.put("failures(1m)", 4.0);
@@ -139,7 +142,7 @@
   }
 
   @Test
-  void whatIsKnownDecidesWhereItCan() throws GateException {
+  void knownValuesDecideDespiteUnknownOnes() throws GateException {
     observedValues.put("ready", 1.0);
     assertEquals(TernaryTruth.TRUE, truthAfter(evaluator("ready > 5% or age > 1s"), 0));
     assertEquals(TernaryTruth.UNKNOWN, truthAfter(evaluator("ready > 5% and age > 1s"), 0));
@@ -150,11 +153,11 @@
   }
 
   @Test
-  void sightingsAreCountedWithinTheirWindow() throws GateException {
+  void observationsAreCountedWithinWindow() throws GateException {
     ReplicaObservations replicaObservations = new ReplicaObservations();
     Quantity failures = Gate.parse("failures(1m) < 1").quantities().get(0);
     Quantity errors = Gate.parse("exits(\"error\", 1m) < 1").quantities().get(0);
-    assertEquals(null, replicaObservations.value(failures, now), "nobody has looked yet");
+    assertEquals(null, replicaObservations.value(failures, now), "unknown before the first report");
     replicaObservations.ready(3, 4, now);
     assertEquals(
         0.75, replicaObservations.value(Gate.parse("ready > 1%").quantities().get(0), now));
@@ -163,13 +166,13 @@
     assertEquals(2.0, replicaObservations.value(failures, now));
     assertEquals(1.0, replicaObservations.value(errors, now));
     now = now.plus(TimeSpan.seconds(61));
-    assertEquals(null, replicaObservations.value(failures, now), "silence is not health");
+    assertEquals(null, replicaObservations.value(failures, now), "unknown without recent reports");
     replicaObservations.ready(4, 4, now);
     assertEquals(0.0, replicaObservations.value(failures, now));
   }
 
   @Test
-  void aStepsAgeBeginsOnce() throws GateException {
+  void stepAgeStartsAtFirstCompletion() throws GateException {
     ReplicaObservations replicaObservations = new ReplicaObservations();
     Quantity age = Gate.parse("age > 1s").quantities().get(0);
     assertEquals(null, replicaObservations.value(age, now));
@@ -181,9 +184,9 @@
     assertEquals(null, replicaObservations.value(age, now));
   }
 
-  /** A probe without an answer is slower than any; one that could not be made says nothing. */
+  /** Guards against percentiles that ignore failed probes. */
   @Test
-  void percentilesCountWhatWasNotAnswered() throws GateException {
+  void percentilesIncludeFailedProbes() throws GateException {
     ReplicaObservations replicaObservations = new ReplicaObservations();
     Quantity p50 = Gate.parse("probe(\"/\").p50 < 1s").quantities().get(0);
     Quantity p99 = Gate.parse("probe(\"/\").p99 < 1s").quantities().get(0);
@@ -199,7 +202,7 @@
     assertEquals(0.98, replicaObservations.value(ok, now));
   }
 
-  /** What no version could ever meet is found before a rollout waits for it. */
+  /** Guards against rollouts that wait for a gate that can never pass. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -217,7 +220,7 @@
         "not (ready <= 100% or age < 1m) | not ready <= 100% never holds",
         "restarts(5m) == 1.5 | restarts(5m) == 1.5 never holds"
       })
-  void whatCanNeverPassIsFound(String text, String fault) throws GateException {
+  void unsatisfiableGateIsReported(String text, String fault) throws GateException {
     assertEquals(fault, Gate.parse(text).unsatisfiableReason(TimeSpan.seconds(600)));
   }
 
@@ -231,12 +234,12 @@
         "restarts(5m) != 1.5 and startup.p90 < 30s",
         "probe(\"/\").p99 > 1s and probe(\"/\").p50 < 1s"
       })
-  void whatMayPassIsLeftAlone(String text) throws GateException {
+  void satisfiableGateIsAccepted(String text) throws GateException {
     assertNull(Gate.parse(text).unsatisfiableReason(TimeSpan.seconds(600)));
   }
 
   @Test
-  void howLongReplicasTakeToStartCanBeAsked() throws GateException {
+  void startupLatencyCanBeGated() throws GateException {
     ReplicaObservations replicaObservations = new ReplicaObservations();
     GateEvaluator watch = evaluator("startup.p90 < 5s");
     assertEquals(TernaryTruth.UNKNOWN, watch.evaluate(replicaObservations, now).truth());
@@ -246,7 +249,7 @@
     assertEquals(
         TernaryTruth.TRUE,
         watch.evaluate(replicaObservations, now).truth(),
-        "one of ten may be slow");
+        "one of ten replicas may be slow");
     replicaObservations.recordStart(TimeSpan.seconds(60), now);
     assertEquals(TernaryTruth.FALSE, watch.evaluate(replicaObservations, now).truth());
   }
--- a/src/test/java/io/saltflow/probes/ProbeSchedulerTest.java
+++ b/src/test/java/io/saltflow/probes/ProbeSchedulerTest.java
@@ -14,7 +14,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Whom to probe, at which rate, by whom, and what counts. */
+/** Tests the rate and order of probes, the choice of probers and the evaluation of responses. */
 class ProbeSchedulerTest {
   private static final ProbeScheduler.Limits LIMITS =
       new ProbeScheduler.Limits(10, TimeSpan.seconds(5), TimeSpan.seconds(2));
@@ -34,49 +34,49 @@
     return out;
   }
 
-  private static List<Long> responses(ProbeBatch ask, long ms) {
-    return Collections.nCopies(ask.targets().size(), ms);
+  private static List<Long> responses(ProbeBatch batch, long ms) {
+    return Collections.nCopies(batch.probes().size(), ms);
   }
 
-  /** Fifty services of forty replicas are asked at the rate of one, each as often as any other. */
+  /** Guards against many services exceeding the rate, or starving some replicas. */
   @Test
-  void theRateIsSharedByAllServicesAndEachReplicaComesInItsTurn() {
+  void rateIsSharedFairlyByServicesAndReplicas() {
     for (int s = 0; s < 50; s++) {
       scheduler.setTargets("s" + s, replicas("s" + s, 40));
     }
     Map<ReplicaProbe, Integer> asked = new HashMap<>();
     for (int quarter = 0; quarter < 4 * 600; quarter++) {
-      for (ProbeBatch ask : scheduler.due(List.of("b", "c"), now())) {
-        ask.targets().forEach(t -> asked.merge(t, 1, Integer::sum));
-        assertTrue(ask.targets().size() <= ProbeFrame.MAX_TARGETS);
-        scheduler.onResponse(ask.prober(), ask.batch(), responses(ask, 3), true);
+      for (ProbeBatch batch : scheduler.due(List.of("b", "c"), now())) {
+        batch.probes().forEach(t -> asked.merge(t, 1, Integer::sum));
+        assertTrue(batch.probes().size() <= ProbeFrame.MAX_TARGETS);
+        scheduler.onResponse(batch.prober(), batch.batch(), responses(batch, 3), true);
       }
       nowMs += 250;
     }
     int sum = asked.values().stream().mapToInt(Integer::intValue).sum();
-    assertTrue(sum <= 6010 && sum > 5900, "600 s at ten a second: " + sum);
+    assertTrue(sum <= 6010 && sum > 5900, "probes in 600 s at 10 per second: " + sum);
     assertEquals(2000, asked.size());
     int most = Collections.max(asked.values());
-    assertTrue(most - Collections.min(asked.values()) <= 1, "most " + most);
+    assertTrue(most - Collections.min(asked.values()) <= 1, "most probes of a replica: " + most);
   }
 
   @Test
-  void fewReplicasAreNotAskedMoreOftenThanIsUseful() {
+  void replicaIsNotProbedMoreOftenThanInterval() {
     scheduler.setTargets("s", replicas("s", 2));
     int asked = 0;
     for (int quarter = 0; quarter < 4 * 20; quarter++) {
-      for (ProbeBatch ask : scheduler.due(List.of(), now())) {
-        asked += ask.targets().size();
-        scheduler.onResponse("", ask.batch(), responses(ask, 3), false);
+      for (ProbeBatch batch : scheduler.due(List.of(), now())) {
+        asked += batch.probes().size();
+        scheduler.onResponse("", batch.batch(), responses(batch, 3), false);
       }
       nowMs += 250;
     }
     assertEquals(2 * 4, asked, "every 5 s for 20 s");
   }
 
-  /** A prober behind a cut reaches nothing: others are asked before a sound version is blamed. */
+  /** Guards against a partitioned prober that makes healthy replicas count as failing. */
   @Test
-  void whatOneProberCannotReachAnotherIsAskedAbout() {
+  void unreachableReplicaIsProbedByAnotherProber() {
     scheduler.setTargets("s", replicas("s", 1));
     ProbeBatch first = scheduler.due(List.of("b"), now()).get(0);
     assertEquals("b", first.prober());
@@ -84,11 +84,11 @@
         List.of(),
         scheduler.onResponse("b", first.batch(), responses(first, ProbeFrame.UNREACHABLE), true));
     ProbeBatch second = scheduler.due(List.of("b"), now()).get(0);
-    assertEquals("", second.prober(), "not by the same again");
+    assertEquals("", second.prober(), "the retry uses another prober");
     assertEquals(
         12,
         scheduler.onResponse("", second.batch(), responses(second, 12), true).get(0).latencyMs(),
-        "it is well");
+        "the retry succeeded");
     nowMs += 6000;
     ProbeBatch third = scheduler.due(List.of("b"), now()).get(0);
     scheduler.onResponse(
@@ -97,59 +97,67 @@
     List<ReplicaHealth> found =
         scheduler.onResponse(
             fourth.prober(), fourth.batch(), responses(fourth, ProbeFrame.UNREACHABLE), true);
-    assertEquals(ProbeFrame.UNREACHABLE, found.get(0).latencyMs(), "two could not");
+    assertEquals(
+        ProbeFrame.UNREACHABLE, found.get(0).latencyMs(), "two probers could not reach it");
   }
 
   @Test
-  void anAnswerThatIsBadNeedsNoSecondOpinion() {
+  void unhealthyResponseIsNotRetried() {
     scheduler.setTargets("s", replicas("s", 1));
-    ProbeBatch ask = scheduler.due(List.of("b"), now()).get(0);
+    ProbeBatch batch = scheduler.due(List.of("b"), now()).get(0);
     List<ReplicaHealth> found =
-        scheduler.onResponse(ask.prober(), ask.batch(), responses(ask, ProbeFrame.UNHEALTHY), true);
+        scheduler.onResponse(
+            batch.prober(), batch.batch(), responses(batch, ProbeFrame.UNHEALTHY), true);
     assertEquals(ProbeFrame.UNHEALTHY, found.get(0).latencyMs());
   }
 
-  /** Half of the calls are lost: what is not answered is not known, and the rest goes on. */
+  /** Guards against lost requests that count as failures or block further probes. */
   @Test
-  void lostCallsSayNothingAndHoldNothingUp() {
+  void lostRequestsAreIgnoredAndDoNotBlock() {
     scheduler.setTargets("s", replicas("s", 10));
     SplittableRandom random = new SplittableRandom(3);
-    int told = 0;
+    int results = 0;
     for (int quarter = 0; quarter < 4 * 100; quarter++) {
-      for (ProbeBatch ask : scheduler.due(List.of("b"), now())) {
+      for (ProbeBatch batch : scheduler.due(List.of("b"), now())) {
         if (random.nextBoolean()) {
           List<ReplicaHealth> found =
-              scheduler.onResponse(ask.prober(), ask.batch(), responses(ask, 5), true);
+              scheduler.onResponse(batch.prober(), batch.batch(), responses(batch, 5), true);
           found.forEach(f -> assertEquals(5, f.latencyMs()));
-          told += found.size();
+          results += found.size();
         }
       }
       nowMs += 250;
     }
-    assertTrue(told > 60 && told < 140, "of 200 probes in 100 s: " + told);
+    assertTrue(results > 60 && results < 140, "results of 200 probes in 100 s: " + results);
     nowMs += 60_000;
     scheduler.due(List.of(), now());
-    assertTrue(scheduler.counts()[1] > 60, "counted as lost: " + scheduler.counts()[1]);
+    assertTrue(scheduler.counts()[1] > 60, "lost probes: " + scheduler.counts()[1]);
   }
 
   @Test
-  void lateForeignAndUnwantedAnswersAreDropped() {
+  void invalidOrLateResponsesAreDropped() {
     scheduler.setTargets("s", replicas("s", 2));
-    ProbeBatch ask = scheduler.due(List.of("b"), now()).get(0);
+    ProbeBatch batch = scheduler.due(List.of("b"), now()).get(0);
     assertEquals(
-        List.of(), scheduler.onResponse("c", ask.batch(), responses(ask, 1), true), "another's");
+        List.of(),
+        scheduler.onResponse("c", batch.batch(), responses(batch, 1), true),
+        "from another prober");
     assertEquals(
-        List.of(), scheduler.onResponse(ask.prober(), 99, responses(ask, 1), true), "of no batch");
+        List.of(),
+        scheduler.onResponse(batch.prober(), 99, responses(batch, 1), true),
+        "unknown batch");
     assertEquals(
-        List.of(), scheduler.onResponse(ask.prober(), ask.batch(), List.of(), true), "short");
+        List.of(),
+        scheduler.onResponse(batch.prober(), batch.batch(), List.of(), true),
+        "too few results");
     scheduler.setTargets("s", List.of());
     assertEquals(
         List.of(),
-        scheduler.onResponse(ask.prober(), ask.batch(), responses(ask, 1), true),
-        "gone since");
+        scheduler.onResponse(batch.prober(), batch.batch(), responses(batch, 1), true),
+        "no longer a target");
     assertEquals(
         List.of(),
-        scheduler.onResponse(ask.prober(), ask.batch(), responses(ask, 1), true),
-        "told before");
+        scheduler.onResponse(batch.prober(), batch.batch(), responses(batch, 1), true),
+        "duplicate response");
   }
 }
--- a/src/test/java/io/saltflow/rollouts/ExplorationTest.java
+++ b/src/test/java/io/saltflow/rollouts/ExplorationTest.java
@@ -195,7 +195,7 @@
       }
       for (TernaryTruth stop : new TernaryTruth[] {TernaryTruth.FALSE, TernaryTruth.TRUE}) {
         for (long elapsed : new long[] {0, 20_000}) {
-          ReplicaStatus seen =
+          ReplicaStatus status =
               new ReplicaStatus(
                   state.readyOld,
                   0,
@@ -205,7 +205,7 @@
                   new GateEvaluator.Verdict(stop, List.of()),
                   null,
                   state.record.sinceWallMs() + elapsed);
-          addDecision(state, injectedFault.apply(machine.next(state.record, seen)), out);
+          addDecision(state, injectedFault.apply(machine.next(state.record, status)), out);
         }
       }
     }
--- a/src/test/java/io/saltflow/rollouts/RolloutSimulation.java
+++ b/src/test/java/io/saltflow/rollouts/RolloutSimulation.java
@@ -136,7 +136,7 @@
     return rollout;
   }
 
-  void run(Strategy way) throws GateException {
+  void run(Strategy strategy) throws GateException {
     RolloutPlan plan = plan();
     RolloutStateMachine machine = new RolloutStateMachine(plan);
     GateEvaluator gate = new GateEvaluator(plan.gate(), TimeSpan.seconds(60));
@@ -151,8 +151,8 @@
         continue;
       }
       observe();
-      if (way != Strategy.GATED) {
-        runUngated(way);
+      if (strategy != Strategy.GATED) {
+        runUngated(strategy);
       } else if (!rollout.phase().isFinal()) {
         if (fault == Fault.FAILOVERS && now % 45 == 0) {
           gate = new GateEvaluator(plan.gate(), TimeSpan.seconds(60));
@@ -217,9 +217,9 @@
   }
 
   /** Moves by fixed delays, or as fast as replicas start. */
-  private void runUngated(Strategy way) {
+  private void runUngated(Strategy strategy) {
     int target = REPLICAS;
-    if (way == Strategy.FIXED_DELAY) {
+    if (strategy == Strategy.FIXED_DELAY) {
       int[] steps = {1, REPLICAS / 5, REPLICAS / 2, REPLICAS};
       target = steps[Math.min(steps.length - 1, now / FIXED_DELAY_S)];
     }
@@ -292,18 +292,18 @@
   }
 
   private int lifetime(Replica replica) {
-    int sound = 5_000 + random.nextInt(50_000);
-    int life = replica.fresh ? lifetime(replica, sound) : sound;
-    replica.healthyBuild = life == sound;
+    int normalLifetime = 5_000 + random.nextInt(50_000);
+    int life = replica.fresh ? lifetime(replica, normalLifetime) : normalLifetime;
+    replica.healthyBuild = life == normalLifetime;
     return life;
   }
 
-  private int lifetime(Replica replica, int sound) {
+  private int lifetime(Replica replica, int normalLifetime) {
     return switch (build) {
       case CRASHES -> 3 + random.nextInt(10);
       case CRASHES_LATE -> 25 + random.nextInt(10);
-      case ONE_ZONE -> replica.zone == 0 ? 10 + random.nextInt(10) : sound;
-      default -> sound;
+      case ONE_ZONE -> replica.zone == 0 ? 10 + random.nextInt(10) : normalLifetime;
+      default -> normalLifetime;
     };
   }
 
--- a/src/test/java/io/saltflow/rollouts/RolloutSimulationTest.java
+++ b/src/test/java/io/saltflow/rollouts/RolloutSimulationTest.java
@@ -20,14 +20,14 @@
   private record Summary(int runs, double unhealthyMinutes, int completed, double belowFloorS) {}
 
   private static Summary simulate(
-      RolloutSimulation.Build build, RolloutSimulation.Strategy way, int count)
+      RolloutSimulation.Build build, RolloutSimulation.Strategy strategy, int count)
       throws GateException {
     long unhealthySeconds = 0;
     int completed = 0;
     int belowFloor = 0;
     for (int seed = 0; seed < count; seed++) {
       RolloutSimulation simulation = new RolloutSimulation(seed, build);
-      simulation.run(way);
+      simulation.run(strategy);
       unhealthySeconds += simulation.unhealthyReplicaSeconds;
       completed += simulation.newVersionServes() ? 1 : 0;
       belowFloor += simulation.secondsBelowFloor;
@@ -53,28 +53,29 @@
   /** Guards against broken builds, and too few ready replicas, under additional faults. */
   @Test
   void faultsDoNotLetBrokenBuildComplete() throws GateException {
-    for (RolloutSimulation.Fault trouble : RolloutSimulation.Fault.values()) {
+    for (RolloutSimulation.Fault fault : RolloutSimulation.Fault.values()) {
       int completed = 0;
       for (RolloutSimulation.Build build : RolloutSimulation.Build.values()) {
         for (int seed = 0; seed < 8; seed++) {
-          RolloutSimulation simulation = new RolloutSimulation(seed, build, trouble);
+          RolloutSimulation simulation = new RolloutSimulation(seed, build, fault);
           simulation.run(RolloutSimulation.Strategy.GATED);
-          String which = trouble + ", " + build + ", seed " + seed + ": " + simulation.rollout();
-          assertEquals(0, simulation.secondsBelowFloor, which);
+          String description =
+              fault + ", " + build + ", seed " + seed + ": " + simulation.rollout();
+          assertEquals(0, simulation.secondsBelowFloor, description);
           if (build == RolloutSimulation.Build.HEALTHY) {
             completed += simulation.newVersionServes() ? 1 : 0;
           } else {
-            assertFalse(simulation.newVersionServes(), which);
+            assertFalse(simulation.newVersionServes(), description);
           }
         }
       }
       // A gate that must hold for 40 s rarely passes with a failover every 45 s, and steps without
       // surge capacity time out. Rollbacks are acceptable there; elsewhere healthy builds complete.
       boolean slow =
-          trouble == RolloutSimulation.Fault.FAILOVERS
-              || trouble == RolloutSimulation.Fault.NO_SURGE_CAPACITY;
+          fault == RolloutSimulation.Fault.FAILOVERS
+              || fault == RolloutSimulation.Fault.NO_SURGE_CAPACITY;
       assertTrue(
-          slow || completed >= 7, trouble + ": " + completed + " of 8 healthy builds completed");
+          slow || completed >= 7, fault + ": " + completed + " of 8 healthy builds completed");
     }
     RolloutSimulation noRoom =
         new RolloutSimulation(
@@ -118,8 +119,8 @@
     for (RolloutSimulation.Build build : RolloutSimulation.Build.values()) {
       Map<RolloutSimulation.Strategy, Summary> sums =
           new EnumMap<>(RolloutSimulation.Strategy.class);
-      for (RolloutSimulation.Strategy way : RolloutSimulation.Strategy.values()) {
-        sums.put(way, simulate(build, way, count));
+      for (RolloutSimulation.Strategy strategy : RolloutSimulation.Strategy.values()) {
+        sums.put(strategy, simulate(build, strategy, count));
       }
       System.out.println(build + " " + sums);
     }
--- a/src/test/java/io/saltflow/rollouts/RolloutStateMachineTest.java
+++ b/src/test/java/io/saltflow/rollouts/RolloutStateMachineTest.java
@@ -40,9 +40,9 @@
 
   private boolean step(int readyOld, int readyNew, GateEvaluator.Verdict gate) {
     wallMs += 1000;
-    ReplicaStatus seen =
+    ReplicaStatus status =
         new ReplicaStatus(readyOld, 0, readyNew, 0, gate, null, oldVersionFailure, wallMs);
-    Rollout next = machine.next(rollout, seen);
+    Rollout next = machine.next(rollout, status);
     boolean moved = !next.equals(rollout);
     rollout = next;
     if (moved) {
--- a/src/test/java/io/saltflow/tracing/RolloutTracerTest.java
+++ b/src/test/java/io/saltflow/tracing/RolloutTracerTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A rollout as a trace, through a change of leaders, and to where it is exported. */
+/** Tests the trace of a rollout across a failover, and its export. */
 class RolloutTracerTest {
   private static final RolloutEvent.RolloutId ROLLOUT_ID =
       new RolloutEvent.RolloutId("thumbs", "v1", "v2", 1_000_000);
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void twoLeadersWriteOneTrace() {
+  void traceContinuesAfterFailover() {
     RecordingExporter kept = new RecordingExporter();
     RolloutTracer first = new RolloutTracer(SimpleSpanProcessor.create(kept), "a");
     recordState(first, rolloutIn(Rollout.Phase.MOVING, ""), 1_000_100);
@@ -90,13 +90,13 @@
     Set<String> traces = kept.spans.stream().map(SpanData::getTraceId).collect(Collectors.toSet());
     assertEquals(1, traces.size());
     SpanData root = kept.spans.get(kept.spans.size() - 1);
-    List<String> told = new ArrayList<>();
+    List<String> spans = new ArrayList<>();
     for (SpanData spanData : kept.spans) {
       boolean below = spanData.getParentSpanId().equals(root.getSpanId());
       long ms =
           TimeUnit.NANOSECONDS.toMillis(
               spanData.getEndEpochNanos() - spanData.getStartEpochNanos());
-      told.add(
+      spans.add(
           (below ? "  " : spanData == root ? "" : "    ") + spanData.getName() + ", " + ms + " ms");
     }
     assertEquals(
@@ -108,13 +108,13 @@
             "  step 1 checking, 2000 ms",
             "  step 1 back, 1000 ms",
             "roll-out of thumbs, 6000 ms"),
-        told);
+        spans);
     assertEquals("too slow", root.getStatus().getDescription());
     assertEquals("the gate is false", kept.spans.get(4).getEvents().get(0).getName());
   }
 
   @Test
-  void aFileHoldsOtlpsJsonLineByLine(@TempDir Path folder) throws Exception {
+  void fileContainsOtlpJsonLines(@TempDir Path folder) throws Exception {
     RolloutTracer rolloutTracer = RolloutTracer.to(folder.resolve("traces").toString(), "a");
     recordState(rolloutTracer, rolloutIn(Rollout.Phase.MOVING, ""), 1_000_100);
     recordState(rolloutTracer, rolloutIn(Rollout.Phase.DONE, ""), 1_009_000);
@@ -126,7 +126,7 @@
   }
 
   @Test
-  void aCollectorGetsThemByHttp() throws Exception {
+  void collectorReceivesSpansOverHttp() throws Exception {
     BlockingQueue<String> posted = new LinkedBlockingQueue<>();
     EventLoop loop = new EventLoop();
     Root root = new Root();
