--- a/src/main/java/io/saltflow/tracing/RolloutTracer.java
+++ b/src/main/java/io/saltflow/tracing/RolloutTracer.java
@@ -74,15 +74,15 @@
   @Override
   public void accept(RolloutEvent event) {
     RolloutId id = event.id();
-    if (event instanceof RolloutEvent.StateRecorded stands) {
-      recordState(id, stands.rollout(), stands.wallMs());
-    } else if (event instanceof RolloutEvent.VerdictChanged judged) {
+    if (event instanceof RolloutEvent.StateRecorded recorded) {
+      recordState(id, recorded.rollout(), recorded.wallMs());
+    } else if (event instanceof RolloutEvent.VerdictChanged changed) {
       PhaseSpan phase = phaseSpans.get(id);
       if (phase != null) {
         phase.span.addEvent(
-            "the gate is " + judged.verdict().name().toLowerCase(Locale.ROOT),
-            Attributes.builder().put("reasons", String.join("; ", judged.reasons())).build(),
-            judged.wallMs(),
+            "the gate is " + changed.verdict().name().toLowerCase(Locale.ROOT),
+            Attributes.builder().put("reasons", String.join("; ", changed.reasons())).build(),
+            changed.wallMs(),
             TimeUnit.MILLISECONDS);
       }
     } else if (event instanceof RolloutEvent.ReplicaStarted started) {
