--- a/src/main/java/io/saltflow/cli/CommandOptions.java
+++ b/src/main/java/io/saltflow/cli/CommandOptions.java
@@ -41,7 +41,7 @@
 
   /** Traces rollouts to where {@code --trace} says; buffered spans are written at exit. */
   static Consumer<RolloutEvent> rolloutTracer(CommandLine line, String host) throws IOException {
-    RolloutTracer tracer = RolloutTracer.to(line.getOptionValue("trace"), host);
+    RolloutTracer tracer = RolloutTracer.create(line.getOptionValue("trace"), host);
     Runtime.getRuntime().addShutdownHook(new Thread(tracer::close, "traces-end"));
     return tracer;
   }
--- a/src/main/java/io/saltflow/cli/JobDescriptions.java
+++ b/src/main/java/io/saltflow/cli/JobDescriptions.java
@@ -29,7 +29,7 @@
   }
 
   /** The parameters of a service's tasks; null: the job is no service. */
-  ServiceController.Told serviceParameters(JobId id) {
+  ServiceController.TaskParameters serviceParameters(JobId id) {
     JobSpec spec = spec(id);
     if (spec == null || !spec.jobClass().startsWith(Wire.SERVICE_CLASS)) {
       return null;
@@ -37,7 +37,7 @@
     String name = spec.jobClass().substring(Wire.SERVICE_CLASS.length());
     MessageBody record = lookup.apply(ServiceRepository.recordKey(name));
     try {
-      return record == null ? null : ServiceController.told(record, id);
+      return record == null ? null : ServiceController.taskParameters(record, id);
     } catch (InvalidMessageException exception) {
       return null;
     }
--- a/src/main/java/io/saltflow/controller/PeerProtocol.java
+++ b/src/main/java/io/saltflow/controller/PeerProtocol.java
@@ -98,11 +98,11 @@
         && components.probeResponder() != null
         && request.to().equals(components.host())
         && request.from().equals(components.election().leaderHost())) {
-      components.probeResponder().called(request);
+      components.probeResponder().onRequest(request);
     } else if (frame instanceof ProbeFrame.ProbeResponse response
         && services != null
         && response.to().equals(components.host())) {
-      services.probed(response);
+      services.onProbeResponse(response);
     }
   }
 
--- a/src/main/java/io/saltflow/services/ProbeResponder.java
+++ b/src/main/java/io/saltflow/services/ProbeResponder.java
@@ -28,7 +28,7 @@
   }
 
   /** Handles a probe request that the leader sent to this controller. */
-  public void called(ProbeFrame.ProbeRequest call) {
+  public void onRequest(ProbeFrame.ProbeRequest call) {
     List<ProbeFrame.ProbeTarget> places = call.targets();
     if (places.isEmpty() || !rateLimiter.tryAcquire(places.size(), loop.now())) {
       respond(call, places.stream().map(p -> ProbeFrame.NOT_PROBED).toList());
--- a/src/main/java/io/saltflow/services/ServiceController.java
+++ b/src/main/java/io/saltflow/services/ServiceController.java
@@ -200,7 +200,7 @@
   }
 
   /** Handles a peer's results for probes that this leader requested from it. */
-  public void probed(ProbeFrame.ProbeResponse answers) {
+  public void onProbeResponse(ProbeFrame.ProbeResponse answers) {
     probeLoop.onResponse(answers.from(), answers.batch(), answers.latenciesMs());
   }
 
@@ -340,17 +340,17 @@
   /**
    * Parameters of a version's tasks: its first port, or 0 if it has none, and its own parameters.
    */
-  public record Told(int port, Map<String, String> parameters) {}
+  public record TaskParameters(int port, Map<String, String> parameters) {}
 
   /**
    * Returns the parameters of a job's tasks by a service's record, or {@code null} if the job does
    * not belong to the service.
    */
-  public static Told told(MessageBody record, JobId job) throws InvalidMessageException {
+  public static TaskParameters taskParameters(MessageBody record, JobId job) throws InvalidMessageException {
     LiveService live = new LiveService(ServiceCodec.decode(record));
     for (Service.Version version : live.service().versions()) {
       if (live.jobIdOf(version).equals(job)) {
-        return new Told(version.port(), version.parameters());
+        return new TaskParameters(version.port(), version.parameters());
       }
     }
     return null;
--- a/src/main/java/io/saltflow/tracing/RolloutTracer.java
+++ b/src/main/java/io/saltflow/tracing/RolloutTracer.java
@@ -46,7 +46,7 @@
    * @param target a file name, or a URL such as {@code http://10.0.0.1:4318/v1/traces}
    * @param host this controller's name
    */
-  public static RolloutTracer to(String target, String host) throws IOException {
+  public static RolloutTracer create(String target, String host) throws IOException {
     SpanProcessor batches =
         BatchSpanProcessor.builder(Exporters.of(target))
             .setMaxQueueSize(MAX_WAITING_SPANS)
--- a/src/test/java/io/saltflow/tracing/RolloutTracerTest.java
+++ b/src/test/java/io/saltflow/tracing/RolloutTracerTest.java
@@ -115,7 +115,7 @@
 
   @Test
   void fileContainsOtlpJsonLines(@TempDir Path folder) throws Exception {
-    RolloutTracer rolloutTracer = RolloutTracer.to(folder.resolve("traces").toString(), "a");
+    RolloutTracer rolloutTracer = RolloutTracer.create(folder.resolve("traces").toString(), "a");
     recordState(rolloutTracer, rolloutIn(Rollout.Phase.MOVING, ""), 1_000_100);
     recordState(rolloutTracer, rolloutIn(Rollout.Phase.DONE, ""), 1_009_000);
     rolloutTracer.close();
@@ -147,7 +147,7 @@
             });
     LoopThread thread = LoopThread.start(loop, root);
     RolloutTracer rolloutTracer =
-        RolloutTracer.to("http://127.0.0.1:" + collector.port() + "/v1/traces", "a");
+        RolloutTracer.create("http://127.0.0.1:" + collector.port() + "/v1/traces", "a");
     recordState(rolloutTracer, rolloutIn(Rollout.Phase.MOVING, ""), 1_000_100);
     recordState(rolloutTracer, rolloutIn(Rollout.Phase.DONE, ""), 1_009_000);
     rolloutTracer.close();
