--- a/src/main/java/io/saltflow/cli/LocalCluster.java
+++ b/src/main/java/io/saltflow/cli/LocalCluster.java
@@ -185,7 +185,8 @@
     return value == null ? null : value.data();
   }
 
-  private static ObjectStore.ServiceParameters serviceParameters(ServiceController.TaskParameters told) {
+  private static ObjectStore.ServiceParameters serviceParameters(
+      ServiceController.TaskParameters told) {
     return told == null ? null : new ObjectStore.ServiceParameters(told.port(), told.parameters());
   }
 
--- a/src/main/java/io/saltflow/config/QueueSettings.java
+++ b/src/main/java/io/saltflow/config/QueueSettings.java
@@ -141,12 +141,12 @@
     for (QueuePolicy policy : List.copyOf(queues.values())) {
       for (QueueId id : new QueueId[] {policy.results(), policy.deadLetters()}) {
         QueuePolicy existing = id == null ? null : queues.get(id);
-        if (existing != null && !existing.inward()) {
+        if (existing != null && !existing.internal()) {
           throw new ConfigException(
               "queues " + policy.id() + ": " + id + " takes messages of its own, so nothing else");
         }
         if (id != null && existing == null) {
-          queues.put(id, QueuePolicy.inward(id, DEFAULT_DELIVERY_TIMEOUT, DEFAULT_MAX_LENGTH));
+          queues.put(id, QueuePolicy.internal(id, DEFAULT_DELIVERY_TIMEOUT, DEFAULT_MAX_LENGTH));
         }
       }
     }
@@ -171,13 +171,13 @@
     List<String> warnings = new ArrayList<>();
     for (QueuePolicy policy : settings.queues()) {
       Policy.TeamQuota team = teams.get(policy.team());
-      if (team == null && (policy.machines() || policy.size().cores() > 0)) {
+      if (team == null && (policy.runsAsJobs() || policy.size().cores() > 0)) {
         warnings.add(
             "queues " + policy.id() + ": unknown team '" + policy.team() + "'; nothing will run");
       } else if (team != null && team.coreLimit() > 0 && policy.size().cores() > team.coreLimit()) {
         warnings.add("queues " + policy.id() + ": one message is more than its team's limit");
       }
-      if (!policy.inward() && policy.results() == null) {
+      if (!policy.internal() && policy.results() == null) {
         warnings.add(
             "queues " + policy.id() + ": no results; nobody will be told how messages end");
       }
--- a/src/main/java/io/saltflow/healthgates/Gate.java
+++ b/src/main/java/io/saltflow/healthgates/Gate.java
@@ -14,8 +14,8 @@
 import org.antlr.v4.runtime.tree.TerminalNode;
 
 /**
- * A parsed and type-checked health gate of a rollout plan, for example {@code ready >= 95% for 30s and failures(5m) <
- * 2 and probe("/healthz").p99 < 200ms}.
+ * A parsed and type-checked health gate of a rollout plan, for example {@code ready >= 95% for 30s
+ * and failures(5m) < 2 and probe("/healthz").p99 < 200ms}.
  */
 public final class Gate {
   private static final int MAX_TEXT_LENGTH = 2000;
--- a/src/main/java/io/saltflow/queues/Deliveries.java
+++ b/src/main/java/io/saltflow/queues/Deliveries.java
@@ -51,7 +51,7 @@
 
   boolean consume(ConsumerId id, QueueId queueId, boolean noAck, int limit) {
     QueueState queue = queues.get(queueId);
-    if (queue == null || queue.policy.machines()) {
+    if (queue == null || queue.policy.runsAsJobs()) {
       return false;
     }
     Consumer consumer = consumers.add(id, queue, noAck, limit);
@@ -138,7 +138,7 @@
       case ACK -> completion.complete(message, Outcome.DONE, null);
       case REJECT -> completion.complete(message, Outcome.FAILED, "its consumer rejected it");
       case REQUEUE -> {
-        if (message.queue.policy.repeats()) {
+        if (message.queue.policy.redeliverable()) {
           redeliver(message, "its consumer gave it back");
         } else {
           completion.complete(
@@ -169,7 +169,7 @@
    * started on it. Otherwise the outcome is unknown.
    */
   void consumerLost(Message message, String reason) {
-    if (message.queue.policy.repeats()) {
+    if (message.queue.policy.redeliverable()) {
       redeliver(message, reason);
     } else {
       completion.complete(message, Outcome.UNKNOWN, reason + "; whether it was done is not known");
@@ -178,7 +178,7 @@
 
   private void redeliver(Message message, String reason) {
     QueuePolicy policy = message.queue.policy;
-    if (message.attempts >= policy.attempts()) {
+    if (message.attempts >= policy.maxAttempts()) {
       completion.complete(
           message,
           Outcome.FAILED,
@@ -316,7 +316,9 @@
     consumers.addInFlightBytes(message.holder, -message.memoryBytes());
     overdue.add(
         new DeliveryDeadline(
-            context.now.plus(message.queue.policy.delivery()), message.no, message.attempts));
+            context.now.plus(message.queue.policy.deliveryTimeout()),
+            message.no,
+            message.attempts));
     context.emit(
         new Effect.Deliver(
             message.deliveryId(),
--- a/src/main/java/io/saltflow/queues/MessageJobs.java
+++ b/src/main/java/io/saltflow/queues/MessageJobs.java
@@ -50,7 +50,7 @@
     JobSpec spec = createJob(message);
     if (spec != null) {
       message.state = Message.State.RUNNING_AS_JOB;
-      message.attemptsExhausted = message.attempts >= message.queue.policy.attempts();
+      message.attemptsExhausted = message.attempts >= message.queue.policy.maxAttempts();
       context.emit(new Effect.Admit(message.no, spec, message.arrivedWallMs));
     }
   }
@@ -73,7 +73,7 @@
   /** Cancels the job if its number of failures has reached the limit. */
   void jobFailures(MessageNo no, int errors) {
     Message message = running(no);
-    if (message == null || errors < message.queue.policy.attempts()) {
+    if (message == null || errors < message.queue.policy.maxAttempts()) {
       return;
     }
     if (message.attemptsExhausted) {
--- a/src/main/java/io/saltflow/queues/PublishHandler.java
+++ b/src/main/java/io/saltflow/queues/PublishHandler.java
@@ -66,7 +66,7 @@
     Message message = new Message(entry, queue);
     message.pendingPublishes.add(pendingPublish);
     messages.add(message);
-    if (!queue.policy.machines() || messageJobs.canCreateJob(message)) {
+    if (!queue.policy.runsAsJobs() || messageJobs.canCreateJob(message)) {
       context.recorder.add(List.of(entry), () -> onRecorded(message), () -> onNotRecorded(message));
     }
   }
@@ -109,7 +109,7 @@
     if (queue == null) {
       return PublishRejection.NO_SUCH_QUEUE;
     }
-    if (queue.policy.inward()) {
+    if (queue.policy.internal()) {
       return PublishRejection.INWARD;
     }
     if (!accepting) {
@@ -126,9 +126,9 @@
     QueueId resultsId = queue.policy.results();
     QueueState results = resultsId == null ? null : queues.get(resultsId);
     long memory = messages.memoryBytes() + bytes + Message.OVERHEAD_BYTES;
-    return queue.messages >= queue.policy.mostWaiting()
+    return queue.messages >= queue.policy.maxMessages()
         || memory > limits.maxMemoryBytes()
-        || (results != null && results.messages >= results.policy.mostWaiting());
+        || (results != null && results.messages >= results.policy.maxMessages());
   }
 
   private long expiry(QueuePolicy policy, long ttlMs) {
@@ -142,7 +142,7 @@
   private void onRecorded(Message message) {
     messages.setBatch(message, context.recorder.batchNumber());
     context.confirm(message);
-    if (message.queue.policy.machines()) {
+    if (message.queue.policy.runsAsJobs()) {
       messageJobs.requestAdmission(message);
     } else {
       makeAvailable.accept(message);
--- a/src/main/java/io/saltflow/queues/QueueCore.java
+++ b/src/main/java/io/saltflow/queues/QueueCore.java
@@ -106,7 +106,7 @@
             kept.queue(),
             id ->
                 new QueueState(
-                    QueuePolicy.inward(id, UNCONFIGURED_DELIVERY_TIMEOUT, Integer.MAX_VALUE)));
+                    QueuePolicy.internal(id, UNCONFIGURED_DELIVERY_TIMEOUT, Integer.MAX_VALUE)));
     messages.remove(messages.find(kept.no()));
     Message message = new Message(kept, queue);
     messages.add(message);
@@ -125,7 +125,7 @@
   public void begin(MonotonicTime time, long wallMs) {
     context.setTime(time, wallMs);
     for (Message message : messages.all()) {
-      if (message.queue.policy.machines()) {
+      if (message.queue.policy.runsAsJobs()) {
         messageJobs.requestAdmission(message);
       } else if (message.maybeDelivered) {
         deliveries.consumerLost(message, "its consumer was lost with the leader that served it");
--- a/src/main/java/io/saltflow/queues/QueueState.java
+++ b/src/main/java/io/saltflow/queues/QueueState.java
@@ -54,7 +54,7 @@
    */
   Demand demand() {
     boolean countsNoResources = policy.size().cores() <= 0 && policy.size().gpus() <= 0;
-    if (policy.team().isEmpty() || countsNoResources || policy.machines()) {
+    if (policy.team().isEmpty() || countsNoResources || policy.runsAsJobs()) {
       return null;
     }
     int deliverable = deliverable();
--- a/src/main/java/io/saltflow/services/ServiceController.java
+++ b/src/main/java/io/saltflow/services/ServiceController.java
@@ -346,7 +346,8 @@
    * Returns the parameters of a job's tasks by a service's record, or {@code null} if the job does
    * not belong to the service.
    */
-  public static TaskParameters taskParameters(MessageBody record, JobId job) throws InvalidMessageException {
+  public static TaskParameters taskParameters(MessageBody record, JobId job)
+      throws InvalidMessageException {
     LiveService live = new LiveService(ServiceCodec.decode(record));
     for (Service.Version version : live.service().versions()) {
       if (live.jobIdOf(version).equals(job)) {
--- a/src/test/java/io/saltflow/cli/RolloutBenchmark.java
+++ b/src/test/java/io/saltflow/cli/RolloutBenchmark.java
@@ -148,7 +148,8 @@
     return value == null ? null : value.data();
   }
 
-  private static ObjectStore.ServiceParameters serviceParameters(ServiceController.TaskParameters told) {
+  private static ObjectStore.ServiceParameters serviceParameters(
+      ServiceController.TaskParameters told) {
     return told == null ? null : new ObjectStore.ServiceParameters(told.port(), told.parameters());
   }
 
--- a/src/test/java/io/saltflow/config/QueueSettingsTest.java
+++ b/src/test/java/io/saltflow/config/QueueSettingsTest.java
@@ -51,9 +51,9 @@
   @Test
   void defaultsFitAndNamedQueuesAreThere() throws Exception {
     AmqpSettings settings = read(GOOD);
-    assertEquals(5, queue(settings, "q").attempts());
-    assertTrue(queue(settings, "r").inward());
-    assertTrue(queue(settings, "d").inward());
+    assertEquals(5, queue(settings, "q").maxAttempts());
+    assertTrue(queue(settings, "r").internal());
+    assertTrue(queue(settings, "d").internal());
     assertTrue(QueueSettings.warnings(settings, Map.of()).isEmpty());
   }
 
@@ -63,9 +63,9 @@
     Path packed = Path.of("src/main/resources/queues-local.json");
     AmqpSettings settings = QueueSettings.read(packed);
     assertEquals(settings, QueueSettings.localDefaults());
-    assertTrue(queue(settings, "work").repeats());
-    assertFalse(queue(settings, "once").repeats());
-    assertTrue(queue(settings, "jobs").machines());
+    assertTrue(queue(settings, "work").redeliverable());
+    assertFalse(queue(settings, "once").redeliverable());
+    assertTrue(queue(settings, "jobs").runsAsJobs());
     AmqpSettings.User guest = settings.users().get(0);
     assertTrue(BCrypt.verifyer().verify("guest".toCharArray(), guest.hash()).verified);
     Path deploy = Path.of("deploy/queues.json");
--- a/src/test/java/io/saltflow/queues/QueueSimulation.java
+++ b/src/test/java/io/saltflow/queues/QueueSimulation.java
@@ -73,8 +73,8 @@
         policy(AT_MOST_ONCE, false, null, null),
         policy(DEAD_LETTERING, true, DEAD_LETTERS, null),
         policy(EXPIRING, true, null, TimeSpan.millis(300)),
-        QueuePolicy.inward(RESULTS, TimeSpan.millis(400), 1000),
-        QueuePolicy.inward(DEAD_LETTERS, TimeSpan.millis(400), 1000));
+        QueuePolicy.internal(RESULTS, TimeSpan.millis(400), 1000),
+        QueuePolicy.internal(DEAD_LETTERS, TimeSpan.millis(400), 1000));
   }
 
   /** Encodes results as {@code id outcome attempts}. */
