--- a/src/main/java/io/saltflow/config/ConfigException.java
+++ b/src/main/java/io/saltflow/config/ConfigException.java
@@ -1,9 +1,9 @@
 package io.saltflow.config;
 
-/** A settings file or an input file can't be used; the message names the file or the field. */
+/** Thrown for an invalid settings or input file; the message names the file or the field. */
 public final class ConfigException extends Exception {
   /**
-   * @param message is shown to the operator as it is
+   * @param message shown to the operator unchanged
    */
   public ConfigException(String message) {
     super(message);
--- a/src/main/java/io/saltflow/config/JsonSettingsReader.java
+++ b/src/main/java/io/saltflow/config/JsonSettingsReader.java
@@ -14,7 +14,7 @@
 import java.nio.file.Path;
 import java.util.Set;
 
-/** Reads operators' JSON files and validates them by a schema; loads the JSON libraries. */
+/** Reads operators' JSON files and validates them against a schema. */
 final class JsonSettingsReader {
   private JsonSettingsReader() {}
 
@@ -25,9 +25,9 @@
     } catch (JsonProcessingException exception) {
       throw new ConfigException(file + ": " + exception.getMessage());
     } catch (NoSuchFileException exception) {
-      throw new ConfigException(file + ": there is no such file");
+      throw new ConfigException(file + ": file does not exist");
     } catch (IOException exception) {
-      throw new ConfigException(file + ": can't be read: " + exception.getMessage());
+      throw new ConfigException(file + ": cannot be read: " + exception.getMessage());
     }
     try (InputStream in = JsonSettingsReader.class.getResourceAsStream(schemaResource)) {
       JsonSchema schema =
@@ -42,12 +42,12 @@
     return node;
   }
 
-  /** Reads a file that is packed with the program; tests have validated it. */
+  /** Reads a bundled resource without validating it; tests validate it against its schema. */
   static JsonNode resource(String name) {
     try (InputStream in = JsonSettingsReader.class.getResourceAsStream(name)) {
       return new ObjectMapper().readTree(in);
     } catch (IOException exception) {
-      throw new IllegalStateException(name + " is packed with the program", exception);
+      throw new IllegalStateException("cannot read the bundled resource " + name, exception);
     }
   }
 }
--- a/src/main/java/io/saltflow/config/OperatorSettings.java
+++ b/src/main/java/io/saltflow/config/OperatorSettings.java
@@ -24,8 +24,8 @@
 import java.util.TreeSet;
 
 /**
- * The operators' own settings, read from JSON and validated by a schema, which describes each
- * field. The components have the names of the fields; the defaults fit any site.
+ * Operator settings, read from JSON and validated against a schema that describes each field. The
+ * components are named after the fields of the file.
  */
 public record OperatorSettings(
     double leaderLeaseS,
@@ -52,7 +52,7 @@
     List<DeadlineRule> deadlineRules) {
   static final String SCHEMA = "/operator-settings.schema.json";
 
-  /** The settings without a file. */
+  /** Returns the settings that apply without a file. */
   public static OperatorSettings defaults() {
     return new OperatorSettings(
         5,
@@ -79,11 +79,15 @@
         List.of());
   }
 
-  /** Reads and validates a file; loads the JSON libraries. */
+  /**
+   * Reads and validates a settings file.
+   *
+   * @throws ConfigException if the file cannot be read or a field is invalid
+   */
   public static OperatorSettings read(Path file) throws ConfigException {
     JsonNode node = JsonSettingsReader.read(file, SCHEMA);
     OperatorSettings defaults = defaults();
-    LaneRules lanes = lanes(node.path("lanes"));
+    LaneRules lanes = laneRules(node.path("lanes"));
     if (!lanes.validationErrors().isEmpty()) {
       throw new ConfigException(file + ": " + String.join("; ", lanes.validationErrors()));
     }
@@ -122,7 +126,7 @@
     for (JsonNode ruleNode : list) {
       String zone = ruleNode.path("zone").asText("UTC");
       Set<DayOfWeek> days = EnumSet.noneOf(DayOfWeek.class);
-      texts(ruleNode.path("days")).forEach(d -> days.add(DAYS.get(d)));
+      texts(ruleNode.path("days")).forEach(day -> days.add(DAYS.get(day)));
       try {
         rules.add(
             new DeadlineRule(
@@ -136,7 +140,7 @@
                 ruleNode.path("share").asDouble(1)));
       } catch (DateTimeException exception) {
         throw new ConfigException(
-            file + ": readiness[" + rules.size() + "].zone: this Java knows no '" + zone + "'");
+            file + ": readiness[" + rules.size() + "].zone: unknown time zone '" + zone + "'");
       }
     }
     return rules;
@@ -152,17 +156,17 @@
           "sat", DayOfWeek.SATURDAY,
           "sun", DayOfWeek.SUNDAY);
 
-  private static LaneRules lanes(JsonNode list) {
+  private static LaneRules laneRules(JsonNode list) {
     List<LaneRule> rules = new ArrayList<>();
     for (JsonNode lane : list) {
-      Set<Priority> urgency = EnumSet.noneOf(Priority.class);
-      texts(lane.path("urgency")).forEach(u -> urgency.add(PriorityNames.parse(u)));
+      Set<Priority> priorities = EnumSet.noneOf(Priority.class);
+      texts(lane.path("urgency")).forEach(name -> priorities.add(PriorityNames.parse(name)));
       rules.add(
           new LaneRule(
               lane.path("name").asText(),
               texts(lane.path("classes")),
               texts(lane.path("teams")),
-              urgency));
+              priorities));
     }
     return new LaneRules(rules);
   }
@@ -173,7 +177,9 @@
     return texts;
   }
 
-  /** What is allowed and yet hardly intended with these platform settings. */
+  /**
+   * Returns warnings about values that are valid but probably unintended with the given settings.
+   */
   public List<String> warnings(PlatformSettings settings) {
     Set<String> classes = new TreeSet<>(settings.deadlineByClass().keySet());
     classes.addAll(settings.startTargetByClass().keySet());
@@ -192,12 +198,12 @@
     return warnings;
   }
 
-  /** For how long a leader leads without renewing its lease. */
+  /** Returns the duration of the leader lease. */
   public TimeSpan leaderLease() {
     return TimeSpan.seconds(leaderLeaseS);
   }
 
-  /** The scheduling policy that both kinds of settings make up. */
+  /** Returns the scheduling policy that results from the operator and platform settings. */
   public Policy policy(PlatformSettings settings) {
     return new Policy(
         settings.cpuShare(),
--- a/src/main/java/io/saltflow/config/PlatformSettings.java
+++ b/src/main/java/io/saltflow/config/PlatformSettings.java
@@ -20,21 +20,22 @@
 import java.util.Map;
 
 /**
- * The platform's settings, read from TOML and validated. Unknown fields are ignored. The platform's
- * deployment page describes them; the store's limits are the lower ones of those that hold and
- * those that are announced.
+ * Platform settings, read from TOML and validated. Unknown fields are ignored. Each limit of the
+ * key-value store is the lower of its current and its announced value.
  *
  * @param peers the mesh addresses of the other controllers
  * @param peerHosts their host names, in the same order
- * @param clusterSize how many controllers there are
- * @param deadlineByClass within which time jobs of a class are to be done, where an objective says
- *     so
- * @param startTargetByClass the same for their start
- * @param guaranteeStartTarget how soon work within a quota's guarantee is to start; null: no
- *     objective
- * @param cancelTimeout within which time a cancellation must have taken effect
- * @param cpuShare the part of a core that a controller may use, at most 1
- * @param clockSkew by how much a controller's wall clock may be off the true time, either way
+ * @param clusterSize the number of controllers
+ * @param deadlineByClass the time within which jobs of a class must finish, for classes with such
+ *     an objective
+ * @param startTargetByClass the time within which jobs of a class must start, for classes with such
+ *     an objective
+ * @param guaranteeStartTarget the time within which work covered by a guaranteed quota must start,
+ *     or {@code null} if there is no such objective
+ * @param cancelTimeout the time within which a cancellation must take effect
+ * @param cpuShare the fraction of a core that a controller may use, at most 1
+ * @param clockSkew the largest deviation of a controller's wall clock from the true time, in either
+ *     direction
  */
 public record PlatformSettings(
     String host,
@@ -63,7 +64,7 @@
     double cpuShare,
     TimeSpan clockSkew) {
 
-  /** How much a team may use at once; null: there is no such team. */
+  /** Returns the limit on a team's concurrent use, or {@code null} if there is no such team. */
   public Resources teamLimit(String name) {
     Policy.TeamQuota team = teams.get(name);
     double unlimited = Double.POSITIVE_INFINITY;
@@ -75,16 +76,24 @@
             unlimited);
   }
 
-  /** Reads and validates a file. */
+  /**
+   * Reads and validates a settings file.
+   *
+   * @throws ConfigException if the file cannot be read or a field is invalid
+   */
   public static PlatformSettings read(Path file) throws ConfigException {
     try (Reader in = Files.newBufferedReader(file)) {
       return parse(in);
     } catch (IOException exception) {
-      throw new ConfigException(file + ": can't be read: " + exception.getMessage());
+      throw new ConfigException(file + ": cannot be read: " + exception.getMessage());
     }
   }
 
-  /** Validates settings. */
+  /**
+   * Parses and validates the text of a settings file.
+   *
+   * @throws ConfigException if the text is not TOML or a field is invalid
+   */
   public static PlatformSettings parse(String toml) throws ConfigException {
     return parse(new StringReader(toml));
   }
@@ -147,7 +156,7 @@
     return teams;
   }
 
-  /** What is allowed and yet hardly intended; the controller starts all the same. */
+  /** Returns warnings about values that are valid but probably unintended. */
   public List<String> warnings() {
     List<String> warnings = new ArrayList<>();
     if (teams.isEmpty()) {
@@ -178,15 +187,15 @@
   }
 
   /**
-   * A limit of the key-value store: the lesser of what holds now and of what will hold from some
-   * moment on, without notice. What is written in between must be within both.
+   * Returns a limit of the key-value store: the lower of the current and the announced value. The
+   * announced value takes effect without notice, so writes must satisfy both.
    */
   private static double storeLimit(UnmodifiableConfig toml, String name) throws ConfigException {
     double now = positive(toml, "settings.state." + name, null);
     return Math.min(now, positive(toml, "settings.state.next." + name, now));
   }
 
-  /** The tightest time that the aims of a kind give each class. */
+  /** Returns the shortest time that the objectives of a kind set for each class. */
   private static Map<String, TimeSpan> tightestByClass(UnmodifiableConfig toml, String kind)
       throws ConfigException {
     Map<String, TimeSpan> tightest = new LinkedHashMap<>();
@@ -199,7 +208,7 @@
     return tightest;
   }
 
-  /** How soon work within a guarantee should start, where an aim says so; else null. */
+  /** Returns the shortest start time of the guarantee objectives, or {@code null} without any. */
   private static TimeSpan guaranteeStartTarget(UnmodifiableConfig toml) throws ConfigException {
     TimeSpan tightest = null;
     for (UnmodifiableConfig objective : tables(toml, "settings.objectives")) {
--- a/src/main/java/io/saltflow/config/QueueSettings.java
+++ b/src/main/java/io/saltflow/config/QueueSettings.java
@@ -19,7 +19,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the operators' settings of the AMQP server and its queues. */
+/** Reads the operators' settings for the AMQP server and its queues. */
 public final class QueueSettings {
   static final String SCHEMA = "/queues.schema.json";
   private static final String LOCAL_SETTINGS = "/queues-local.json";
@@ -28,7 +28,11 @@
 
   private QueueSettings() {}
 
-  /** Reads and validates a file. */
+  /**
+   * Reads and validates a settings file.
+   *
+   * @throws ConfigException if the file cannot be read or a field is invalid
+   */
   public static AmqpSettings read(Path file) throws ConfigException {
     try {
       return fromJson(JsonSettingsReader.read(file, SCHEMA));
@@ -40,7 +44,7 @@
     }
   }
 
-  /** The settings of {@code local} without a file. */
+  /** Returns the settings that {@code local} uses without a file. */
   public static AmqpSettings localDefaults() throws ConfigException {
     return fromJson(JsonSettingsReader.resource(LOCAL_SETTINGS));
   }
@@ -61,7 +65,7 @@
     for (JsonNode queue : node.path("queues")) {
       QueuePolicy policy = policy(queue);
       if (queues.put(policy.id(), policy) != null) {
-        throw new ConfigException("queues " + policy.id() + ": set up twice");
+        throw new ConfigException("queues " + policy.id() + ": defined twice");
       }
       if (hosts.stream().noneMatch(host -> host.name().equals(policy.id().vhost()))) {
         throw new ConfigException("queues " + policy.id() + ": no such virtual host");
@@ -97,7 +101,8 @@
     List<String> networks = texts(host.get("networks"));
     for (String network : networks) {
       if (new IPAddressString(network).getAddress() == null) {
-        throw new ConfigException("hosts.networks: '" + network + "' is no address with a prefix");
+        throw new ConfigException(
+            "hosts.networks: '" + network + "' is not an IP address or network");
       }
     }
     return networks;
@@ -105,7 +110,7 @@
 
   private static List<String> texts(JsonNode list) {
     List<String> texts = new ArrayList<>();
-    list.forEach(t -> texts.add(t.asText()));
+    list.forEach(item -> texts.add(item.asText()));
     return texts;
   }
 
@@ -136,14 +141,18 @@
     return name.isTextual() ? new QueueId(host, name.asText()) : null;
   }
 
-  /** Adds the queues of results and dead letters that other queues name. */
+  /** Adds the result and dead-letter queues that other queues refer to. */
   private static void addInternalQueues(Map<QueueId, QueuePolicy> queues) throws ConfigException {
     for (QueuePolicy policy : List.copyOf(queues.values())) {
       for (QueueId id : new QueueId[] {policy.results(), policy.deadLetters()}) {
         QueuePolicy existing = id == null ? null : queues.get(id);
         if (existing != null && !existing.internal()) {
           throw new ConfigException(
-              "queues " + policy.id() + ": " + id + " takes messages of its own, so nothing else");
+              "queues "
+                  + policy.id()
+                  + ": "
+                  + id
+                  + " accepts published messages and cannot receive results or dead letters");
         }
         if (id != null && existing == null) {
           queues.put(id, QueuePolicy.internal(id, DEFAULT_DELIVERY_TIMEOUT, DEFAULT_MAX_LENGTH));
@@ -166,7 +175,7 @@
         TimeSpan.seconds(bounds.path("rememberedS").asDouble(86_400)));
   }
 
-  /** What is allowed and yet can't work with these teams. */
+  /** Returns warnings about queues that are valid but cannot work with the given teams. */
   public static List<String> warnings(AmqpSettings settings, Map<String, Policy.TeamQuota> teams) {
     List<String> warnings = new ArrayList<>();
     for (QueuePolicy policy : settings.queues()) {
--- a/src/main/java/io/saltflow/config/package-info.java
+++ b/src/main/java/io/saltflow/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Settings files, read and validated: the platform's settings in TOML, and the operators' own in
- * JSON by a schema.
+ * Reads and validates settings files: platform settings in TOML, and operator settings in JSON,
+ * which are checked against a schema.
  */
 package io.saltflow.config;
--- a/src/main/java/io/saltflow/emulator/CloudServer.java
+++ b/src/main/java/io/saltflow/emulator/CloudServer.java
@@ -19,7 +19,9 @@
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
 
-/** Serves an {@link EmulatedCloud} over HTTP; each instance is a routine until it is deleted. */
+/**
+ * Serves an {@link EmulatedCloud} over HTTP. Each instance runs as a routine until it is deleted.
+ */
 public final class CloudServer extends Routine {
   private static final int MAX_PAGE_SIZE = 500;
   private static final int MAX_DELETES_PER_REQUEST = 100;
@@ -43,7 +45,7 @@
     this.instanceFactory = instanceFactory;
   }
 
-  /** Answers a request of the cloud's protocol at once. */
+  /** Handles a request of the cloud protocol and answers it before returning. */
   public void handle(String method, String target, byte[] body, Consumer<HttpResponse> answer) {
     MonotonicTime now = loop.now();
     if (!cloud.tryAcquire(now)) {
@@ -84,7 +86,7 @@
       if (ids.size() > MAX_DELETES_PER_REQUEST) {
         return badRequest(Wire.MACHINES + ": too many");
       }
-      // The protocol promises that they are gone when the answer arrives, with their tasks.
+      // The protocol guarantees that machines and their tasks are gone when the answer arrives.
       for (MachineId id : ids) {
         Routine instance = runningInstances.remove(id);
         if (instance != null) {
--- a/src/main/java/io/saltflow/emulator/EmulatedCloud.java
+++ b/src/main/java/io/saltflow/emulator/EmulatedCloud.java
@@ -14,14 +14,14 @@
 import java.util.TreeMap;
 
 /**
- * A cloud with a fixed number of machines: machine types, idempotent requests for instances, their
- * deletion, and a list that lags. Time is passed in; {@link CloudServer} starts the instances.
+ * Emulates a cloud with limited capacity, idempotent instance requests and an eventually consistent
+ * machine list. The caller passes in the time, and {@link CloudServer} starts the instances.
  */
 public final class EmulatedCloud {
-  /** The most instances that one request may ask for. */
+  /** Maximum number of instances per request. */
   public static final int MAX_INSTANCES_PER_REQUEST = 50;
 
-  /** A machine that was created; deleted at {@code NEVER} while it exists. */
+  /** A created machine; {@code deletedAt} is {@link MonotonicTime#NEVER} while it exists. */
   public record Instance(
       MachineId id,
       MachineType type,
@@ -46,8 +46,8 @@
   private int liveCount;
 
   /**
-   * @param namePrefix the prefix of machines' names; another one for each process, or a machine of
-   *     this one would be taken for one of the last
+   * @param namePrefix the prefix of machine names, which must differ between processes so that a
+   *     machine is not taken for one of an earlier process
    */
   public EmulatedCloud(
       List<MachineType> types,
@@ -60,7 +60,7 @@
     this.capacity = capacity;
     this.listLag = listLag;
     this.namePrefix = namePrefix;
-    // The protocol allows bursts worth two seconds.
+    // The protocol allows a burst of two seconds' worth of requests.
     rateLimiter = new RateLimiter(rps, 2 * rps, now);
   }
 
@@ -81,7 +81,10 @@
     return null;
   }
 
-  /** The machines of a request, created unless it was answered before; empty: no capacity. */
+  /**
+   * Creates the machines of a request, or returns those that an earlier request with the same name
+   * created. Returns an empty list if there is no capacity.
+   */
   List<MachineId> createInstances(
       String requestName,
       MachineType type,
@@ -112,7 +115,7 @@
     return instances.get(id.text());
   }
 
-  /** Deletes machines; unknown names are ignored. */
+  /** Deletes machines, ignoring unknown names. */
   void delete(Collection<MachineId> ids, MonotonicTime now) {
     for (MachineId id : ids) {
       Instance instance = instances.get(id.text());
@@ -123,7 +126,7 @@
     }
   }
 
-  /** A page of the machines as they were a list lag ago. */
+  /** Returns a page of the machine list as it was one list lag ago. */
   List<CloudCodec.ListedMachine> list(String after, int pageSize, MonotonicTime now) {
     MonotonicTime listedAt = new MonotonicTime(now.ms() - listLag.ms());
     instances.values().removeIf(instance -> instance.deletedAt.before(listedAt));
--- a/src/main/java/io/saltflow/emulator/EmulatedKeyValueStore.java
+++ b/src/main/java/io/saltflow/emulator/EmulatedKeyValueStore.java
@@ -14,28 +14,32 @@
 import java.util.function.Consumer;
 
 /**
- * A key-value store in memory for tests and measurements: the product's core, with a journal that
- * is durable at once, and outages on demand. Its methods execute requests of PROTOCOL directly.
+ * In-memory key-value store for tests and benchmarks, based on the production core, with a
+ * synchronous journal and outages on demand. Its methods execute the requests of the key-value
+ * store's protocol directly.
  */
 public final class EmulatedKeyValueStore {
-  /** Makes each change durable before it is answered. */
+  /** Makes changes durable before their requests are answered. */
   public interface Journal {
-    /** Returns once the steps are durable. */
-    void append(List<WriteBatch> steps) throws IOException;
+    /** Appends changes and returns once they are durable. */
+    void append(List<WriteBatch> batches) throws IOException;
   }
 
   private final KeyValueCore core;
   private final Journal journal;
   private MonotonicTime now;
 
-  /** An empty store with these limits. */
+  /** Creates an empty store with the given limits. */
   public EmulatedKeyValueStore(KeyValueLimits limits, Journal journal, MonotonicTime now) {
     core = new KeyValueCore(limits, now);
     this.journal = journal;
     this.now = now;
   }
 
-  /** The core, for a server that calls it directly and {@link #flush} after each request. */
+  /**
+   * Returns the core, for a server that calls it directly and calls {@link #flush} after each
+   * request.
+   */
   public KeyValueCore core() {
     return core;
   }
@@ -43,64 +47,72 @@
   /** Makes pending changes durable and answers their requests. */
   public void flush(MonotonicTime at) {
     now = at;
-    List<WriteBatch> steps = core.nextGroup();
-    if (steps.isEmpty()) {
+    List<WriteBatch> batches = core.nextGroup();
+    if (batches.isEmpty()) {
       return;
     }
     try {
-      journal.append(steps);
+      journal.append(batches);
       core.onDurable(now);
     } catch (IOException exception) {
       core.onWriteFailed();
     }
   }
 
-  /** The revision of the last change. */
+  /** Returns the revision of the last change. */
   public long revision() {
     return core.store().revision();
   }
 
-  /** The value of a key, or null. */
+  /** Returns the value of a key, or {@code null} if the key does not exist. */
   public KeyValueStore.Value value(String key) {
     return core.store().value(key);
   }
 
-  /** How many keys there are. */
+  /** Returns the number of keys. */
   public int size() {
     return core.store().size();
   }
 
-  /** An outage begins or ends; at its end every lease has its full time again. */
+  /**
+   * Starts or ends an outage. At the end of an outage, every lease gets its full duration again.
+   */
   public void setDown(boolean isDown, MonotonicTime at) {
     core.setDown(isDown, at);
   }
 
-  /** Why a request with so many writes is refused now: rate limit or outage; null: it is not. */
+  /**
+   * Returns the rejection of a request with the given number of writes because of the rate limit or
+   * an outage, or {@code null} if the request is accepted.
+   */
   public Reply refusal(int writeCount, MonotonicTime at) {
     return core.rejection(writeCount, at);
   }
 
-  /** The reply to reading a key. */
+  /** Returns the reply to a read of a key. */
   public Reply get(String key) {
     return core.store().get(key);
   }
 
-  /** The reply to listing a page of keys after the given one. */
+  /** Returns the reply to a request for the page of keys that follows the given key. */
   public Reply list(String prefix, String after, int page) {
     return core.store().list(prefix, after, page);
   }
 
-  /** The reply to a watch; null: there is no change yet and {@code evenNone} is false. */
-  public Reply changes(String prefix, long after, boolean evenNone) {
-    return core.store().changesSince(prefix, after, evenNone);
+  /**
+   * Returns the reply to a watch, or {@code null} if there is no change yet and {@code evenIfEmpty}
+   * is false.
+   */
+  public Reply changes(String prefix, long after, boolean evenIfEmpty) {
+    return core.store().changesSince(prefix, after, evenIfEmpty);
   }
 
-  /** How many writes a transaction counts as against the rate limit. */
+  /** Returns the number of writes that a transaction consumes of the rate limit. */
   public static int writeCount(MessageBody txn) {
     return CommitPipeline.writeCount(txn);
   }
 
-  /** Commits a transaction: all of its writes if every guard holds, else none. */
+  /** Commits a transaction: applies all of its writes if every guard holds, otherwise none. */
   public Reply commit(MessageBody txn) throws InvalidMessageException {
     Reply[] reply = new Reply[1];
     core.commit(txn, r -> reply[0] = r);
@@ -125,8 +137,8 @@
   /** Releases a lease and deletes its keys. */
   public Reply release(long id) {
     Reply[] reply = new Reply[1];
-    Consumer<Reply> tell = r -> reply[0] = r;
-    core.revokeLease(id, tell);
+    Consumer<Reply> callback = r -> reply[0] = r;
+    core.revokeLease(id, callback);
     return flushAndReply(reply);
   }
 
@@ -135,7 +147,7 @@
     return reply[0];
   }
 
-  /** Expires leases that were not renewed, and deletes the keys attached to them. */
+  /** Expires leases that were not renewed and deletes the keys attached to them. */
   public void expire(MonotonicTime at) {
     core.expireLeases(at);
     flush(at);
--- a/src/main/java/io/saltflow/emulator/EmulatedWorker.java
+++ b/src/main/java/io/saltflow/emulator/EmulatedWorker.java
@@ -20,8 +20,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A machine with its worker agent: once it has booted it sends heartbeats to the controllers and
- * executes the commands in their answers. Used on the event loop's thread.
+ * Emulates a machine with its worker agent. After booting, it sends heartbeats to the controllers
+ * and executes the commands in their answers. Confined to the event loop's thread.
  */
 public final class EmulatedWorker extends Routine {
   private static final Logger LOG = LoggerFactory.getLogger(EmulatedWorker.class);
@@ -42,10 +42,15 @@
   private MonotonicTime lastHeartbeatAt = MonotonicTime.LONG_AGO;
   private MonotonicTime nextHeartbeatAt;
 
-  /** How often a worker sends heartbeats, and how long it goes on without an answer. */
+  /**
+   * Timing of a worker.
+   *
+   * @param heartbeatInterval the average time between heartbeats
+   * @param lease the time after which a worker without an answer discards its tasks
+   */
   public record Timing(TimeSpan heartbeatInterval, TimeSpan lease) {}
 
-  /** Boots until the instance is ready; ends with its parent. */
+  /** Creates a worker that starts when its instance is ready and is cancelled with its parent. */
   public EmulatedWorker(
       Routine parent,
       EventLoop loop,
@@ -86,9 +91,9 @@
     if (worker.changed()) {
       replicaListener.updateRunning(worker.runningServices());
     }
-    boolean soon =
+    boolean statusChanged =
         worker.changed() && now.since(lastHeartbeatAt).compareTo(MIN_HEARTBEAT_INTERVAL) >= 0;
-    if (!heartbeatInFlight && (soon || !now.before(nextHeartbeatAt))) {
+    if (!heartbeatInFlight && (statusChanged || !now.before(nextHeartbeatAt))) {
       sendHeartbeat(now);
     }
   }
@@ -121,15 +126,16 @@
       WorkerHeartbeat heartbeat, HttpClient.Answer response, MonotonicTime sentAt) {
     try {
       MessageBody body = MessagePackCodec.decode(response.body());
-      Term token = new Term(body.integer(Wire.FENCING_TOKEN));
+      Term term = new Term(body.integer(Wire.FENCING_TOKEN));
       List<WorkerCommand> commands = WorkerCodec.decodeCommands(body);
-      worker.onAnswer(heartbeat.agentEpoch(), token, commands, sentAt, loop.now());
+      worker.onAnswer(heartbeat.agentEpoch(), term, commands, sentAt, loop.now());
     } catch (InvalidMessageException exception) {
-      LOG.error("{}: the answer can't be read: {}", heartbeat.machine(), exception.getMessage());
+      LOG.error(
+          "{}: invalid answer to a heartbeat: {}", heartbeat.machine(), exception.getMessage());
     }
   }
 
-  /** Turns to the next node a second later: this one doesn't answer workers now. */
+  /** Schedules the next heartbeat to the next node, as the current one does not answer workers. */
   private void tryNextNode() {
     nextHeartbeatAt = loop.now().plus(NEXT_NODE_DELAY);
     lastHeartbeatAt = loop.now();
--- a/src/main/java/io/saltflow/emulator/ObjectStore.java
+++ b/src/main/java/io/saltflow/emulator/ObjectStore.java
@@ -10,18 +10,18 @@
 import java.util.Set;
 import java.util.function.Function;
 
-/** The storage that machines share: descriptions of jobs, results of tasks, and checkpoints. */
+/** Storage shared by all machines: job descriptions, task results and checkpoints. */
 public final class ObjectStore {
   /**
-   * What a service's task gets besides its job's description.
+   * Parameters that a service task receives in addition to its job description.
    *
-   * @param port the first port of its version; 0: it does not listen
+   * @param port the first port of its version, or 0 if it does not listen
    * @param parameters the parameters of its version
    */
   public record ServiceParameters(int port, Map<String, String> parameters) {
     static final ServiceParameters NONE = new ServiceParameters(0, Map.of());
 
-    /** How an emulated replica is to behave: {@code dies 29}, {@code slow 300} and so on. */
+    /** Returns the behaviour that the parameters request for an emulated replica. */
     ReplicaBehaviour behaviour() {
       return ReplicaBehaviour.of(parameters.getOrDefault("behaves", "well"));
     }
@@ -33,15 +33,16 @@
   private final Map<TaskId, TimeSpan> checkpointedRunTime = new HashMap<>();
 
   /**
-   * @param descriptions the job's description, or null when there is none
+   * @param descriptions returns a job's description, or {@code null} if there is none
    */
   public ObjectStore(Function<JobId, JobSpec> descriptions) {
     this(descriptions, id -> null);
   }
 
   /**
-   * @param descriptions the job's description, or null when there is none
-   * @param services the parameters of a service's tasks, or null when the job is no service
+   * @param descriptions returns a job's description, or {@code null} if there is none
+   * @param services returns the parameters of a service's tasks, or {@code null} if the job does
+   *     not belong to a service
    */
   public ObjectStore(
       Function<JobId, JobSpec> descriptions, Function<JobId, ServiceParameters> services) {
--- a/src/main/java/io/saltflow/emulator/ReplicaBehaviour.java
+++ b/src/main/java/io/saltflow/emulator/ReplicaBehaviour.java
@@ -4,18 +4,22 @@
 import io.saltflow.model.TimeSpan;
 
 /**
- * How an emulated replica behaves, as the parameter {@code behaves} of its version says.
+ * Behaviour of an emulated replica, parsed from the parameter {@code behaves} of its version.
  *
- * @param failsAfter it fails so long after it began to run; null: it does not
- * @param responseTime how long it takes to answer a probe
- * @param flapInterval it is healthy and unhealthy by turns of this length; null: it does not flap
- * @param unhealthyZone the zone in which it is unhealthy; empty: none, {@code *}: all
+ * @param failsAfter the run time after which it fails, or {@code null} if it does not fail
+ * @param responseTime the time that it takes to answer a probe
+ * @param flapInterval the length of its alternating healthy and unhealthy phases, or {@code null}
+ *     if it does not flap
+ * @param unhealthyZone the zone in which it is unhealthy; empty for none, {@code *} for all
  */
 public record ReplicaBehaviour(
     TimeSpan failsAfter, TimeSpan responseTime, TimeSpan flapInterval, String unhealthyZone) {
   private static final TimeSpan NO_DELAY = TimeSpan.millis(0);
 
-  /** Reads {@code well}, {@code dies 29}, {@code slow 300}, {@code flaps 10}, {@code ill a}. */
+  /**
+   * Parses a behaviour: {@code well}, {@code dies 29} (seconds), {@code slow 300} (milliseconds),
+   * {@code flaps 10} (seconds) or {@code ill a} (zone).
+   */
   static ReplicaBehaviour of(String text) {
     String[] words = text.split(" ");
     String value = words.length > 1 ? words[1] : "";
@@ -30,7 +34,7 @@
     };
   }
 
-  /** Whether a probe is answered with success. */
+  /** Returns whether a probe succeeds at the given time. */
   boolean healthy(String zone, MonotonicTime now) {
     boolean healthyPhase = flapInterval == null || now.ms() / flapInterval.ms() % 2 == 0;
     return healthyPhase && !unhealthyZone.equals("*") && !unhealthyZone.equals(zone);
--- a/src/main/java/io/saltflow/emulator/ReplicaListener.java
+++ b/src/main/java/io/saltflow/emulator/ReplicaListener.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** The listening replicas of a machine: each answers any path as its version behaves. */
+/** HTTP servers of the replicas on a machine. Each answers every path as its version specifies. */
 final class ReplicaListener extends Routine {
   private static final int MAX_CLIENTS = 8;
 
@@ -27,15 +27,18 @@
     this.zone = zone;
   }
 
-  /** Listens for the tasks that run now; one whose port is taken is tried again next time. */
+  /**
+   * Starts and stops servers to match the running tasks. A task whose port is in use is retried
+   * with the next update.
+   */
   void updateRunning(Map<TaskId, ObjectStore.ServiceParameters> tasks) {
-    Set<TaskId> gone = new HashSet<>(servers.keySet());
-    gone.removeAll(tasks.keySet());
-    gone.forEach(task -> servers.remove(task).cancel());
+    Set<TaskId> stopped = new HashSet<>(servers.keySet());
+    stopped.removeAll(tasks.keySet());
+    stopped.forEach(task -> servers.remove(task).cancel());
     tasks.forEach(
-        (task, told) -> {
-          if (told.port() > 0 && !servers.containsKey(task)) {
-            listen(task, told);
+        (task, parameters) -> {
+          if (parameters.port() > 0 && !servers.containsKey(task)) {
+            listen(task, parameters);
           }
         });
   }
@@ -51,7 +54,7 @@
               MAX_CLIENTS,
               (method, target, body, answer) -> answer(parameters.behaviour(), answer)));
     } catch (IOException exception) {
-      // Another process has the port, perhaps for a moment: probes fail meanwhile.
+      // The port is in use by another process. Probes fail until a later update succeeds.
     }
   }
 
--- a/src/main/java/io/saltflow/emulator/WorkerStateMachine.java
+++ b/src/main/java/io/saltflow/emulator/WorkerStateMachine.java
@@ -18,15 +18,16 @@
 import java.util.Map;
 
 /**
- * The worker of PROTOCOL as a deterministic state machine: time, heartbeats and answers are passed
- * in. Tasks are timers. Their image's name says how they end: {@value #ERROR_IMAGE} fails when its
- * run time is over, {@value #HANG_IMAGE} never ends, any other succeeds.
+ * Worker agent as a deterministic state machine. The caller passes in the time and the answers to
+ * heartbeats. Tasks are timers, and the name of their image determines how they end: {@value
+ * #ERROR_IMAGE} fails at the end of its run time, {@value #HANG_IMAGE} never ends, and any other
+ * image succeeds.
  */
 public final class WorkerStateMachine {
-  /** The image of tasks that fail. */
+  /** Image of tasks that fail. */
   public static final String ERROR_IMAGE = "stand-in/error";
 
-  /** The image of tasks that never end. */
+  /** Image of tasks that never end. */
   public static final String HANG_IMAGE = "stand-in/hang";
 
   private record AttemptKey(TaskId task, Attempt attempt) {}
@@ -40,14 +41,14 @@
     MonotonicTime runningSince;
     MonotonicTime nextEventAt;
 
-    HostedTask(JobSpec spec, MonotonicTime fetched) {
+    HostedTask(JobSpec spec, MonotonicTime fetchedAt) {
       this.spec = spec;
-      this.nextEventAt = fetched;
+      this.nextEventAt = fetchedAt;
     }
 
-    void exitWith(WorkerHeartbeat.ExitCause why) {
+    void exitWith(WorkerHeartbeat.ExitCause exitCause) {
       state = WorkerHeartbeat.TaskState.EXITED;
-      cause = why;
+      cause = exitCause;
       nextEventAt = MonotonicTime.NEVER;
     }
   }
@@ -60,8 +61,8 @@
   private final ObjectStore objectStore;
   private final Map<AttemptKey, HostedTask> tasks = new LinkedHashMap<>();
   private final Map<String, MonotonicTime> imageReadyAt = new HashMap<>();
-  private Term token = Term.NONE;
-  private long session = 1;
+  private Term term = Term.NONE;
+  private long agentEpoch = 1;
   private long sequence;
   private MonotonicTime leaseRenewedAt;
   private boolean changed = true;
@@ -83,7 +84,7 @@
     this.leaseRenewedAt = now;
   }
 
-  /** The next heartbeat, with the status of every task. */
+  /** Returns the next heartbeat, with the status of every task. */
   WorkerHeartbeat nextHeartbeat() {
     changed = false;
     List<WorkerHeartbeat.TaskStatus> statuses = new ArrayList<>(tasks.size());
@@ -93,27 +94,33 @@
                 new WorkerHeartbeat.TaskStatus(
                     key.task, key.attempt, t.state, t.cause, t.checkpointSaved)));
     return new WorkerHeartbeat(
-        id, "127.0.0.1:0", type.name(), zone, spot, session, ++sequence, token, null, statuses);
+        id, "127.0.0.1:0", type.name(), zone, spot, agentEpoch, ++sequence, term, null, statuses);
   }
 
-  /** Whether something has changed since the last heartbeat. */
+  /** Returns whether the state has changed since the last heartbeat. */
   boolean changed() {
     return changed;
   }
 
-  /** Executes the answer to a heartbeat of that session, which was sent at that time. */
+  /**
+   * Executes the commands in the answer to a heartbeat. Answers to heartbeats of an earlier agent
+   * epoch and answers of an earlier term are ignored.
+   *
+   * @param heartbeatEpoch the agent epoch of the answered heartbeat
+   * @param sentAt the time at which the heartbeat was sent, from which the lease is renewed
+   */
   void onAnswer(
-      long reportSession,
-      Term answerToken,
+      long heartbeatEpoch,
+      Term answerTerm,
       List<WorkerCommand> commands,
       MonotonicTime sentAt,
       MonotonicTime now) {
     tick(now);
-    if (reportSession != session || answerToken.compareTo(token) < 0) {
+    if (heartbeatEpoch != agentEpoch || answerTerm.compareTo(term) < 0) {
       return;
     }
-    changed |= answerToken.compareTo(token) > 0;
-    token = answerToken;
+    changed |= answerTerm.compareTo(term) > 0;
+    term = answerTerm;
     leaseRenewedAt = sentAt;
     for (WorkerCommand command : commands) {
       execute(command, now);
@@ -128,8 +135,8 @@
         changed = true;
         tasks.put(key, launch(key, now));
       }
-    } else if (hosted != null && command instanceof WorkerCommand.Stop halt) {
-      stop(key.task, hosted, halt.grace(), now);
+    } else if (hosted != null && command instanceof WorkerCommand.Stop stopCommand) {
+      stop(key.task, hosted, stopCommand.grace(), now);
     } else if (hosted != null && hosted.state == WorkerHeartbeat.TaskState.EXITED) {
       tasks.remove(key);
       changed = true;
@@ -180,11 +187,11 @@
       return;
     }
     changed = true;
-    boolean saves =
+    boolean savesCheckpoint =
         hosted.state == WorkerHeartbeat.TaskState.RUNNING
             && hosted.spec.checkpoints()
             && grace.compareTo(hosted.spec.checkpointWrite()) >= 0;
-    if (saves) {
+    if (savesCheckpoint) {
       objectStore.saveCheckpoint(
           task, objectStore.checkpointedRunTime(task).plus(now.since(hosted.runningSince)));
       hosted.state = WorkerHeartbeat.TaskState.SAVING;
@@ -194,12 +201,15 @@
     }
   }
 
-  /** Ends the fetches, runs and leases that are over by now. */
+  /**
+   * Processes the fetches, runs and checkpoints that have ended, and discards all tasks if the
+   * lease has expired.
+   */
   void tick(MonotonicTime now) {
     if (now.since(leaseRenewedAt).longerThan(lease)) {
       changed |= !tasks.isEmpty();
       tasks.clear();
-      session++;
+      agentEpoch++;
       leaseRenewedAt = now;
       return;
     }
@@ -216,7 +226,7 @@
           hosted.checkpointSaved = true;
           hosted.exitWith(WorkerHeartbeat.ExitCause.STOPPED);
         }
-        case EXITED -> throw new IllegalStateException("an exited task waits for nothing");
+        case EXITED -> throw new IllegalStateException("an exited task has no next event");
       }
     }
   }
@@ -253,7 +263,7 @@
     }
   }
 
-  /** The running tasks of services, with their parameters. */
+  /** Returns the running tasks of services with their parameters. */
   Map<TaskId, ObjectStore.ServiceParameters> runningServices() {
     Map<TaskId, ObjectStore.ServiceParameters> running = new HashMap<>();
     tasks.forEach(
@@ -265,7 +275,7 @@
     return running;
   }
 
-  /** The next time at which {@link #tick} has something to do. */
+  /** Returns the next time at which {@link #tick} must be called. */
   MonotonicTime nextEventAt() {
     MonotonicTime next = leaseRenewedAt.plus(lease);
     for (HostedTask hosted : tasks.values()) {
--- a/src/main/java/io/saltflow/emulator/package-info.java
+++ b/src/main/java/io/saltflow/emulator/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Emulators of a key-value store, a cloud and its machines, in one process. {@code local} and the
- * tests run against them.
+ * In-process emulators of a key-value store, a cloud and its machines, used by {@code local} and by
+ * tests.
  */
 package io.saltflow.emulator;
--- a/src/test/java/io/saltflow/config/PlatformSettingsTest.java
+++ b/src/test/java/io/saltflow/config/PlatformSettingsTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Settings and the command line. */
+/** Tests for platform settings and for {@code check-config}. */
 public class PlatformSettingsTest {
   public static final String SETTINGS =
       """
@@ -71,10 +71,10 @@
       """;
 
   @TempDir Path folder;
-  private final ByteArrayOutputStream said = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream output = new ByteArrayOutputStream();
 
   private int run(String... args) {
-    PrintStream out = new PrintStream(said, true, StandardCharsets.UTF_8);
+    PrintStream out = new PrintStream(output, true, StandardCharsets.UTF_8);
     return SaltflowCommand.run(args, out, out);
   }
 
@@ -89,7 +89,9 @@
     PlatformSettings settings = PlatformSettings.parse(SETTINGS);
     assertEquals(40.0, settings.teams().get("red").coreLimit());
     assertEquals(
-        TimeSpan.seconds(200), settings.deadlineByClass().get("pages"), "the tightest aim counts");
+        TimeSpan.seconds(200),
+        settings.deadlineByClass().get("pages"),
+        "the shortest objective applies");
     assertEquals(8, settings.maxTransactionOperations());
   }
 
@@ -105,52 +107,54 @@
         "settings.cloud.rps | rps = 4.0 | rps = -1.0",
         "not TOML | [settings.cloud] | [settings.cloud"
       })
-  void badFieldIsNamed(String named, String good, String bad) {
-    ConfigException configException =
+  void invalidFieldIsNamed(String field, String valid, String invalid) {
+    ConfigException exception =
         assertThrows(
-            ConfigException.class, () -> PlatformSettings.parse(SETTINGS.replace(good, bad)));
-    assertTrue(configException.getMessage().startsWith(named), configException.getMessage());
+            ConfigException.class, () -> PlatformSettings.parse(SETTINGS.replace(valid, invalid)));
+    assertTrue(exception.getMessage().startsWith(field), exception.getMessage());
   }
 
-  /** The platform's file may grow, and a doubtful one must not keep the service from starting. */
+  /** Guards against a new or questionable platform setting keeping a controller from starting. */
   @Test
-  void whatIsNotKnownIsIgnoredAndWhatIsDoubtfulIsSaid() throws ConfigException, IOException {
-    String grown = SETTINGS.replace("[settings.cloud]", "[settings.moon]\nx = 1\n[settings.cloud]");
-    assertEquals(List.of(), PlatformSettings.parse(grown).warnings());
+  void unknownFieldsAreIgnoredAndQuestionableValuesAreReported()
+      throws ConfigException, IOException {
+    String extended =
+        SETTINGS.replace("[settings.cloud]", "[settings.moon]\nx = 1\n[settings.cloud]");
+    assertEquals(List.of(), PlatformSettings.parse(extended).warnings());
     String guarantee = SETTINGS.replace("cpus = 4.0", "cpus = 400.0");
     assertEquals(0, run("check-config", "--config", file("guarantee.toml", guarantee)));
-    assertTrue(said.toString(StandardCharsets.UTF_8).contains("red: cpus is more than cpus_max"));
+    assertTrue(output.toString(StandardCharsets.UTF_8).contains("red: cpus is more than cpus_max"));
     String none = SETTINGS.replaceAll("(?s)\\[\\[settings.teams.*?cpus_max = 40.0", "");
     assertTrue(PlatformSettings.parse(none).warnings().get(0).startsWith("settings.teams: none"));
   }
 
-  /** What will hold without notice holds for all that is written from the first moment. */
+  /** Guards against writes that exceed an announced limit once it takes effect without notice. */
   @Test
-  void theLesserOfTheLimitsThatHoldAndThoseToComeCounts() throws ConfigException {
+  void lowerOfCurrentAndAnnouncedLimitApplies() throws ConfigException {
     String next =
         "[settings.state.next]\nrps = 120.0\nwrite_rps = 18.0\nvalue_kb = 2.0\ntxn_ops = 4\n";
     PlatformSettings settings = PlatformSettings.parse(SETTINGS + next);
     assertEquals(
         100.0,
         settings.storeRequestsPerSecond(),
-        "more to come is not believed before it is there");
+        "an announced increase is not used before it takes effect");
     assertEquals(18.0, settings.storeWritesPerSecond());
     assertEquals(2.0, settings.maxValueKb());
     assertEquals(4, settings.maxTransactionOperations());
     assertEquals(List.of(), settings.warnings());
-    PlatformSettings some =
+    PlatformSettings partial =
         PlatformSettings.parse(SETTINGS + "[settings.state.next]\nvalue_kb = 0.5\n");
-    assertEquals(8, some.maxTransactionOperations(), "what it does not name stays");
-    assertTrue(some.warnings().get(0).startsWith("settings.state.value_kb"));
-    PlatformSettings least = PlatformSettings.parse(SETTINGS.replace("txn_ops = 8", "txn_ops = 1"));
-    assertTrue(least.warnings().get(0).startsWith("settings.state.txn_ops"));
-    ConfigException configException =
+    assertEquals(8, partial.maxTransactionOperations(), "limits that are not announced stay");
+    assertTrue(partial.warnings().get(0).startsWith("settings.state.value_kb"));
+    PlatformSettings minimal =
+        PlatformSettings.parse(SETTINGS.replace("txn_ops = 8", "txn_ops = 1"));
+    assertTrue(minimal.warnings().get(0).startsWith("settings.state.txn_ops"));
+    ConfigException exception =
         assertThrows(
             ConfigException.class,
             () -> PlatformSettings.parse(SETTINGS + "[settings.state.next]\ntxn_ops = 0\n"));
     assertTrue(
-        configException.getMessage().startsWith("settings.state.next.txn_ops"),
-        configException.getMessage());
+        exception.getMessage().startsWith("settings.state.next.txn_ops"), exception.getMessage());
   }
 
   @Test
@@ -161,7 +165,7 @@
   }
 
   @Test
-  void commandLineSaysWhatIsWrong() throws IOException {
+  void commandLineErrorsAreReported() throws IOException {
     String good = file("good.toml", SETTINGS);
     assertEquals(0, run("check-config", "--config", good));
     assertEquals(0, run("--help"));
@@ -170,23 +174,23 @@
     assertEquals(2, run("check-config"));
     assertEquals(2, run("dance"));
     assertEquals(2, run("serve", "--config", file("bad.toml", "host_name = 3")));
-    assertTrue(said.toString(StandardCharsets.UTF_8).contains("host_name: text is required"));
+    assertTrue(output.toString(StandardCharsets.UTF_8).contains("host_name: text is required"));
   }
 
   @Test
-  void operatorSettingsAreCheckedByTheirSchema() throws IOException {
+  void operatorSettingsAreValidatedAgainstSchema() throws IOException {
     String config = file("good.toml", SETTINGS);
     String good = file("ops.json", "{\"horizonS\": 30, \"preemptFrom\": \"critical\"}");
     assertEquals(0, run("check-config", "--config", config, "--settings", good));
     String unknown = file("unknown.json", "{\"horizon\": 30}");
     assertEquals(2, run("check-config", "--config", config, "--settings", unknown));
-    assertTrue(said.toString(StandardCharsets.UTF_8).contains("horizon"));
+    assertTrue(output.toString(StandardCharsets.UTF_8).contains("horizon"));
     String range = file("range.json", "{\"scaleDown\": 2}");
     assertEquals(2, run("check-config", "--config", config, "--settings", range));
     assertEquals(2, run("check-config", "--config", config, "--settings", file("x.json", "{")));
   }
 
-  /** Invalid lanes and deadline rules are refused by their field; doubtful ones are warned of. */
+  /** Invalid lanes and deadline rules are rejected by field; questionable ones cause a warning. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -197,7 +201,7 @@
         "2 | 'a' takes all | 'lanes': [{'name': 'a', 'teams': ['x']},"
             + " {'name': 'b', 'teams': ['x'], 'classes': ['c']}, {'name': 'c'}]",
         "2 | urgency | 'lanes': [{'name': 'a', 'urgency': ['soon']}]",
-        "2 | zone: this Java knows no 'Mars/Base' | 'readiness': [{'queue': 'q',"
+        "2 | zone: unknown time zone 'Mars/Base' | 'readiness': [{'queue': 'q',"
             + " 'opens': '18:00', 'by': '07:00', 'zone': 'Mars/Base'}]",
         "2 | opens: the same as by | 'readiness': [{'queue': 'q', 'opens': '07:00',"
             + " 'by': '07:00', 'zone': 'UTC'}]",
@@ -205,35 +209,36 @@
         "0 | has no team x | 'readiness': [{'queue': 'q', 'teams': ['x'], 'opens': '18:00',"
             + " 'by': '07:00', 'zone': 'Asia/Almaty', 'days': ['mon'], 'share': 0.9}]"
       })
-  void lanesAndDeadlineRulesAreChecked(int code, String says, String settings) throws IOException {
+  void lanesAndDeadlineRulesAreValidated(int code, String expected, String settings)
+      throws IOException {
     String config = file("good.toml", SETTINGS);
     String json = file("ops.json", "{" + settings.replace('\'', '"') + "}");
     assertEquals(code, run("check-config", "--config", config, "--settings", json));
-    String text = said.toString(StandardCharsets.UTF_8);
-    assertTrue(text.contains(says), text);
+    String text = output.toString(StandardCharsets.UTF_8);
+    assertTrue(text.contains(expected), text);
   }
 
   @Test
-  void plansAreCheckedForTheServiceAndItsTeamsLimit() throws IOException {
+  void rolloutPlanIsCheckedAgainstServiceAndTeamLimit() throws IOException {
     String config = file("good.toml", SETTINGS);
     String service =
         file(
             "service.json",
             "{\"name\": \"a\", \"crew\": \"red\", \"replicas\": 20, \"cores\": 2, \"bundle\": \"x\"}");
     String plan = file("plan.json", "{\"mostUnavailable\": 1}");
-    String[] good = {"check-config", "--config", config, "--service", service, "--plan", plan};
-    assertEquals(0, run(good));
+    String[] arguments = {"check-config", "--config", config, "--service", service, "--plan", plan};
+    assertEquals(0, run(arguments));
     file("plan.json", "{\"surge\": 2}");
-    assertEquals(2, run(good));
-    String text = said.toString(StandardCharsets.UTF_8);
+    assertEquals(2, run(arguments));
+    String text = output.toString(StandardCharsets.UTF_8);
     assertTrue(
         text.contains(
             "20 replicas and a surge of 2 are more than the limit of team red, and none may be"
                 + " unavailable"),
         text);
     file("plan.json", "{\"mostUnavailable\": 1, \"gate\": \"ready >= 95% for 20m\"}");
-    assertEquals(2, run(good));
-    text = said.toString(StandardCharsets.UTF_8);
+    assertEquals(2, run(arguments));
+    text = output.toString(StandardCharsets.UTF_8);
     assertTrue(text.contains("can never pass: ready >= 95% for 20m: longer than a step"), text);
     assertEquals(2, run("check-config", "--config", config, "--plan", plan));
   }
--- a/src/test/java/io/saltflow/config/QueueSettingsTest.java
+++ b/src/test/java/io/saltflow/config/QueueSettingsTest.java
@@ -24,7 +24,6 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The operators' file for queues. */
 class QueueSettingsTest {
   private static final String GOOD =
       """
@@ -49,7 +48,7 @@
   }
 
   @Test
-  void defaultsFitAndNamedQueuesAreThere() throws Exception {
+  void defaultsApplyAndReferencedQueuesAreCreated() throws Exception {
     AmqpSettings settings = read(GOOD);
     assertEquals(5, queue(settings, "q").maxAttempts());
     assertTrue(queue(settings, "r").internal());
@@ -57,11 +56,11 @@
     assertTrue(QueueSettings.warnings(settings, Map.of()).isEmpty());
   }
 
-  /** What local serves when nothing is said, as its page promises; checked by the same schema. */
+  /** Checks the bundled queues of {@code local} against the schema that applies to files. */
   @Test
-  void localServesWorkOnceAndJobs() throws Exception {
-    Path packed = Path.of("src/main/resources/queues-local.json");
-    AmqpSettings settings = QueueSettings.read(packed);
+  void localDefaultsContainWorkOnceAndJobsQueues() throws Exception {
+    Path bundled = Path.of("src/main/resources/queues-local.json");
+    AmqpSettings settings = QueueSettings.read(bundled);
     assertEquals(settings, QueueSettings.localDefaults());
     assertTrue(queue(settings, "work").redeliverable());
     assertFalse(queue(settings, "once").redeliverable());
@@ -79,39 +78,39 @@
         "networks: '10.0.0.0/99' | 10.0.0.0/8 | 10.0.0.0/99",
         "does not match the regex | $2a$04$ | plain",
         "is not defined in the schema | \"ttlS\" | \"ttl\"",
-        "r takes messages of its own | [{\"name\": \"q\" | [{\"name\": \"r\"}, {\"name\": \"q\"",
-        "set up twice | [{\"name\": \"q\" | [{\"name\": \"q\"}, {\"name\": \"q\"",
+        "r accepts published messages | [{\"name\": \"q\" | [{\"name\": \"r\"}, {\"name\": \"q\"",
+        "defined twice | [{\"name\": \"q\" | [{\"name\": \"q\"}, {\"name\": \"q\"",
         "no such virtual host | {\"name\": \"q\" | {\"host\": \"x\", \"name\": \"q\"",
         "Unexpected | \"queues\": | \"queues\""
       })
-  void badFieldIsNamed(String said, String good, String bad) {
-    ConfigException configException =
-        assertThrows(ConfigException.class, () -> read(GOOD.replace(good, bad)));
-    assertTrue(configException.getMessage().contains(said), configException.getMessage());
-    assertTrue(configException.getMessage().contains("queues.json"), configException.getMessage());
+  void invalidFieldIsNamed(String expected, String valid, String invalid) {
+    ConfigException exception =
+        assertThrows(ConfigException.class, () -> read(GOOD.replace(valid, invalid)));
+    assertTrue(exception.getMessage().contains(expected), exception.getMessage());
+    assertTrue(exception.getMessage().contains("queues.json"), exception.getMessage());
   }
 
   @Test
-  void whatCannotWorkIsDoubtful() throws Exception {
-    String doubtful = "{\"name\": \"q\", \"deliver\": \"machines\", \"team\": \"none\"}";
-    List<String> doubts =
+  void unusableQueueCausesWarnings() throws Exception {
+    String unusable = "{\"name\": \"q\", \"deliver\": \"machines\", \"team\": \"none\"}";
+    List<String> warnings =
         QueueSettings.warnings(
-            read(GOOD.replaceAll("\\{\"name\": \"q\".*", doubtful + "]")), Map.of());
-    assertEquals(2, doubts.size(), doubts.toString());
-    assertTrue(doubts.get(0).contains("unknown team 'none'"));
+            read(GOOD.replaceAll("\\{\"name\": \"q\".*", unusable + "]")), Map.of());
+    assertEquals(2, warnings.size(), warnings.toString());
+    assertTrue(warnings.get(0).contains("unknown team 'none'"));
   }
 
   @Test
-  void passwordsAreHashedWithoutBeingTyped() {
-    ByteArrayOutputStream said = new ByteArrayOutputStream();
-    PrintStream out = new PrintStream(said, true);
+  void passwordIsReadFromStandardInputAndHashed() {
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
+    PrintStream out = new PrintStream(output, true);
     assertEquals(
         0,
         HashPasswordCommand.run(
             new ByteArrayInputStream("secret\n".getBytes(StandardCharsets.UTF_8)), out, out));
     assertTrue(
         BCrypt.verifyer()
-            .verify("secret".toCharArray(), said.toString(StandardCharsets.UTF_8).trim())
+            .verify("secret".toCharArray(), output.toString(StandardCharsets.UTF_8).trim())
             .verified);
     assertEquals(2, HashPasswordCommand.run(new ByteArrayInputStream(new byte[0]), out, out));
   }
--- a/src/test/java/io/saltflow/emulator/EmulatedKeyValueStoreTest.java
+++ b/src/test/java/io/saltflow/emulator/EmulatedKeyValueStoreTest.java
@@ -16,16 +16,16 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** PROTOCOL's state section, sentence by sentence. */
+/** Tests the rules of the key-value store protocol. */
 class EmulatedKeyValueStoreTest {
   private static final KeyValueLimits LIMITS = new KeyValueLimits(100, 10, 1, 4);
-  private static final MessageBody X = MessageBody.of().with("x", 1L);
+  private static final MessageBody DATA = MessageBody.of().with("x", 1L);
 
   private MonotonicTime now = new MonotonicTime(0);
-  private EmulatedKeyValueStore store = new EmulatedKeyValueStore(LIMITS, steps -> {}, now);
+  private EmulatedKeyValueStore store = new EmulatedKeyValueStore(LIMITS, batches -> {}, now);
 
   private static MessageBody put(String key, Object... lease) {
-    MessageBody write = MessageBody.of().with("put", key).with("data", X);
+    MessageBody write = MessageBody.of().with("put", key).with("data", DATA);
     return lease.length == 0 ? write : write.with("tenancy", lease[0]);
   }
 
@@ -43,12 +43,12 @@
   }
 
   @Test
-  void allWritesOfATransactionOrNone() throws InvalidMessageException {
+  void transactionAppliesAllWritesOrNone() throws InvalidMessageException {
     assertEquals(200, commit(List.of(guard("a", 0)), put("a"), put("b")).status());
     assertEquals(store.value("a").modRevision(), store.value("b").modRevision(), "one revision");
-    Reply late = commit(List.of(guard("a", 0), guard("b", 9)), put("c"));
-    assertEquals(409, late.status());
-    assertEquals(List.of("a", "b"), late.body().get("failed"));
+    Reply conflict = commit(List.of(guard("a", 0), guard("b", 9)), put("c"));
+    assertEquals(409, conflict.status());
+    assertEquals(List.of("a", "b"), conflict.body().get("failed"));
     assertNull(store.value("c"));
     assertEquals(200, commit(List.of(guard("a", store.value("a").modRevision()))).status());
     assertEquals(404, store.get("c").status());
@@ -57,50 +57,50 @@
   }
 
   @Test
-  void limitsOfSizeHold() throws InvalidMessageException {
+  void oversizedTransactionsAndValuesAreRejected() throws InvalidMessageException {
     assertEquals(400, commit(List.of(), put("1"), put("2"), put("3"), put("4"), put("5")).status());
     MessageBody big =
         MessageBody.of()
             .with("put", "b")
             .with("data", MessageBody.of().with("t", "z".repeat(1016)));
-    assertEquals(200, commit(List.of(), big).status(), "1,024 bytes as JSON");
+    assertEquals(200, commit(List.of(), big).status(), "exactly 1024 bytes as JSON");
     big.with("data", MessageBody.of().with("t", "z".repeat(1017)));
     assertEquals(400, commit(List.of(), big).status());
   }
 
   @Test
-  void ratesAllowABurstOfOneSecond() {
+  void rateLimitAllowsBurstOfOneSecond() {
     for (int i = 0; i < 10; i++) {
       assertNull(store.refusal(1, now));
     }
     assertEquals(429, store.refusal(1, now).status());
-    assertNull(store.refusal(0, now), "reads are not writes");
+    assertNull(store.refusal(0, now), "reads do not count as writes");
     now = now.plus(TimeSpan.millis(100));
     assertNull(store.refusal(1, now));
     assertEquals(429, store.refusal(1, now).status());
   }
 
   @Test
-  void aLeaseNeverEndsEarlyAndTakesItsKeysAlong() throws InvalidMessageException {
+  void leaseExpiresAfterItsDurationAndDeletesItsKeys() throws InvalidMessageException {
     long id = lease(1000);
-    assertEquals(200, commit(List.of(), put("led", id), put("free")).status());
+    assertEquals(200, commit(List.of(), put("leased", id), put("free")).status());
     now = now.plus(TimeSpan.millis(900));
     assertEquals(200, store.extend(id, now).status());
     now = now.plus(TimeSpan.millis(1000));
     store.expire(now);
-    assertNotNull(store.value("led"));
+    assertNotNull(store.value("leased"));
     now = now.plus(TimeSpan.millis(1));
     store.expire(now);
-    assertNull(store.value("led"));
+    assertNull(store.value("leased"));
     assertNotNull(store.value("free"));
     assertEquals(404, store.extend(id, now).status());
-    assertEquals("no such lease", commit(List.of(), put("led", id)).body().get("error"));
+    assertEquals("no such lease", commit(List.of(), put("leased", id)).body().get("error"));
     assertEquals(400, store.grant(MessageBody.of().with("ttlMs", 99L), now).status());
   }
 
-  /** A put without a lease detaches the key; an outage gives every lease its full time again. */
+  /** A put without a lease detaches the key, and an outage restarts the duration of every lease. */
   @Test
-  void detachedKeysStayAndOutagesRenew() throws InvalidMessageException {
+  void detachedKeysRemainAndOutageRenewsLeases() throws InvalidMessageException {
     long id = lease(1000);
     commit(List.of(), put("a", id), put("b", id));
     commit(List.of(), put("b"));
@@ -118,16 +118,16 @@
   }
 
   @Test
-  void watchesSeeEveryChangeOrAreToldThatTheyCannot() throws InvalidMessageException {
+  void watchReturnsEveryChangeOrReportsGap() throws InvalidMessageException {
     long before = store.revision();
     commit(List.of(), put("c/1"), put("d/1"));
     commit(
         List.of(),
         MessageBody.of().with("delete", "c/1"),
         MessageBody.of().with("delete", "c/none"));
-    Reply seen = store.changes("c/", before, false);
-    assertEquals(2, ((List<?>) seen.body().get("news")).size());
-    assertNull(store.changes("c/", store.revision(), false), "it waits");
+    Reply changes = store.changes("c/", before, false);
+    assertEquals(2, ((List<?>) changes.body().get("news")).size());
+    assertNull(store.changes("c/", store.revision(), false), "the watch waits");
     assertEquals(200, store.changes("c/", store.revision(), true).status());
     for (int i = 0; i < 10_001; i++) {
       commit(List.of(), put("many"));
@@ -137,7 +137,7 @@
   }
 
   @Test
-  void listsComeInPages() throws InvalidMessageException {
+  void listIsPaginated() throws InvalidMessageException {
     for (int i = 0; i < 5; i++) {
       commit(List.of(), put("p/" + i));
     }
@@ -151,11 +151,11 @@
   }
 
   @Test
-  void whatCannotBeWrittenDownIsRefused() throws InvalidMessageException {
+  void writeIsRejectedWhenJournalFails() throws InvalidMessageException {
     store =
         new EmulatedKeyValueStore(
             LIMITS,
-            steps -> {
+            batches -> {
               throw new IOException("No space left on device");
             },
             now);
--- a/src/test/java/io/saltflow/emulator/HeartbeatRateTest.java
+++ b/src/test/java/io/saltflow/emulator/HeartbeatRateTest.java
@@ -30,16 +30,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How many reports and bytes a second one worker sends by PROTOCOL's rules when it holds some 27
- * tasks, as a function of the tasks started on it. Simulated time; answers come at once. Reports
- * are bounded by the half second that PROTOCOL keeps between them, so this is no line and no fit is
- * given. docs/CAPACITY.md is worked out from this table.
+ * Guards the heartbeat and byte rates of one worker with about 27 tasks, for several task start
+ * rates, in simulated time and with immediate answers. {@code docs/CAPACITY.md} is based on the
+ * printed table.
  */
 class HeartbeatRateTest {
   private static final Term TERM = new Term(41);
-  private static final double TASKS = 27;
-  private static final double[] STARTS_A_SECOND = {0.1, 0.22, 0.44, 0.89, 1.78};
-  private static final double PLAN = 0.89;
+  private static final double TASKS_PER_WORKER = 27;
+  private static final double[] STARTS_PER_SECOND = {0.1, 0.22, 0.44, 0.89, 1.78};
+  private static final double PLANNED_STARTS_PER_SECOND = 0.89;
   private static final long STEP_MS = 10;
   private static final long MIN_HEARTBEAT_INTERVAL_MS = 500;
   private static final long HEARTBEAT_INTERVAL_MS = 3000;
@@ -49,14 +48,14 @@
       new MachineType(
           "c96", new Resources(960, 0, 960), 1, 1, 1, TimeSpan.seconds(1), List.of("zone-a"));
 
-  /** What was sent in a second, on average. */
-  private record Rate(double reports, double up, double down, double tasks) {}
+  /** Averages per second, and the average number of tasks per heartbeat. */
+  private record Rate(double heartbeats, double bytesUp, double bytesDown, double tasks) {}
 
-  /** One worker, and a leader that starts tasks at random and clears what has exited. */
+  /** Simulates one worker and a leader that starts tasks at random and clears exited ones. */
   private static final class Simulation {
     private final SplittableRandom random = new SplittableRandom(7);
     private final Map<JobId, JobSpec> jobs = new HashMap<>();
-    private final List<WorkerCommand> waiting = new ArrayList<>();
+    private final List<WorkerCommand> pendingLaunches = new ArrayList<>();
     private final WorkerStateMachine worker =
         new WorkerStateMachine(
             new MachineId("vm-003231"),
@@ -66,90 +65,98 @@
             TimeSpan.seconds(26),
             new ObjectStore(jobs::get),
             new MonotonicTime(0));
-    private final double startsASecond;
+    private final double startsPerSecond;
     private final long holdMs;
-    private final int head;
+    private final int headBytes;
     private long commandedAt;
-    private long reports;
-    private long up;
-    private long down;
-    private long listed;
+    private long heartbeats;
+    private long bytesUp;
+    private long bytesDown;
+    private long taskStatuses;
 
     /**
-     * @param holdMs so long the leader keeps between two answers with commands
+     * @param holdMs the shortest time between two answers with commands, in milliseconds
+     * @param headBytes the size of a heartbeat's request head
      */
-    Simulation(double startsASecond, long holdMs, int head) {
-      this.startsASecond = startsASecond;
+    Simulation(double startsPerSecond, long holdMs, int headBytes) {
+      this.startsPerSecond = startsPerSecond;
       this.holdMs = holdMs;
-      this.head = head;
+      this.headBytes = headBytes;
     }
 
     Rate run() {
-      long warm = (long) (3000 * TASKS / startsASecond);
-      long lastReport = -MIN_HEARTBEAT_INTERVAL_MS;
-      long nextReport = 0;
-      double nextStart = 0;
-      for (long ms = 0; ms < warm + MEASURED_MS; ms += STEP_MS) {
-        if (ms >= warm && ms < warm + STEP_MS) {
-          reports = 0;
-          up = 0;
-          down = 0;
-          listed = 0;
+      long warmUpMs = (long) (3000 * TASKS_PER_WORKER / startsPerSecond);
+      long lastHeartbeatMs = -MIN_HEARTBEAT_INTERVAL_MS;
+      long nextHeartbeatMs = 0;
+      double nextStartMs = 0;
+      for (long ms = 0; ms < warmUpMs + MEASURED_MS; ms += STEP_MS) {
+        if (ms >= warmUpMs && ms < warmUpMs + STEP_MS) {
+          heartbeats = 0;
+          bytesUp = 0;
+          bytesDown = 0;
+          taskStatuses = 0;
         }
         for (;
-            nextStart <= ms;
-            nextStart -= Math.log(1 - random.nextDouble()) * 1000 / startsASecond) {
-          start();
+            nextStartMs <= ms;
+            nextStartMs -= Math.log(1 - random.nextDouble()) * 1000 / startsPerSecond) {
+          addLaunch();
         }
         worker.tick(new MonotonicTime(ms));
-        boolean soon = worker.changed() && ms - lastReport >= MIN_HEARTBEAT_INTERVAL_MS;
-        if (soon || ms >= nextReport) {
-          report(ms);
-          lastReport = ms;
-          nextReport =
+        boolean statusChanged =
+            worker.changed() && ms - lastHeartbeatMs >= MIN_HEARTBEAT_INTERVAL_MS;
+        if (statusChanged || ms >= nextHeartbeatMs) {
+          sendHeartbeat(ms);
+          lastHeartbeatMs = ms;
+          nextHeartbeatMs =
               ms + HEARTBEAT_INTERVAL_MS * 3 / 4 + random.nextLong(HEARTBEAT_INTERVAL_MS / 2);
         }
       }
       double seconds = MEASURED_MS / 1000.0;
-      return new Rate(reports / seconds, up / seconds, down / seconds, listed / (double) reports);
+      return new Rate(
+          heartbeats / seconds,
+          bytesUp / seconds,
+          bytesDown / seconds,
+          taskStatuses / (double) heartbeats);
     }
 
-    private void start() {
+    private void addLaunch() {
       JobId id = new JobId("req-" + (412_000 + jobs.size()));
-      double runS = Math.max(0.1, (TASKS / startsASecond - FETCH_S) * (0.5 + random.nextDouble()));
+      double runS =
+          Math.max(
+              0.1, (TASKS_PER_WORKER / startsPerSecond - FETCH_S) * (0.5 + random.nextDouble()));
       jobs.put(id, spec(id, runS));
-      waiting.add(new WorkerCommand.Launch(new TaskId(id, 0), new Attempt(1)));
+      pendingLaunches.add(new WorkerCommand.Launch(new TaskId(id, 0), new Attempt(1)));
     }
 
-    private void report(long ms) {
-      WorkerHeartbeat report = worker.nextHeartbeat();
-      byte[] body = MessagePackCodec.encode(WorkerCodec.encodeHeartbeat(report));
-      List<WorkerCommand> orders = ms - commandedAt >= holdMs ? commands(report) : List.of();
-      if (!orders.isEmpty()) {
+    private void sendHeartbeat(long ms) {
+      WorkerHeartbeat heartbeat = worker.nextHeartbeat();
+      byte[] body = MessagePackCodec.encode(WorkerCodec.encodeHeartbeat(heartbeat));
+      List<WorkerCommand> commands = ms - commandedAt >= holdMs ? commands(heartbeat) : List.of();
+      if (!commands.isEmpty()) {
         commandedAt = ms;
       }
-      byte[] answer = MessagePackCodec.encode(WorkerCodec.encodeCommands(TERM, orders));
+      byte[] answer = MessagePackCodec.encode(WorkerCodec.encodeCommands(TERM, commands));
       worker.onAnswer(
-          report.agentEpoch(), TERM, orders, new MonotonicTime(ms), new MonotonicTime(ms));
-      reports++;
-      up += head + body.length;
-      down += HttpMessageSizes.responseBytes(200, answer);
-      listed += report.tasks().size();
+          heartbeat.agentEpoch(), TERM, commands, new MonotonicTime(ms), new MonotonicTime(ms));
+      heartbeats++;
+      bytesUp += headBytes + body.length;
+      bytesDown += HttpMessageSizes.responseBytes(200, answer);
+      taskStatuses += heartbeat.tasks().size();
     }
 
-    private List<WorkerCommand> commands(WorkerHeartbeat report) {
-      List<WorkerCommand> orders = new ArrayList<>(waiting);
-      waiting.clear();
-      for (WorkerHeartbeat.TaskStatus task : report.tasks()) {
+    private List<WorkerCommand> commands(WorkerHeartbeat heartbeat) {
+      List<WorkerCommand> commands = new ArrayList<>(pendingLaunches);
+      pendingLaunches.clear();
+      for (WorkerHeartbeat.TaskStatus task : heartbeat.tasks()) {
         if (task.state() == WorkerHeartbeat.TaskState.EXITED) {
-          orders.add(new WorkerCommand.Clear(task.task(), task.attempt()));
+          commands.add(new WorkerCommand.Clear(task.task(), task.attempt()));
         }
       }
-      return orders;
+      return commands;
     }
   }
 
-  /** Each task has an image of its own, which is fetched first. */
+  /** Returns a job with a unique image, which must be fetched before the task runs. */
   private static JobSpec spec(JobId id, double runS) {
     return new JobSpec(
         id,
@@ -173,50 +180,50 @@
         List.of());
   }
 
-  /** Bytes of a report's head where its body takes four digits. */
-  private static int head() throws IOException {
+  /** Returns the size of a heartbeat's request head for a body length of four digits, in bytes. */
+  private static int headBytes() throws IOException {
     byte[] body = new byte[1000];
     return HttpMessageSizes.requestBytes("POST", Wire.PATH_HEARTBEAT, body) - body.length;
   }
 
-  private static Rate play(double startsASecond, long holdMs) throws IOException {
-    Rate rate = new Simulation(startsASecond, holdMs, head()).run();
+  private static Rate simulate(double startsPerSecond, long holdMs) throws IOException {
+    Rate rate = new Simulation(startsPerSecond, holdMs, headBytes()).run();
     System.out.printf(
         Locale.ROOT,
         "| %.2f | %d | %.1f | %.2f | %.0f | %.0f | %.0f |%n",
-        startsASecond,
+        startsPerSecond,
         holdMs,
         rate.tasks,
-        rate.reports,
-        rate.up,
-        rate.down,
-        rate.up + rate.down);
+        rate.heartbeats,
+        rate.bytesUp,
+        rate.bytesDown,
+        rate.bytesUp + rate.bytesDown);
     return rate;
   }
 
   @Test
-  void heartbeatsComeCloseToTheirBoundAtThePlannedStartRate() throws IOException {
-    double last = 0;
-    for (double starts : STARTS_A_SECOND) {
-      Rate rate = play(starts, 0);
-      assertTrue(rate.reports > last && rate.reports <= 2);
-      last = rate.reports;
-      if (starts == PLAN) {
-        assertEquals(1.76, rate.reports, 0.03);
-        assertEquals(2396, rate.up, 30);
+  void heartbeatRateApproachesItsLimitAtPlannedStartRate() throws IOException {
+    double previous = 0;
+    for (double starts : STARTS_PER_SECOND) {
+      Rate rate = simulate(starts, 0);
+      assertTrue(rate.heartbeats > previous && rate.heartbeats <= 2);
+      previous = rate.heartbeats;
+      if (starts == PLANNED_STARTS_PER_SECOND) {
+        assertEquals(1.76, rate.heartbeats, 0.03);
+        assertEquals(2396, rate.bytesUp, 30);
       }
     }
   }
 
   @Test
-  void commandsThatAreHeldBackSaveHeartbeats() throws IOException {
-    Rate atOnce = play(PLAN, 0);
-    Rate oneSecond = play(PLAN, 1000);
-    Rate twoSeconds = play(PLAN, 2000);
-    Rate fourSeconds = play(PLAN, 4000);
-    assertEquals(2626, atOnce.up + atOnce.down, 30);
-    assertEquals(2469, oneSecond.up + oneSecond.down, 30);
-    assertEquals(2263, twoSeconds.up + twoSeconds.down, 30);
-    assertEquals(1771, fourSeconds.up + fourSeconds.down, 30);
+  void delayedCommandsReduceHeartbeatTraffic() throws IOException {
+    Rate immediate = simulate(PLANNED_STARTS_PER_SECOND, 0);
+    Rate oneSecond = simulate(PLANNED_STARTS_PER_SECOND, 1000);
+    Rate twoSeconds = simulate(PLANNED_STARTS_PER_SECOND, 2000);
+    Rate fourSeconds = simulate(PLANNED_STARTS_PER_SECOND, 4000);
+    assertEquals(2626, immediate.bytesUp + immediate.bytesDown, 30);
+    assertEquals(2469, oneSecond.bytesUp + oneSecond.bytesDown, 30);
+    assertEquals(2263, twoSeconds.bytesUp + twoSeconds.bytesDown, 30);
+    assertEquals(1771, fourSeconds.bytesUp + fourSeconds.bytesDown, 30);
   }
 }
--- a/src/test/java/io/saltflow/emulator/WorkerStateMachineTest.java
+++ b/src/test/java/io/saltflow/emulator/WorkerStateMachineTest.java
@@ -22,22 +22,22 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The worker of PROTOCOL: orders, tokens, sessions and leases. */
+/** Tests commands, terms, agent epochs and leases of the emulated worker. */
 class WorkerStateMachineTest {
   private static final MachineType TYPE =
       new MachineType("box", new Resources(4, 0, 8), 1, 1, 1, TimeSpan.seconds(1), List.of("z"));
   private static final Term TERM = new Term(3);
 
   private final Map<JobId, JobSpec> jobs = new HashMap<>();
-  private final ObjectStore depot = new ObjectStore(jobs::get);
+  private final ObjectStore objectStore = new ObjectStore(jobs::get);
   private MonotonicTime now = new MonotonicTime(0);
   private WorkerStateMachine worker;
 
   @BeforeEach
-  void machine() {
+  void createWorker() {
     worker =
         new WorkerStateMachine(
-            new MachineId("vm-1"), TYPE, "z", false, TimeSpan.seconds(10), depot, now);
+            new MachineId("vm-1"), TYPE, "z", false, TimeSpan.seconds(10), objectStore, now);
   }
 
   private TaskId task(int job, String image, double checkpointS) {
@@ -67,21 +67,21 @@
     return new TaskId(id, 0);
   }
 
-  private void order(WorkerCommand... orders) {
-    worker.onAnswer(worker.nextHeartbeat().agentEpoch(), TERM, List.of(orders), now, now);
+  private void execute(WorkerCommand... commands) {
+    worker.onAnswer(worker.nextHeartbeat().agentEpoch(), TERM, List.of(commands), now, now);
   }
 
   private WorkerCommand.Launch launch(TaskId task, long attempt) {
     return new WorkerCommand.Launch(task, new Attempt(attempt));
   }
 
-  private String after(double seconds) {
+  private String statusAfter(double seconds) {
     now = now.plus(TimeSpan.seconds(seconds));
     worker.tick(now);
-    return shown();
+    return statusText();
   }
 
-  private String shown() {
+  private String statusText() {
     StringBuilder out = new StringBuilder();
     WorkerHeartbeat heartbeat = worker.nextHeartbeat();
     for (WorkerHeartbeat.TaskStatus task : heartbeat.tasks()) {
@@ -95,23 +95,23 @@
   }
 
   @Test
-  void fetchesRunsAndKeepsItsResult() {
+  void taskFetchesImageRunsAndKeepsResult() {
     TaskId task = task(1, "i", 0);
-    order(launch(task, 1), launch(task, 1));
-    assertEquals("req-1/0 1 FETCHING;", shown());
-    assertEquals("req-1/0 1 RUNNING;", after(2));
-    assertEquals("req-1/0 1 EXITED DONE;", after(5));
-    order(launch(task, 1));
-    assertEquals("req-1/0 1 EXITED DONE;", shown(), "a repeated command does nothing");
-    order(new WorkerCommand.Clear(task, new Attempt(1)), launch(task, 2));
-    assertEquals("req-1/0 2 EXITED DONE;", after(0), "the result was kept");
+    execute(launch(task, 1), launch(task, 1));
+    assertEquals("req-1/0 1 FETCHING;", statusText());
+    assertEquals("req-1/0 1 RUNNING;", statusAfter(2));
+    assertEquals("req-1/0 1 EXITED DONE;", statusAfter(5));
+    execute(launch(task, 1));
+    assertEquals("req-1/0 1 EXITED DONE;", statusText(), "a repeated command has no effect");
+    execute(new WorkerCommand.Clear(task, new Attempt(1)), launch(task, 2));
+    assertEquals("req-1/0 2 EXITED DONE;", statusAfter(0), "the result is kept");
   }
 
   @Test
-  void refusesWhatHasNoRoomIsThereOrIsNotKnown() {
+  void launchIsRejectedWithoutCapacityWhileTaskRunsOrForUnknownTask() {
     TaskId task = task(1, "i", 0);
     TaskId other = task(2, "i", 0);
-    order(
+    execute(
         launch(task, 1),
         launch(other, 2),
         launch(task, 3),
@@ -119,52 +119,52 @@
     assertEquals(
         "req-1/0 1 FETCHING; req-2/0 2 EXITED NO_ROOM; req-1/0 3 EXITED BUSY;"
             + " req-9/0 4 EXITED UNKNOWN_TASK;",
-        shown());
+        statusText());
   }
 
   @Test
-  void savesWhenItIsStoppedAndGoesOnFromThere() {
+  void stoppedTaskSavesCheckpointAndResumesFromIt() {
     TaskId task = task(1, "i", 2);
-    order(launch(task, 1));
-    after(5);
-    order(new WorkerCommand.Stop(task, new Attempt(1), TimeSpan.seconds(1)));
-    assertEquals("req-1/0 1 SAVING;", shown());
-    assertEquals("req-1/0 1 EXITED STOPPED saved;", after(1));
-    order(new WorkerCommand.Clear(task, new Attempt(1)), launch(task, 2));
-    assertEquals("req-1/0 2 RUNNING;", after(1.9), "the image is here already");
-    assertEquals("req-1/0 2 EXITED DONE;", after(0.2));
+    execute(launch(task, 1));
+    statusAfter(5);
+    execute(new WorkerCommand.Stop(task, new Attempt(1), TimeSpan.seconds(1)));
+    assertEquals("req-1/0 1 SAVING;", statusText());
+    assertEquals("req-1/0 1 EXITED STOPPED saved;", statusAfter(1));
+    execute(new WorkerCommand.Clear(task, new Attempt(1)), launch(task, 2));
+    assertEquals("req-1/0 2 RUNNING;", statusAfter(1.9), "the image is already present");
+    assertEquals("req-1/0 2 EXITED DONE;", statusAfter(0.2));
   }
 
   @Test
-  void tasksEndAsTheirImageSays() {
-    order(launch(task(1, WorkerStateMachine.ERROR_IMAGE, 0), 1));
-    assertEquals("req-1/0 1 EXITED ERROR;", after(7));
-    machine();
+  void imageDeterminesHowTaskEnds() {
+    execute(launch(task(1, WorkerStateMachine.ERROR_IMAGE, 0), 1));
+    assertEquals("req-1/0 1 EXITED ERROR;", statusAfter(7));
+    createWorker();
     TaskId hang = task(2, WorkerStateMachine.HANG_IMAGE, 0);
-    order(launch(hang, 1));
+    execute(launch(hang, 1));
     for (int i = 0; i < 20; i++) {
-      order();
-      assertTrue(after(5).matches("req-2/0 1 (FETCHING|RUNNING);"));
+      execute();
+      assertTrue(statusAfter(5).matches("req-2/0 1 (FETCHING|RUNNING);"));
     }
-    order(new WorkerCommand.Stop(hang, new Attempt(1), TimeSpan.seconds(1)));
-    assertEquals("req-2/0 1 EXITED STOPPED;", shown());
+    execute(new WorkerCommand.Stop(hang, new Attempt(1), TimeSpan.seconds(1)));
+    assertEquals("req-2/0 1 EXITED STOPPED;", statusText());
   }
 
-  /** After its lease everything is forgotten; answers to earlier sessions or lower tokens drop. */
+  /** Guards against executing commands for an earlier agent epoch or from an earlier leader. */
   @Test
-  void aLeaseThatRunsOutBeginsANewSession() {
+  void leaseExpiryStartsNewAgentEpoch() {
     TaskId task = task(1, WorkerStateMachine.HANG_IMAGE, 0);
-    order(launch(task, 1));
-    long former = worker.nextHeartbeat().agentEpoch();
-    after(10);
-    assertEquals(former, worker.nextHeartbeat().agentEpoch());
-    assertEquals("", after(0.1));
-    assertEquals(former + 1, worker.nextHeartbeat().agentEpoch());
-    worker.onAnswer(former, TERM, List.of(launch(task, 2)), now, now);
-    assertEquals("", shown());
-    worker.onAnswer(former + 1, new Term(2), List.of(launch(task, 2)), now, now);
-    assertEquals("", shown());
-    order(launch(task, 2));
-    assertEquals("req-1/0 2 RUNNING;", after(1));
+    execute(launch(task, 1));
+    long previousEpoch = worker.nextHeartbeat().agentEpoch();
+    statusAfter(10);
+    assertEquals(previousEpoch, worker.nextHeartbeat().agentEpoch());
+    assertEquals("", statusAfter(0.1));
+    assertEquals(previousEpoch + 1, worker.nextHeartbeat().agentEpoch());
+    worker.onAnswer(previousEpoch, TERM, List.of(launch(task, 2)), now, now);
+    assertEquals("", statusText());
+    worker.onAnswer(previousEpoch + 1, new Term(2), List.of(launch(task, 2)), now, now);
+    assertEquals("", statusText());
+    execute(launch(task, 2));
+    assertEquals("req-1/0 2 RUNNING;", statusAfter(1));
   }
 }
