--- a/src/main/java/io/saltflow/app/ClassDataWarmup.java
+++ b/src/main/java/io/saltflow/app/ClassDataWarmup.java
@@ -38,9 +38,9 @@
 import java.util.List;
 
 /**
- * Run once by the build: goes through what a controller does in its first seconds, so that the
- * classes for it are written to the class-data archive beside the jar. On a tenth of a core,
- * loading them from the jar would take most of the time until the first healthy answer.
+ * Exercises the start-up path of a controller so that the build can write its classes to the
+ * class-data archive beside the jar. On a tenth of a core, loading them from the jar would take
+ * most of the time until the controller is healthy.
  */
 public final class ClassDataWarmup {
   private static final String SETTINGS =
@@ -81,11 +81,11 @@
 
   private ClassDataWarmup() {}
 
-  /** Goes through it once and ends. */
+  /** Runs the warm-up once. */
   public static void main(String[] args) throws Exception {
-    // The jar's entry point is part of every start, but not of what is gone through here.
+    // Every start loads the jar's entry point, which the warm-up does not run.
     Class.forName(Main.class.getName());
-    // What log lines need is to be loaded too; the lines themselves are dropped.
+    // Logging classes must be loaded too, but the log lines are discarded.
     SaltflowCommand.setLogLevel(System.getenv().getOrDefault("LOG_LEVEL", "info"));
     System.setErr(new PrintStream(OutputStream.nullOutputStream(), true, StandardCharsets.UTF_8));
     SaltflowCommand.run(
@@ -156,7 +156,7 @@
         1000);
   }
 
-  /** One second of a leader: a tick, scaling out and in, and a worker's heartbeat. */
+  /** Runs one second of a leader: a tick, scaling out and in, and a worker's heartbeat. */
   private static void advance(LeaderCore core, int step, MonotonicTime now) {
     core.tick(now);
     for (ScaleOutRequest request : core.machines().planScaleOut(now)) {
--- a/src/main/java/io/saltflow/app/package-info.java
+++ b/src/main/java/io/saltflow/app/package-info.java
@@ -1,2 +1,2 @@
-/** The entry points of the program. */
+/** Contains the entry points of the program. */
 package io.saltflow.app;
--- a/src/main/java/io/saltflow/cli/CommandOptions.java
+++ b/src/main/java/io/saltflow/cli/CommandOptions.java
@@ -11,11 +11,11 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** Command-line options that several commands share. */
+/** Command-line options shared by several commands. */
 final class CommandOptions {
   private CommandOptions() {}
 
-  /** Options of these long names, each with a value. */
+  /** Returns options with the given long names, each of which takes a value. */
   static Options withValues(String... names) {
     Options options = new Options();
     for (String name : names) {
@@ -24,12 +24,16 @@
     return options;
   }
 
-  /** An option of that long name without a value. */
+  /** Returns an option with the given long name and no value. */
   static Option flag(String name) {
     return Option.builder().longOpt(name).build();
   }
 
-  /** The address that an option names, or the default. */
+  /**
+   * Returns the address given by an option, or the default.
+   *
+   * @throws ParseException if the address is invalid
+   */
   static InetSocketAddress addressOption(CommandLine line, String option, String defaultValue)
       throws ParseException {
     try {
@@ -39,7 +43,10 @@
     }
   }
 
-  /** Traces rollouts to where {@code --trace} says; buffered spans are written at exit. */
+  /**
+   * Returns a tracer that exports rollouts to the target of {@code --trace} and writes buffered
+   * spans at exit.
+   */
   static Consumer<RolloutEvent> rolloutTracer(CommandLine line, String host) throws IOException {
     RolloutTracer tracer = RolloutTracer.create(line.getOptionValue("trace"), host);
     Runtime.getRuntime().addShutdownHook(new Thread(tracer::close, "traces-end"));
--- a/src/main/java/io/saltflow/cli/ControllerClient.java
+++ b/src/main/java/io/saltflow/cli/ControllerClient.java
@@ -13,8 +13,8 @@
 import java.net.InetSocketAddress;
 
 /**
- * A client of a controller's HTTP interfaces that retries as PROTOCOL asks users to. It runs its
- * own event loop while it waits, so its methods block the calling thread.
+ * Client for a controller's HTTP interfaces that retries requests as the protocol requires of
+ * users. Its methods run the event loop while they wait and so block the calling thread.
  */
 final class ControllerClient extends Routine {
   private static final byte[] NO_BODY = new byte[0];
@@ -27,10 +27,10 @@
   private final TimeSpan timeout;
 
   /**
-   * The final answer.
+   * Final answer to a request.
    *
-   * @param status 0: none came in time
-   * @param body null: it has none
+   * @param status the HTTP status, or 0 if no answer arrived in time
+   * @param body the decoded body, or {@code null} if it is empty or invalid
    */
   record Answer(int status, MessageBody body) {
     String error() {
@@ -45,32 +45,31 @@
     this.timeout = timeout;
   }
 
-  /** Submits a job. */
   Answer submit(MessageBody job) throws IOException {
     return callWithRetries("POST", Wire.PATH_JOBS, MessagePackCodec.encode(job));
   }
 
-  /** Asks how far a job has come. */
+  /** Returns the status of a job. */
   Answer status(String id) throws IOException {
     return callWithRetries("GET", Wire.PATH_JOBS + "/" + id, NO_BODY);
   }
 
-  /** Cancels a job. */
   Answer cancel(String id) throws IOException {
     return callWithRetries("POST", Wire.PATH_JOBS + "/" + id + Wire.CANCEL_SUFFIX, NO_BODY);
   }
 
-  /** Reads a path. */
   Answer get(String path) throws IOException {
     return callWithRetries("GET", path, NO_BODY);
   }
 
-  /** Posts a body to a path. */
   Answer post(String path, MessageBody body) throws IOException {
     return callWithRetries("POST", path, MessagePackCodec.encode(body));
   }
 
-  /** Retries what is not answered, or not finally (429, 503, 504), until the timeout is over. */
+  /**
+   * Sends a request and retries it until a final answer or the timeout. Statuses such as 429, 503
+   * and 504 are not final.
+   */
   private Answer callWithRetries(String method, String path, byte[] body) throws IOException {
     MonotonicTime deadline = loop.now().plus(timeout);
     while (true) {
@@ -90,7 +89,7 @@
     }
   }
 
-  /** Blocks for a while. */
+  /** Runs the event loop for the given time. */
   void sleep(TimeSpan pause) throws IOException {
     loop.schedule(pause, this, loop::pause);
     loop.run();
--- a/src/main/java/io/saltflow/cli/ExitCodes.java
+++ b/src/main/java/io/saltflow/cli/ExitCodes.java
@@ -1,33 +1,33 @@
 package io.saltflow.cli;
 
-/** The exit codes of the commands, as {@code --help} lists them. */
+/** Exit codes of the commands, as listed by {@code --help}. */
 final class ExitCodes {
   static final int OK = 0;
 
-  /** The controller refused the request for a reason that does not pass. */
+  /** The controller rejected the request permanently. */
   static final int REFUSED = 1;
 
-  /** A controller's address can't be listened on. */
+  /** The controller cannot listen on its address. */
   static final int CANNOT_SERVE = 1;
 
-  /** The command line or a settings file is wrong. */
+  /** The command line or a settings file is invalid. */
   static final int USAGE = 2;
 
-  /** No controller has answered in time. */
+  /** No controller answered in time. */
   static final int NO_ANSWER = 3;
 
-  /** There is no such job, service or queue. */
+  /** The job, service or queue does not exist. */
   static final int UNKNOWN = 4;
 
   /** The watched job was cancelled. */
   static final int CANCELLED = 5;
 
-  /** The watched rollout ended otherwise than with its version serving. */
+  /** The watched rollout ended without its version serving. */
   static final int ROLLED_BACK = 5;
 
   private ExitCodes() {}
 
-  /** The code for an answer other than 200 to an operator's request. */
+  /** Returns the exit code for an answer other than 200 to an operator's request. */
   static int ofFailure(ControllerClient.Answer answer) {
     return switch (answer.status()) {
       case 404 -> UNKNOWN;
--- a/src/main/java/io/saltflow/cli/HashPasswordCommand.java
+++ b/src/main/java/io/saltflow/cli/HashPasswordCommand.java
@@ -8,11 +8,13 @@
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 
-/** {@code hash-password}: hashes a password from standard input, which no shell history keeps. */
+/**
+ * {@code hash-password}: hashes a password from standard input, keeping it out of shell history.
+ */
 public final class HashPasswordCommand {
   /**
-   * The binary logarithm of the rounds: they take some ten milliseconds of a whole core. A leader
-   * checks passwords on the thread that renews its lease.
+   * Binary logarithm of the bcrypt rounds. It is low because a leader verifies passwords on the
+   * thread that renews its lease.
    */
   private static final int BCRYPT_COST = 8;
 
@@ -20,7 +22,7 @@
 
   private HashPasswordCommand() {}
 
-  /** Prints the bcrypt hash of the first line; returns the exit code. */
+  /** Prints the bcrypt hash of the first input line and returns the exit code. */
   public static int run(InputStream in, PrintStream out, PrintStream err) {
     String line;
     try {
@@ -33,7 +35,7 @@
       return 2;
     }
     if (line.getBytes(StandardCharsets.UTF_8).length > MAX_PASSWORD_BYTES) {
-      err.println("saltflow: bcrypt takes " + MAX_PASSWORD_BYTES + " bytes at the most");
+      err.println("saltflow: password exceeds bcrypt's limit of " + MAX_PASSWORD_BYTES + " bytes");
       return 2;
     }
     out.println(BCrypt.withDefaults().hashToString(BCRYPT_COST, line.toCharArray()));
--- a/src/main/java/io/saltflow/cli/JobCommands.java
+++ b/src/main/java/io/saltflow/cli/JobCommands.java
@@ -24,7 +24,7 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** {@code submit}, {@code status}, {@code watch} and {@code cancel}: the commands of users. */
+/** User commands: {@code submit}, {@code status}, {@code watch} and {@code cancel}. */
 final class JobCommands {
   private static final String SERVER_OPTION = "server";
   private static final String JSON_OPTION = "json";
@@ -43,7 +43,7 @@
     this.err = err;
   }
 
-  /** Runs one of the commands; returns the exit code. */
+  /** Runs one of the commands and returns its exit code. */
   int run(String command, String[] args) {
     Options options =
         CommandOptions.withValues(SERVER_OPTION, WAIT_OPTION)
@@ -52,7 +52,9 @@
       CommandLine line = new DefaultParser().parse(options, args);
       if (line.getArgList().size() != 1) {
         throw new ParseException(
-            command + " takes one " + (command.equals("submit") ? "file, or -" : "id"));
+            command
+                + " requires exactly one "
+                + (command.equals("submit") ? "file, or -" : "job ID"));
       }
       json = line.hasOption(JSON_OPTION);
       InetSocketAddress server =
@@ -85,7 +87,7 @@
       return submit(argument);
     }
     if (!JobId.valid(argument)) {
-      throw new ConfigException("'" + argument + "' is no job's id (" + JobId.PREFIX + "digits)");
+      throw new ConfigException("'" + argument + "' is not a job ID (" + JobId.PREFIX + "digits)");
     }
     return switch (command) {
       case "status" -> printStatus(argument, client.status(argument));
@@ -100,7 +102,7 @@
       byte[] bytes = file.equals("-") ? in.readAllBytes() : Files.readAllBytes(Path.of(file));
       text = new String(bytes, StandardCharsets.UTF_8);
     } catch (IOException exception) {
-      throw new ConfigException(file + ": can't be read: " + exception.getMessage());
+      throw new ConfigException(file + ": cannot be read: " + exception.getMessage());
     }
     List<MessageBody> jobs;
     try {
@@ -109,18 +111,18 @@
       throw new ConfigException(exception.getMessage());
     }
     if (jobs.isEmpty()) {
-      throw new ConfigException("no job to submit");
+      throw new ConfigException("there is no job to submit");
     }
     SecureRandom random = new SecureRandom();
-    int worst = 0;
+    int exitCode = 0;
     for (MessageBody job : jobs) {
       job.fields().putIfAbsent(Wire.TEAM, LocalCluster.DEFAULT_TEAM);
       if (job.get(Wire.ID) == null) {
         job.with(Wire.ID, newId(random));
       }
-      worst = Math.max(worst, printSubmitted(job, client.submit(job)));
+      exitCode = Math.max(exitCode, printSubmitted(job, client.submit(job)));
     }
-    return worst;
+    return exitCode;
   }
 
   private static String newId(SecureRandom random) {
@@ -139,7 +141,10 @@
 
   private int printFailure(String id, ControllerClient.Answer answer) {
     if (answer.status() == 0) {
-      err.println("saltflow: " + id + ": no answer; it may have been taken, ask for its status");
+      err.println(
+          "saltflow: "
+              + id
+              + ": no answer; the request may have been accepted, check the job status");
       return ExitCodes.NO_ANSWER;
     }
     err.println("saltflow: " + id + ": " + answer.error());
@@ -173,11 +178,11 @@
     try {
       return new ObjectMapper().writeValueAsString(status.fields());
     } catch (JsonProcessingException exception) {
-      throw new IllegalStateException("a wire body has a JSON form", exception);
+      throw new IllegalStateException("message body cannot be written as JSON", exception);
     }
   }
 
-  /** Prints each change until the job has ended. */
+  /** Prints each status change until the job has ended. */
   private int watch(String id) throws IOException {
     MessageBody last = null;
     while (true) {
--- a/src/main/java/io/saltflow/cli/JobDescriptions.java
+++ b/src/main/java/io/saltflow/cli/JobDescriptions.java
@@ -12,13 +12,13 @@
 import java.util.function.Function;
 
 /**
- * Descriptions of jobs for emulated machines. On a real site users upload them; here they are read
- * from the controllers' records.
+ * Provides emulated machines with job descriptions, read from the controllers' records. In
+ * production, users upload them to an object store.
  *
- * @param lookup the value of a key in the key-value store, or null
+ * @param lookup returns the value of a key in the key-value store, or {@code null}
  */
 public record JobDescriptions(Function<String, MessageBody> lookup) {
-  /** The description of a live job; null: there is none. */
+  /** Returns the description of a live job, or {@code null} if there is none. */
   public JobSpec spec(JobId id) {
     MessageBody live = lookup.apply(JobRecordCodec.liveKey(id));
     try {
@@ -28,7 +28,7 @@
     }
   }
 
-  /** The parameters of a service's tasks; null: the job is no service. */
+  /** Returns the parameters of a service's tasks, or {@code null} if the job is not a service. */
   ServiceController.TaskParameters serviceParameters(JobId id) {
     JobSpec spec = spec(id);
     if (spec == null || !spec.jobClass().startsWith(Wire.SERVICE_CLASS)) {
--- a/src/main/java/io/saltflow/cli/LocalCluster.java
+++ b/src/main/java/io/saltflow/cli/LocalCluster.java
@@ -32,11 +32,11 @@
 import org.apache.commons.rng.core.source64.SplitMix64;
 
 /**
- * A whole cluster in one process on loopback, for {@code local}: one controller as {@code serve}
- * wires it, a key-value store, and an emulated cloud with its machines.
+ * Complete cluster in one process on the loopback interface, for {@code local}: a controller
+ * configured as by {@code serve}, a key-value store, and an emulated cloud with its machines.
  */
 final class LocalCluster extends Routine {
-  /** The team that {@code submit} names when a job names none. */
+  /** Team of submitted jobs that do not specify one. */
   static final String DEFAULT_TEAM = "local";
 
   static final String ZONE = "here";
@@ -80,9 +80,10 @@
   private static final TimeSpan READY_CHECK_INTERVAL = TimeSpan.millis(10);
 
   /**
-   * What {@code local} is asked for.
+   * Options of {@code local}.
    *
-   * @param dataDirectory where accepted jobs are kept; null: in memory
+   * @param machines the maximum number of emulated machines
+   * @param dataDirectory the directory for accepted jobs, or {@code null} to keep them in memory
    */
   record Options(InetSocketAddress httpAddress, int machines, Path dataDirectory) {}
 
@@ -94,22 +95,22 @@
   private final InetSocketAddress amqpAddress;
 
   /**
-   * Opens the listening sockets; nothing runs before {@link #start}.
+   * Opens the listening sockets. Nothing runs until {@link #start}.
    *
-   * @throws IOException when an address is taken or the data directory can't be used
+   * @throws IOException if an address is in use or the data directory cannot be used
    */
   LocalCluster(
       EventLoop loop,
       Options options,
       OperatorSettings operator,
-      OptionalInterfaces extras,
+      OptionalInterfaces interfaces,
       long seed)
       throws IOException, ConfigException {
     super(null);
     this.loop = loop;
     this.machines = options.machines();
     this.httpAddress = options.httpAddress();
-    this.amqpAddress = extras.amqpSettings().listen();
+    this.amqpAddress = interfaces.amqpSettings().listen();
     UniformRandomProvider random = new SplitMix64(seed);
     keyValueServer =
         new StandaloneServer(
@@ -124,34 +125,37 @@
             loop,
             platformSettings(options.httpAddress(), emulatorAddress),
             operator,
-            extras,
+            interfaces,
             random.nextLong());
   }
 
-  /** Serves the key-value store and the cloud on one port; machines contact the node later. */
+  /**
+   * Serves the key-value store and the cloud on one port and returns its address. Machines are
+   * created later, when the node exists.
+   */
   private InetSocketAddress startEmulators(UniformRandomProvider random, Options options)
       throws IOException {
-    KeyValueServer stateFront = keyValueServer.server();
+    KeyValueServer storeServer = keyValueServer.server();
     JobDescriptions descriptions = new JobDescriptions(this::recordedValue);
     ObjectStore objectStore =
         new ObjectStore(
             descriptions::spec, id -> serviceParameters(descriptions.serviceParameters(id)));
     MachineType type = new MachineType("box", MACHINE_SIZE, 10, 1.0, 0.5, BOOT_TIME, List.of(ZONE));
-    // Machines of an earlier process are gone: none of these may have the name of one.
+    // Names must differ from those of an earlier process, whose machines no longer exist.
     String prefix = String.format("vm-%010x-", System.currentTimeMillis());
     EmulatedCloud cloud =
         new EmulatedCloud(
             List.of(type), options.machines(), CLOUD_RPS, LIST_LAG, prefix, loop.now());
-    CloudServer cloudFront =
+    CloudServer cloudServer =
         new CloudServer(
             this,
             loop,
             cloud,
-            (parent, rented) ->
+            (parent, instance) ->
                 new EmulatedWorker(
                     parent,
                     loop,
-                    rented,
+                    instance,
                     List.of(new InetSocketAddress("127.0.0.1", node.port())),
                     WORKER_TIMING,
                     objectStore,
@@ -164,9 +168,9 @@
             256,
             (method, target, body, answer) -> {
               if (KeyValueServer.serves(target)) {
-                stateFront.handle(method, target, body, answer);
+                storeServer.handle(method, target, body, answer);
               } else {
-                cloudFront.handle(method, target, body, answer);
+                cloudServer.handle(method, target, body, answer);
               }
             });
     return new InetSocketAddress("127.0.0.1", server.port());
@@ -174,8 +178,9 @@
 
   private static FileSystemDirectory openDataDirectory(Path data) throws IOException {
     if (Files.exists(data.resolve("state.log"))) {
-      // Taken for an empty directory, it would hide what was accepted.
-      throw new IOException(data + ": kept by an earlier version, which alone can read state.log");
+      // Opening it as an empty directory would hide previously accepted jobs.
+      throw new IOException(
+          data + ": written by an earlier version; this version cannot read state.log");
     }
     return FileSystemDirectory.open(data);
   }
@@ -186,8 +191,10 @@
   }
 
   private static ObjectStore.ServiceParameters serviceParameters(
-      ServiceController.TaskParameters told) {
-    return told == null ? null : new ObjectStore.ServiceParameters(told.port(), told.parameters());
+      ServiceController.TaskParameters parameters) {
+    return parameters == null
+        ? null
+        : new ObjectStore.ServiceParameters(parameters.port(), parameters.parameters());
   }
 
   private static PlatformSettings platformSettings(
@@ -211,7 +218,7 @@
     return PlatformSettings.parse(settings);
   }
 
-  /** Starts the cluster; {@code ready} is run once, when jobs can be submitted. */
+  /** Starts the cluster and runs {@code ready} once jobs can be submitted. */
   void start(Runnable ready) {
     node.start();
     awaitReady(ready);
@@ -225,7 +232,7 @@
     }
   }
 
-  /** One line with the addresses of users and AMQP clients. */
+  /** Returns the line that announces the HTTP and AMQP addresses. */
   String readyLine() {
     return "ready: http "
         + Addresses.text(new InetSocketAddress(httpAddress.getAddress(), node.port()))
@@ -236,12 +243,12 @@
         + " machines";
   }
 
-  /** The port for users. */
+  /** Returns the HTTP port. */
   int port() {
     return node.port();
   }
 
-  /** The port for AMQP clients. */
+  /** Returns the AMQP port. */
   int amqpPort() {
     return node.amqpPort();
   }
--- a/src/main/java/io/saltflow/cli/LocalCommand.java
+++ b/src/main/java/io/saltflow/cli/LocalCommand.java
@@ -24,7 +24,7 @@
 
   private LocalCommand() {}
 
-  /** Runs the command; returns the exit code, 2 when it can't begin. */
+  /** Runs the command and returns the exit code, 2 if it cannot start. */
   static int run(String[] args, PrintStream out, PrintStream err) {
     try {
       EventLoop loop = new EventLoop();
@@ -35,12 +35,16 @@
       err.println("saltflow: " + exception.getMessage());
       return 2;
     } catch (IOException exception) {
-      err.println("saltflow: can't run here: " + exception.getMessage());
+      err.println("saltflow: cannot start: " + exception.getMessage());
       return 2;
     }
   }
 
-  /** Runs the loop until the process is asked to terminate, then closes what is open. */
+  /**
+   * Runs the loop until the process is asked to terminate, then cancels the root routine.
+   *
+   * @param begin run before the loop
+   */
   static void runUntilShutdown(EventLoop loop, Routine root, Runnable begin) throws IOException {
     CountDownLatch ended = new CountDownLatch(1);
     Runtime.getRuntime()
@@ -93,17 +97,17 @@
     if (line.hasOption("amqp")) {
       queues = queues.withListen(CommandOptions.addressOption(line, "amqp", null));
     }
-    OptionalInterfaces extras =
+    OptionalInterfaces interfaces =
         line.hasOption("trace")
             ? new OptionalInterfaces(queues, true, CommandOptions.rolloutTracer(line, "local"))
             : new OptionalInterfaces(queues, true);
-    return new LocalCluster(loop, clusterOptions, operator, extras, System.nanoTime());
+    return new LocalCluster(loop, clusterOptions, operator, interfaces, System.nanoTime());
   }
 
   private static int machines(String text) throws ParseException {
     int count = text.matches("\\d{1,4}") ? Integer.parseInt(text) : 0;
     if (count < 1 || count > MAX_MACHINES) {
-      throw new ParseException("--machines: a number from 1 to " + MAX_MACHINES);
+      throw new ParseException("--machines: must be a number from 1 to " + MAX_MACHINES);
     }
     return count;
   }
--- a/src/main/java/io/saltflow/cli/SaltflowCommand.java
+++ b/src/main/java/io/saltflow/cli/SaltflowCommand.java
@@ -3,7 +3,7 @@
 import java.io.PrintStream;
 import java.util.Arrays;
 
-/** The command line: dispatches to the command that the first argument names. */
+/** Dispatches the command line to the command given by the first argument. */
 public final class SaltflowCommand {
   private static final String USAGE =
       """
@@ -68,7 +68,7 @@
   private SaltflowCommand() {}
 
   /**
-   * Runs a command until it has ended.
+   * Runs a command to completion.
    *
    * @return the exit code, see {@link ExitCodes}
    */
@@ -103,7 +103,9 @@
     };
   }
 
-  /** The level without {@code LOG_LEVEL}; null: the command logs nothing. */
+  /**
+   * Returns the log level without {@code LOG_LEVEL}, or {@code null} if the command does not log.
+   */
   private static String defaultLogLevel(String command) {
     return switch (command) {
       case "serve", "check-config", "state" -> "info";
@@ -124,10 +126,10 @@
   }
 
   /**
-   * Sets the form and level of the log. To be called before any class that logs is loaded: the
-   * first logger fixes both.
+   * Sets the format and level of the log. Must be called before any class that logs is loaded, as
+   * the first logger fixes both.
    *
-   * @param level null or unknown: {@code info}
+   * @param level the log level; {@code null} or an unknown level selects {@code info}
    */
   public static void setLogLevel(String level) {
     String known = level == null || !level.matches("error|warn|info|debug|trace") ? "info" : level;
--- a/src/main/java/io/saltflow/cli/SchedulingCommands.java
+++ b/src/main/java/io/saltflow/cli/SchedulingCommands.java
@@ -15,8 +15,8 @@
 import org.apache.commons.cli.ParseException;
 
 /**
- * {@code queue}, {@code lane}, {@code moves} and {@code ready}: the commands of operators on the
- * scheduling order.
+ * Operator commands for the queue order: {@code queue}, {@code lane}, {@code moves} and {@code
+ * ready}.
  */
 final class SchedulingCommands {
   private final PrintStream out;
@@ -27,7 +27,7 @@
     this.err = err;
   }
 
-  /** Runs one of the commands; returns the exit code. */
+  /** Runs one of the commands and returns its exit code. */
   int run(String command, String[] args) {
     Options options = CommandOptions.withValues("server").addOption(CommandOptions.flag("json"));
     ControllerClient client = null;
@@ -61,20 +61,20 @@
   }
 
   private static void checkArgumentCount(String command, int count) throws ParseException {
-    boolean wrong =
+    boolean invalid =
         switch (command) {
           case "lane" -> count != 2;
           case "ready" -> count > 1;
           default -> count != 0;
         };
-    if (wrong) {
-      String takes =
+    if (invalid) {
+      String accepted =
           switch (command) {
-            case "lane" -> "an id and a lane, or front";
-            case "ready" -> "one queue at the most";
-            default -> "nothing more";
+            case "lane" -> "a job ID and a lane name or front";
+            case "ready" -> "at most one queue";
+            default -> "no arguments";
           };
-      throw new ParseException(command + " takes " + takes);
+      throw new ParseException(command + " takes " + accepted);
     }
   }
 
--- a/src/main/java/io/saltflow/cli/ServeCommand.java
+++ b/src/main/java/io/saltflow/cli/ServeCommand.java
@@ -17,7 +17,7 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** {@code serve} and {@code check-config}: runs one controller, or only checks its settings. */
+/** {@code serve} and {@code check-config}: runs a controller, or only validates its settings. */
 final class ServeCommand {
   private final PrintStream out;
   private final PrintStream err;
@@ -27,7 +27,10 @@
     this.err = err;
   }
 
-  /** Returns the exit code; a controller that serves returns only when its loop is stopped. */
+  /**
+   * Runs one of the commands and returns its exit code. {@code serve} returns only when the event
+   * loop is stopped.
+   */
   int run(String command, String[] arguments) {
     try {
       CommandLine line = parse(arguments);
@@ -45,7 +48,7 @@
       err.println("saltflow: " + exception.getMessage());
       return ExitCodes.USAGE;
     } catch (IOException exception) {
-      err.println("saltflow: can't serve: " + exception.getMessage());
+      err.println("saltflow: cannot serve: " + exception.getMessage());
       return ExitCodes.CANNOT_SERVE;
     }
   }
@@ -88,14 +91,14 @@
       return new OptionalInterfaces(queues, services);
     }
     if (!services) {
-      throw new ParseException("--trace: of roll-outs, which --services switches on");
+      throw new ParseException("--trace requires --services");
     }
     return new OptionalInterfaces(queues, true, CommandOptions.rolloutTracer(line, host));
   }
 
   /**
-   * The operators' own settings. A controller that restarts unattended does not stay down for a
-   * mistake in them: it serves with the defaults and says so.
+   * Reads the operator settings. If they are invalid, a serving controller falls back to the
+   * defaults, so that an unattended restart does not fail.
    */
   private OperatorSettings operatorSettings(CommandLine line, boolean serves)
       throws ConfigException {
@@ -108,7 +111,7 @@
       if (!serves) {
         throw exception;
       }
-      err.println("saltflow: " + exception.getMessage() + "; it serves with the defaults instead");
+      err.println("saltflow: " + exception.getMessage() + "; using the default operator settings");
       return OperatorSettings.defaults();
     }
   }
--- a/src/main/java/io/saltflow/cli/ServiceCommands.java
+++ b/src/main/java/io/saltflow/cli/ServiceCommands.java
@@ -24,7 +24,7 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** {@code service} and {@code rollout}: the commands of operators on services. */
+/** Operator commands for services: {@code service} and {@code rollout}. */
 final class ServiceCommands {
   private static final TimeSpan POLL_INTERVAL = TimeSpan.seconds(1);
   private static final List<String> ROLLOUT_COMMANDS =
@@ -40,7 +40,7 @@
     this.err = err;
   }
 
-  /** Runs one of the commands; returns the exit code. */
+  /** Runs one of the commands and returns its exit code. */
   int run(String command, String[] args) {
     Options options =
         CommandOptions.withValues("server", "by", "plan")
@@ -123,7 +123,7 @@
     try {
       return Files.readString(Path.of(file));
     } catch (IOException exception) {
-      throw new ConfigException(file + ": can't be read: " + exception.getMessage());
+      throw new ConfigException(file + ": cannot be read: " + exception.getMessage());
     }
   }
 
@@ -131,7 +131,7 @@
     try {
       JsonNode node = new ObjectMapper().readTree(readText(file));
       if (!(node instanceof ObjectNode)) {
-        throw new ConfigException(file + ": a map of fields is required");
+        throw new ConfigException(file + ": a JSON object is required");
       }
       return toBody(node);
     } catch (JsonProcessingException exception) {
@@ -163,17 +163,21 @@
     return node.isTextual() ? node.textValue() : null;
   }
 
-  /** Says what can never work of a plan for a service under these settings. */
+  /**
+   * Checks a rollout plan for a service against the platform settings.
+   *
+   * @throws ConfigException if the plan is invalid or can never complete
+   */
   static void checkPlan(String serviceFile, String planFile, PlatformSettings config)
       throws ParseException, ConfigException {
     if (serviceFile == null || planFile == null) {
-      throw new ParseException("--service and --plan are checked together");
+      throw new ParseException("--service and --plan must be given together");
     }
     try {
       MessageBody service = readJson(serviceFile);
-      List<String> faults = RolloutPlanReader.check(readText(planFile), service, config::teamLimit);
-      if (!faults.isEmpty()) {
-        throw new ConfigException(planFile + ": " + String.join("; ", faults));
+      List<String> errors = RolloutPlanReader.check(readText(planFile), service, config::teamLimit);
+      if (!errors.isEmpty()) {
+        throw new ConfigException(planFile + ": " + String.join("; ", errors));
       }
     } catch (InvalidMessageException exception) {
       throw new ConfigException(serviceFile + ", " + planFile + ": " + exception.getMessage());
@@ -203,7 +207,7 @@
       }
       return 0;
     } catch (InvalidMessageException exception) {
-      err.println("saltflow: the answer can't be read: " + exception.getMessage());
+      err.println("saltflow: invalid answer: " + exception.getMessage());
       return ExitCodes.NO_ANSWER;
     }
   }
@@ -213,7 +217,10 @@
         json ? new ObjectMapper().writeValueAsString(service.fields()) : statusLine(service));
   }
 
-  /** One line: what serves, what is on its way, and why it waits or stopped. */
+  /**
+   * Returns one line with the serving version, the rollout in progress, and why it waits or
+   * stopped.
+   */
   private static String statusLine(MessageBody service) {
     StringBuilder text = new StringBuilder();
     text.append(service.get("name"))
@@ -275,7 +282,7 @@
     return printService(client.post(path + "/rollout", request));
   }
 
-  /** Rolls out again what the last rollout replaced. */
+  /** Starts a rollout of the version that the last rollout replaced. */
   private int undo(String path, String by, CommandLine line) throws IOException, ConfigException {
     ControllerClient.Answer answer = client.get(path);
     if (answer.status() != 200) {
@@ -291,9 +298,9 @@
         }
       }
     } catch (InvalidMessageException exception) {
-      throw new ConfigException("the answer can't be read: " + exception.getMessage());
+      throw new ConfigException("invalid answer: " + exception.getMessage());
     }
-    throw new ConfigException("there is no roll-out to undo");
+    throw new ConfigException("there is no rollout to undo");
   }
 
   private int history(ControllerClient.Answer answer) {
@@ -304,12 +311,15 @@
       answer.body().texts("history").forEach(out::println);
       return 0;
     } catch (InvalidMessageException exception) {
-      err.println("saltflow: the answer can't be read: " + exception.getMessage());
+      err.println("saltflow: invalid answer: " + exception.getMessage());
       return ExitCodes.NO_ANSWER;
     }
   }
 
-  /** On a terminal one line that changes in place; else a line whenever something has changed. */
+  /**
+   * Prints the status until the rollout has ended: on a terminal as one line that is updated in
+   * place, otherwise as a new line for each change.
+   */
   private int watch(String path) throws IOException {
     boolean terminal = System.console() != null && !json;
     String last = "";
--- a/src/main/java/io/saltflow/cli/StateCommand.java
+++ b/src/main/java/io/saltflow/cli/StateCommand.java
@@ -27,16 +27,17 @@
 import org.apache.commons.rng.core.source64.SplitMix64;
 
 /**
- * {@code state}: serves the key-value store, alone or as one node of a Raft group, or works on its
- * data directory offline.
+ * {@code state}: serves the key-value store, standalone or as a node of a Raft group, or performs
+ * offline maintenance on its data directory.
  */
 final class StateCommand extends Routine {
   private static final int MAX_CLIENTS = 1000;
 
-  /** What is served: where, and in words for the ready line. */
-  private record Service(InetSocketAddress address, HttpServer http, Supplier<String> contents) {}
+  /** HTTP service with its listen address and a description for the ready line. */
+  private record Service(
+      InetSocketAddress address, HttpServer http, Supplier<String> description) {}
 
-  /** The options that both ways of serving share. */
+  /** Options of both standalone and group operation. */
   private record StoreOptions(Path data, KeyValueLimits limits, long snapshotBytes) {
     static StoreOptions parse(CommandLine line) throws ParseException {
       Path data = Path.of(required(line, "data"));
@@ -60,7 +61,8 @@
     service =
         line.hasOption("group")
             ? serveAsGroupNode(groupSettings(line), options)
-            : serveAlone(CommandOptions.addressOption(line, "listen", "127.0.0.1:2380"), options);
+            : serveStandalone(
+                CommandOptions.addressOption(line, "listen", "127.0.0.1:2380"), options);
   }
 
   private Service serveAsGroupNode(GroupSettings group, StoreOptions options) throws IOException {
@@ -78,7 +80,8 @@
                 + options.data());
   }
 
-  private Service serveAlone(InetSocketAddress address, StoreOptions options) throws IOException {
+  private Service serveStandalone(InetSocketAddress address, StoreOptions options)
+      throws IOException {
     StandaloneServer server =
         new StandaloneServer(
             this,
@@ -111,7 +114,8 @@
 
   private static GroupSettings groupSettings(CommandLine line) throws ParseException {
     if (line.hasOption("listen")) {
-      throw new ParseException("--listen: the group's file says where a node listens");
+      throw new ParseException(
+          "--listen cannot be combined with --group; the group file sets the listen address");
     }
     try {
       return GroupSettings.read(Path.of(line.getOptionValue("group")), required(line, "node"));
@@ -157,7 +161,7 @@
     String text = line.getOptionValue(option, defaultValue);
     double value = text.matches("\\d{1,7}(\\.\\d{1,3})?") ? Double.parseDouble(text) : 0;
     if (value <= 0 || value > max) {
-      throw new ParseException("--" + option + ": a number above 0, up to " + max);
+      throw new ParseException("--" + option + ": must be a number above 0 and at most " + max);
     }
     return value;
   }
@@ -166,10 +170,13 @@
     return "ready: state on "
         + Addresses.text(
             new InetSocketAddress(service.address().getAddress(), service.http().port()))
-        + service.contents().get();
+        + service.description().get();
   }
 
-  /** Runs the command; returns the exit code: 2 when it can't begin, 1 for a failed operation. */
+  /**
+   * Runs the command and returns the exit code: 2 if it cannot start, 1 if a maintenance operation
+   * fails.
+   */
   static int run(String[] args, PrintStream out, PrintStream err) {
     Options options =
         CommandOptions.withValues(
@@ -197,27 +204,27 @@
       err.println("saltflow: " + exception.getMessage());
       return 2;
     } catch (IOException exception) {
-      err.println("saltflow: can't run here: " + exception.getMessage());
+      err.println("saltflow: cannot start: " + exception.getMessage());
       return 2;
     }
   }
 
   private static int runOnDataDirectory(
-      List<String> words, StoreMaintenance folder, PrintStream out, PrintStream err)
+      List<String> words, StoreMaintenance maintenance, PrintStream out, PrintStream err)
       throws ParseException {
     String command = words.get(0);
     boolean takesFile = command.equals("snapshot") || command.equals("restore");
     if (words.size() != (takesFile ? 2 : 1)) {
       throw new ParseException(
-          command + ": " + (takesFile ? "one file is required" : "takes no file"));
+          command + ": " + (takesFile ? "requires exactly one file" : "takes no file"));
     }
     try {
       switch (command) {
-        case "check" -> folder.check(out);
-        case "dump" -> folder.dump(out);
-        case "repair" -> folder.repair(out);
-        case "snapshot" -> folder.snapshot(Path.of(words.get(1)), out);
-        case "restore" -> folder.restore(Path.of(words.get(1)), newIdentity(), out);
+        case "check" -> maintenance.check(out);
+        case "dump" -> maintenance.dump(out);
+        case "repair" -> maintenance.repair(out);
+        case "snapshot" -> maintenance.snapshot(Path.of(words.get(1)), out);
+        case "restore" -> maintenance.restore(Path.of(words.get(1)), newIdentity(), out);
         default -> throw new ParseException("unknown command 'state " + command + "'");
       }
       return 0;
--- a/src/test/java/io/saltflow/GoldenTraces.java
+++ b/src/test/java/io/saltflow/GoldenTraces.java
@@ -8,21 +8,23 @@
 import java.util.List;
 
 /**
- * Traces that are kept in the repository and compared line by line. Run with {@code
- * -Dtraces.write=true} to write them anew, and read the difference before it is committed.
+ * Compares traces with golden files in the repository. Run with {@code -Dtraces.write=true} to
+ * regenerate the files, and review the difference before committing it.
  */
 public final class GoldenTraces {
   private static final Path FOLDER = Path.of("src/test/resources/traces");
 
   private GoldenTraces() {}
 
-  /** Compares lines with a trace under {@code src/test/resources/traces}, or writes it anew. */
+  /**
+   * Compares lines with a golden file under {@code src/test/resources/traces}, or regenerates it.
+   */
   public static void check(String name, List<String> lines) throws IOException {
-    String now = String.join("\n", lines) + "\n";
+    String actual = String.join("\n", lines) + "\n";
     Path file = FOLDER.resolve(name + ".txt");
     if (Boolean.getBoolean("traces.write")) {
-      Files.writeString(file, now);
+      Files.writeString(file, actual);
     }
-    assertEquals(Files.readString(file), now, "the trace " + name + " has changed");
+    assertEquals(Files.readString(file), actual, "the trace " + name + " has changed");
   }
 }
--- a/src/test/java/io/saltflow/LayersTest.java
+++ b/src/test/java/io/saltflow/LayersTest.java
@@ -13,14 +13,14 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The layers point one way, and the core knows no sockets, no clock and no randomness. */
+/** Guards against dependencies that violate the layering and against side effects in the core. */
 class LayersTest {
   private static final Path MAIN = Path.of("src/main/java/io/saltflow");
   private static final Pattern IMPORT =
       Pattern.compile("^import (?:static )?io\\.saltflow\\.(\\w+)\\.", Pattern.MULTILINE);
-  private static final Pattern IMPURE =
+  private static final Pattern SIDE_EFFECT =
       Pattern.compile("System\\.(nanoTime|currentTimeMillis)|Math\\.random|java\\.n(et|io)\\.");
-  private static final Map<String, List<String>> MAY_USE =
+  private static final Map<String, List<String>> ALLOWED_DEPENDENCIES =
       Map.ofEntries(
           entry("model"),
           entry("admission", "model"),
@@ -187,8 +187,8 @@
               "controller",
               "cli"));
 
-  private static Map.Entry<String, List<String>> entry(String layer, String... uses) {
-    return Map.entry(layer, List.of(uses));
+  private static Map.Entry<String, List<String>> entry(String layer, String... dependencies) {
+    return Map.entry(layer, List.of(dependencies));
   }
 
   private static List<Path> sources(String layer) throws IOException {
@@ -199,7 +199,7 @@
 
   @Test
   void importsFollowTheLayers() throws IOException {
-    for (Map.Entry<String, List<String>> layer : MAY_USE.entrySet()) {
+    for (Map.Entry<String, List<String>> layer : ALLOWED_DEPENDENCIES.entrySet()) {
       List<Path> files = sources(layer.getKey());
       assertFalse(files.isEmpty(), layer.getKey());
       for (Path file : files) {
@@ -208,23 +208,23 @@
           boolean allowed =
               matcher.group(1).equals(layer.getKey())
                   || layer.getValue().contains(matcher.group(1));
-          assertEquals(true, allowed, file + " uses " + matcher.group(1));
+          assertEquals(true, allowed, file + " dependencies " + matcher.group(1));
         }
       }
     }
   }
 
-  /** What a controller does not need stays off its start-up path and out of its archive. */
+  /** Guards against loading the emulator on a controller's start-up path. */
   @Test
-  void onlyLocalKnowsTheEmulator() throws IOException {
+  void onlyLocalClusterUsesEmulator() throws IOException {
     for (Path file : sources("cli")) {
-      boolean uses = Files.readString(file).contains("io.saltflow.emulator.");
-      assertEquals(file.endsWith("LocalCluster.java"), uses, file.toString());
+      boolean dependencies = Files.readString(file).contains("io.saltflow.emulator.");
+      assertEquals(file.endsWith("LocalCluster.java"), dependencies, file.toString());
     }
   }
 
   @Test
-  void theCoreIsPure() throws IOException {
+  void coreUsesNoClockRandomnessOrIo() throws IOException {
     for (String core :
         List.of(
             "processpause",
@@ -254,7 +254,7 @@
       for (Path file : sources(core)) {
         String source = Files.readString(file).replace("java.nio.ByteBuffer", "bytes");
         source = source.replaceAll("java\\.nio\\.(BufferUnderflowException|charset)", "bytes");
-        assertFalse(IMPURE.matcher(source).find(), file.toString());
+        assertFalse(SIDE_EFFECT.matcher(source).find(), file.toString());
       }
     }
   }
--- a/src/test/java/io/saltflow/cli/ControllerClientTest.java
+++ b/src/test/java/io/saltflow/cli/ControllerClientTest.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A user asks again where PROTOCOL says so, and nowhere else. */
+/** Guards against retries of final answers and missing retries of temporary ones. */
 class ControllerClientTest {
   private static final class Root extends Routine {
     Root() {
@@ -23,12 +23,12 @@
     }
   }
 
-  private int asked;
+  private int requestCount;
 
   private ControllerClient.Answer answerTo(List<HttpResponse> replies) throws IOException {
     EventLoop loop = new EventLoop();
     Root root = new Root();
-    ArrayDeque<HttpResponse> left = new ArrayDeque<>(replies);
+    ArrayDeque<HttpResponse> remaining = new ArrayDeque<>(replies);
     HttpServer server =
         new HttpServer(
             root,
@@ -36,25 +36,25 @@
             Addresses.parse("127.0.0.1:0"),
             4,
             (method, target, body, answer) -> {
-              asked++;
-              answer.accept(left.poll());
+              requestCount++;
+              answer.accept(remaining.poll());
             });
     ControllerClient client =
         new ControllerClient(
             loop, Addresses.parse("127.0.0.1:" + server.port()), TimeSpan.seconds(20));
-    ControllerClient.Answer otherAnswer = client.submit(MessageBody.of());
+    ControllerClient.Answer result = client.submit(MessageBody.of());
     client.cancel();
     root.cancel();
-    return otherAnswer;
+    return result;
   }
 
   @Test
-  void whatCannotBeTakenNowIsAskedAgainAndRefusalsAreNot() throws IOException {
-    byte[] taken = MessagePackCodec.encode(MessageBody.of().with("id", "req-1"));
+  void unavailableAnswerIsRetriedAndRejectionIsNot() throws IOException {
+    byte[] accepted = MessagePackCodec.encode(MessageBody.of().with("id", "req-1"));
     HttpResponse busy = new HttpResponse(503, new byte[0], 1);
-    assertEquals(201, answerTo(List.of(busy, HttpResponse.of(201, taken))).status());
-    assertEquals(2, asked);
+    assertEquals(201, answerTo(List.of(busy, HttpResponse.of(201, accepted))).status());
+    assertEquals(2, requestCount);
     assertEquals(422, answerTo(List.of(HttpResponse.empty(422))).status());
-    assertEquals(3, asked);
+    assertEquals(3, requestCount);
   }
 }
--- a/src/test/java/io/saltflow/cli/LocalClusterTest.java
+++ b/src/test/java/io/saltflow/cli/LocalClusterTest.java
@@ -29,12 +29,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** saltflow on one machine, and a user at the command line before it. */
+/** Tests the local cluster through the command line. */
 class LocalClusterTest {
   @TempDir Path folder;
-  private final ByteArrayOutputStream said = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream output = new ByteArrayOutputStream();
   private EventLoop loop;
-  private LocalCluster local;
+  private LocalCluster cluster;
   private LoopThread thread;
 
   private void start(Path data) throws IOException, ConfigException, InterruptedException {
@@ -46,16 +46,16 @@
     loop = new EventLoop();
     LocalCluster.Options options =
         new LocalCluster.Options(Addresses.parse("127.0.0.1:0"), 2, data);
-    local = new LocalCluster(loop, options, operator, new OptionalInterfaces(queues(), true), 1);
+    cluster = new LocalCluster(loop, options, operator, new OptionalInterfaces(queues(), true), 1);
     boolean[] ready = new boolean[1];
-    local.start(
+    cluster.start(
         () -> {
           ready[0] = true;
           loop.pause();
         });
     loop.run();
     assertTrue(ready[0]);
-    thread = LoopThread.start(loop, local);
+    thread = LoopThread.start(loop, cluster);
   }
 
   private static AmqpSettings queues() throws ConfigException {
@@ -70,35 +70,36 @@
   }
 
   private int run(String input, String command, String... arguments) {
-    said.reset();
-    PrintStream out = new PrintStream(said, true, StandardCharsets.UTF_8);
+    output.reset();
+    PrintStream out = new PrintStream(output, true, StandardCharsets.UTF_8);
     String[] all = new String[arguments.length + 2];
     System.arraycopy(arguments, 0, all, 0, arguments.length);
     all[arguments.length] = "--server";
-    all[arguments.length + 1] = "127.0.0.1:" + (local == null ? 9 : local.port());
+    all[arguments.length + 1] = "127.0.0.1:" + (cluster == null ? 9 : cluster.port());
     byte[] bytes = input.getBytes(StandardCharsets.UTF_8);
     return new JobCommands(new ByteArrayInputStream(bytes), out, out).run(command, all);
   }
 
-  private String said() {
-    return said.toString(StandardCharsets.UTF_8).trim();
+  private String output() {
+    return output.toString(StandardCharsets.UTF_8).trim();
   }
 
   @Test
-  void aJobIsSubmittedAndDoneAndOutlivesARestart() throws Exception {
+  void jobsSurviveRestart() throws Exception {
     start(folder);
     assertEquals(0, run("{\"cores\": 2, \"expectS\": 0.2, \"shards\": 3}", "submit", "-"));
-    String id = said();
+    String id = output();
     assertEquals(0, run("", "watch", id));
-    assertTrue(said().endsWith("done: 3 done, 0 running"), said());
-    String two =
+    assertTrue(output().endsWith("done: 3 done, 0 running"), output());
+    String jobs =
         "[{\"id\": \"req-7\", \"cores\": 1, \"expectS\": 1, \"bundle\": \"stand-in/hang\"},";
-    assertEquals(1, run(two + "{\"cores\": 99, \"expectS\": 1}]", "submit", "-"));
-    assertTrue(said().contains("req-7") && said().contains("fits no allowed machine"), said());
+    assertEquals(1, run(jobs + "{\"cores\": 99, \"expectS\": 1}]", "submit", "-"));
+    assertTrue(
+        output().contains("req-7") && output().contains("fits no allowed machine"), output());
     end();
     start(folder);
     assertEquals(0, run("", "status", id, "--json"));
-    assertEquals("{\"id\":\"" + id + "\",\"phase\":\"done\",\"done\":3,\"running\":0}", said());
+    assertEquals("{\"id\":\"" + id + "\",\"phase\":\"done\",\"done\":3,\"running\":0}", output());
     assertEquals(0, run("", "status", "req-7"));
     assertEquals(0, run("", "cancel", "req-7"));
     assertEquals(ExitCodes.CANCELLED, run("", "watch", "req-7"));
@@ -106,29 +107,29 @@
   }
 
   private int runScheduling(String command, String... arguments) {
-    said.reset();
-    PrintStream out = new PrintStream(said, true, StandardCharsets.UTF_8);
+    output.reset();
+    PrintStream out = new PrintStream(output, true, StandardCharsets.UTF_8);
     List<String> all = new ArrayList<>(List.of(arguments));
-    all.addAll(List.of("--server", "127.0.0.1:" + local.port()));
+    all.addAll(List.of("--server", "127.0.0.1:" + cluster.port()));
     return new SchedulingCommands(out, out).run(command, all.toArray(new String[0]));
   }
 
-  /** The queue says so in the end: rounds and records take a moment. */
-  private void queueSays(String pattern) throws InterruptedException {
-    says(pattern, "queue");
+  /** Waits until the output of {@code queue} matches, as scheduling and recording take time. */
+  private void awaitQueue(String pattern) throws InterruptedException {
+    awaitOutput(pattern, "queue");
   }
 
-  private void says(String pattern, String... command) throws InterruptedException {
-    for (int i = 0; i < 150 && !said().matches("(?s).*" + pattern + ".*"); i++) {
+  private void awaitOutput(String pattern, String... command) throws InterruptedException {
+    for (int i = 0; i < 150 && !output().matches("(?s).*" + pattern + ".*"); i++) {
       Thread.sleep(200);
       runScheduling(command[0], Arrays.copyOfRange(command, 1, command.length));
     }
-    assertTrue(said().matches("(?s).*" + pattern + ".*"), said());
+    assertTrue(output().matches("(?s).*" + pattern + ".*"), output());
   }
 
-  /** Lanes, a job put in front, and a daily deadline: the same after a restart. */
+  /** Guards against losing lanes, order overrides or daily deadlines on a restart. */
   @Test
-  void theOrderOfWorkOutlivesARestart() throws Exception {
+  void queueOrderAndDeadlinesSurviveRestart() throws Exception {
     LocalTime now = LocalTime.now(ZoneOffset.UTC);
     Path settings =
         Files.writeString(
@@ -138,46 +139,46 @@
                     + " {\"name\": \"bulk\"}], \"readiness\": [{\"queue\": \"chapters\","
                     + " \"classes\": [\"pages\"], \"opens\": \"%s\", \"by\": \"%s\","
                     + " \"zone\": \"UTC\"}]}",
-                form(now.minusHours(1)), form(now.plusMinutes(20))));
+                timeText(now.minusHours(1)), timeText(now.plusMinutes(20))));
     OperatorSettings operator = OperatorSettings.read(settings);
     Path data = folder.resolve("data");
     start(data, operator);
-    String hangs = "{\"id\": \"req-1\", \"lane\": \"pages\", \"shards\": 40, \"cores\": 4,";
-    hangs += " \"expectS\": 500, \"bundle\": \"stand-in/hang\"}";
-    assertEquals(0, run(hangs, "submit", "-"));
+    String hangingJob = "{\"id\": \"req-1\", \"lane\": \"pages\", \"shards\": 40, \"cores\": 4,";
+    hangingJob += " \"expectS\": 500, \"bundle\": \"stand-in/hang\"}";
+    assertEquals(0, run(hangingJob, "submit", "-"));
     for (int n = 2; n <= 4; n++) {
       String lane = n == 4 ? "warrant" : "pages";
       String job = "{\"id\": \"req-" + n + "\", \"lane\": \"" + lane + "\", \"cores\": 4,";
       assertEquals(0, run(job + " \"expectS\": 500, \"shards\": 40}", "submit", "-"));
     }
-    queueSays("look-ups: 1 jobs.*req-4.*bulk: 3 jobs.*req-1,.*req-2,.*req-3,");
+    awaitQueue("look-ups: 1 jobs.*req-4.*bulk: 3 jobs.*req-1,.*req-2,.*req-3,");
     assertEquals(0, runScheduling("lane", "req-3", "front"));
-    queueSays("bulk: 3 jobs.*req-3,.*moved by an operator.*req-1,.*req-2,");
+    awaitQueue("bulk: 3 jobs.*req-3,.*moved by an operator.*req-1,.*req-2,");
     assertEquals(ExitCodes.UNKNOWN, runScheduling("lane", "req-77", "front"));
     assertEquals(ExitCodes.REFUSED, runScheduling("lane", "req-3", "nowhere"));
     assertEquals(0, runScheduling("moves"));
     end();
     start(data, operator);
-    queueSays("look-ups: 1 jobs.*req-4.*bulk: 3 jobs.*req-3,.*req-1,.*req-2,");
-    says("chapters, due .*: 0 of 3 ready, .* min left.*", "ready", "chapters");
+    awaitQueue("look-ups: 1 jobs.*req-4.*bulk: 3 jobs.*req-3,.*req-1,.*req-2,");
+    awaitOutput("chapters, due .*: 0 of 3 ready, .* min left.*", "ready", "chapters");
     assertEquals(ExitCodes.UNKNOWN, runScheduling("ready", "nothing"));
   }
 
-  private static String form(LocalTime time) {
+  private static String timeText(LocalTime time) {
     return time.format(DateTimeFormatter.ofPattern("HH:mm"));
   }
 
-  private int operate(String command, String... arguments) {
-    said.reset();
-    PrintStream out = new PrintStream(said, true, StandardCharsets.UTF_8);
+  private int runService(String command, String... arguments) {
+    output.reset();
+    PrintStream out = new PrintStream(output, true, StandardCharsets.UTF_8);
     List<String> all = new ArrayList<>(List.of(arguments));
-    all.addAll(List.of("--server", "127.0.0.1:" + local.port()));
+    all.addAll(List.of("--server", "127.0.0.1:" + cluster.port()));
     return new ServiceCommands(out, out).run(command, all.toArray(new String[0]));
   }
 
-  /** A broken build is taken back by its gate; the process is killed in mid rollout and goes on. */
+  /** Guards against a rollout that stalls after a restart or keeps a failing version. */
   @Test
-  void aServiceIsRolledOutAndABrokenBuildRolledBack() throws Exception {
+  void rolloutContinuesAfterRestartAndFailingVersionIsRolledBack() throws Exception {
     Path service =
         Files.writeString(
             folder.resolve("service.json"),
@@ -190,32 +191,36 @@
                 + " \"steps\": [{\"count\": 1, \"approval\": true}, {\"percent\": 100}]}");
     Path data = folder.resolve("data");
     start(data);
-    assertEquals(0, operate("service", "apply", service.toString()), said());
-    assertEquals(0, operate("rollout", "start", "thumbs", "v2", "--plan", plan.toString()), said());
+    assertEquals(0, runService("service", "apply", service.toString()), output());
+    assertEquals(
+        0, runService("rollout", "start", "thumbs", "v2", "--plan", plan.toString()), output());
     awaitPhase("approval");
     end();
     start(data);
-    assertEquals(0, operate("rollout", "approve", "thumbs"), said());
-    assertEquals(0, operate("rollout", "watch", "thumbs"), said());
-    assertTrue(said().endsWith("version 2 (v2); roll-out to version 2: step 2 of 2, done"), said());
+    assertEquals(0, runService("rollout", "approve", "thumbs"), output());
+    assertEquals(0, runService("rollout", "watch", "thumbs"), output());
+    assertTrue(
+        output().endsWith("version 2 (v2); roll-out to version 2: step 2 of 2, done"), output());
     assertEquals(
         0,
-        operate("rollout", "start", "thumbs", "stand-in/error", "--plan", plan.toString()),
-        said());
-    assertEquals(ExitCodes.REFUSED, operate("rollout", "start", "thumbs", "v4"), said());
-    assertEquals(ExitCodes.ROLLED_BACK, operate("rollout", "watch", "thumbs"), said());
-    assertTrue(said().contains("Step 1 was stopped: failures(1m) >= 2; failures(1m) is 2"), said());
-    assertEquals(0, operate("service", "show", "thumbs", "--json"));
-    assertTrue(said().contains("\"serving\":2"), said());
-    assertEquals(0, operate("rollout", "history", "thumbs"));
-    assertTrue(said().startsWith("Version 2 (v2) took over from version 1."), said());
-    assertEquals(ExitCodes.REFUSED, operate("rollout", "undo", "thumbs"), "it was taken back");
-    assertTrue(said().contains("it serves already"), said());
+        runService("rollout", "start", "thumbs", "stand-in/error", "--plan", plan.toString()),
+        output());
+    assertEquals(ExitCodes.REFUSED, runService("rollout", "start", "thumbs", "v4"), output());
+    assertEquals(ExitCodes.ROLLED_BACK, runService("rollout", "watch", "thumbs"), output());
+    assertTrue(
+        output().contains("Step 1 was stopped: failures(1m) >= 2; failures(1m) is 2"), output());
+    assertEquals(0, runService("service", "show", "thumbs", "--json"));
+    assertTrue(output().contains("\"serving\":2"), output());
+    assertEquals(0, runService("rollout", "history", "thumbs"));
+    assertTrue(output().startsWith("Version 2 (v2) took over from version 1."), output());
+    assertEquals(
+        ExitCodes.REFUSED, runService("rollout", "undo", "thumbs"), "the version was rolled back");
+    assertTrue(output().contains("it serves already"), output());
   }
 
-  /** Replicas that are probed: one that is ill, one that answers slowly, and one that is well. */
+  /** Guards against a version being rolled out although its probes fail. */
   @Test
-  void probesDecideWhetherAVersionGoesOut() throws Exception {
+  void probesDecideOutcomeOfRollout() throws Exception {
     Path service =
         Files.writeString(
             folder.resolve("service.json"),
@@ -231,42 +236,46 @@
                 + " and probe(\\\"tcp\\\").ok >= 90%\","
                 + " \"stop\": \"probe(\\\"/\\\").p50 > 3s\"}");
     start(null);
-    assertEquals(0, operate("service", "apply", service.toString()), said());
-    String[] ill = {"start", "web", "w1", "--param", "behaves=ill", "--plan", plan.toString()};
-    assertEquals(0, operate("rollout", ill), said());
-    assertEquals(ExitCodes.ROLLED_BACK, operate("rollout", "watch", "web"), said());
-    assertTrue(said().contains("probe(\"/\").p50 > 3s; probe(\"/\").p50 is no answer"), said());
-    String[] well = {"start", "web", "w1", "--param", "colour=blue", "--plan", plan.toString()};
-    assertEquals(0, operate("rollout", well), said());
-    assertEquals(0, operate("rollout", "watch", "web"), said());
-    assertEquals(0, operate("service", "show", "web", "--json"));
-    assertTrue(said().contains("{\"colour\":\"blue\"}"), said());
-    assertEquals(0, operate("rollout", "undo", "web"), said());
-    assertEquals(0, operate("rollout", "abort", "web"), said());
-    assertEquals(ExitCodes.USAGE, operate("rollout", "start", "web", "w2", "--param", "x"));
+    assertEquals(0, runService("service", "apply", service.toString()), output());
+    String[] unhealthyRollout = {
+      "start", "web", "w1", "--param", "behaves=ill", "--plan", plan.toString()
+    };
+    assertEquals(0, runService("rollout", unhealthyRollout), output());
+    assertEquals(ExitCodes.ROLLED_BACK, runService("rollout", "watch", "web"), output());
+    assertTrue(output().contains("probe(\"/\").p50 > 3s; probe(\"/\").p50 is no answer"), output());
+    String[] healthyRollout = {
+      "start", "web", "w1", "--param", "colour=blue", "--plan", plan.toString()
+    };
+    assertEquals(0, runService("rollout", healthyRollout), output());
+    assertEquals(0, runService("rollout", "watch", "web"), output());
+    assertEquals(0, runService("service", "show", "web", "--json"));
+    assertTrue(output().contains("{\"colour\":\"blue\"}"), output());
+    assertEquals(0, runService("rollout", "undo", "web"), output());
+    assertEquals(0, runService("rollout", "abort", "web"), output());
+    assertEquals(ExitCodes.USAGE, runService("rollout", "start", "web", "w2", "--param", "x"));
   }
 
   private void awaitPhase(String phase) throws InterruptedException {
     for (int i = 0; i < 600; i++) {
-      assertEquals(0, operate("rollout", "status", "thumbs"), said());
-      if (said().contains(", " + phase)) {
+      assertEquals(0, runService("rollout", "status", "thumbs"), output());
+      if (output().contains(", " + phase)) {
         return;
       }
       Thread.sleep(50);
     }
-    assertTrue(false, said());
+    assertTrue(false, output());
   }
 
   @Test
-  void whatCanNeverRollOutIsRefusedWithItsReason() throws Exception {
+  void impossibleRolloutIsRejectedWithReason() throws Exception {
     start(null);
     Path service =
         Files.writeString(
             folder.resolve("service.json"),
             "{\"name\": \"a\", \"replicas\": 1, \"cores\": 1, \"bundle\": \"v1\"}");
-    assertEquals(0, operate("service", "apply", service.toString()), said());
-    assertEquals(ExitCodes.UNKNOWN, operate("rollout", "start", "b", "v2"));
-    for (String[] bad :
+    assertEquals(0, runService("service", "apply", service.toString()), output());
+    assertEquals(ExitCodes.UNKNOWN, runService("rollout", "start", "b", "v2"));
+    for (String[] planAndError :
         new String[][] {
           {"{\"surge\": 0}", "surge and mostUnavailable are both 0"},
           {"{\"gate\": \"redy > 5%\"}", "plan: gate: column 1: nothing called 'redy'"},
@@ -277,25 +286,25 @@
           {"{\"step\": 1}", "plan: $: property 'step' is not defined"},
           {"{", "plan: not JSON"}
         }) {
-      Path plan = Files.writeString(folder.resolve("plan.json"), bad[0]);
+      Path plan = Files.writeString(folder.resolve("plan.json"), planAndError[0]);
       assertEquals(
           ExitCodes.REFUSED,
-          operate("rollout", "start", "a", "v2", "--plan", plan.toString()),
-          bad[0]);
-      assertTrue(said().contains(bad[1]), said());
+          runService("rollout", "start", "a", "v2", "--plan", plan.toString()),
+          planAndError[0]);
+      assertTrue(output().contains(planAndError[1]), output());
     }
-    assertEquals(ExitCodes.USAGE, operate("rollout", "dance", "a"));
-    assertEquals(ExitCodes.USAGE, operate("service", "apply", folder + "/none"));
+    assertEquals(ExitCodes.USAGE, runService("rollout", "dance", "a"));
+    assertEquals(ExitCodes.USAGE, runService("service", "apply", folder + "/none"));
   }
 
   @Test
-  void badInputIsNamed() throws IOException {
+  void invalidInputIsReported() throws IOException {
     assertEquals(ExitCodes.USAGE, run("{\"cores\": 1}", "submit", "-"));
-    assertEquals("saltflow: expectS: is missing", said());
+    assertEquals("saltflow: expectS: is missing", output());
     assertEquals(ExitCodes.USAGE, run("{\"cores\": 1, \"expects\": 1}", "submit", "-"));
-    assertEquals("saltflow: unknown field 'expects'", said());
+    assertEquals("saltflow: unknown field 'expects'", output());
     assertEquals(ExitCodes.USAGE, run("[{\"cores\": 1,\n\"expectS\" 1}]", "submit", "-"));
-    assertTrue(said().startsWith("saltflow: not JSON: line 2, column"), said());
+    assertTrue(output().startsWith("saltflow: not JSON: line 2, column"), output());
     assertEquals(ExitCodes.USAGE, run("[]", "submit", "-"));
     assertEquals(ExitCodes.USAGE, run("", "submit", folder.resolve("none").toString()));
     assertEquals(ExitCodes.USAGE, run("", "status", "job-1"));
@@ -304,23 +313,23 @@
   }
 
   @Test
-  void whatCannotBeginSaysWhyInOneLine() throws Exception {
+  void startupFailureIsReportedInOneLine() throws Exception {
     start(folder);
-    String taken = "127.0.0.1:" + local.port();
-    assertEquals(2, localCommand("--http", taken));
-    assertTrue(said().startsWith("saltflow: can't run here: " + taken + ": "), said());
+    String usedAddress = "127.0.0.1:" + cluster.port();
+    assertEquals(2, localCommand("--http", usedAddress));
+    assertTrue(output().startsWith("saltflow: cannot start: " + usedAddress + ": "), output());
     assertEquals(2, localCommand("--http", "127.0.0.1:0", "--data", folder.toString()));
-    assertTrue(said().endsWith("in use by another process"), said());
+    assertTrue(output().endsWith("in use by another process"), output());
     Path file = Files.writeString(folder.resolve("file"), "");
     assertEquals(2, localCommand("--http", "127.0.0.1:0", "--data", file.toString()));
     assertEquals(2, localCommand("--machines", "0"));
     assertEquals(2, localCommand("--settings", folder.resolve("none").toString()));
-    assertEquals(1, said().lines().count(), said());
+    assertEquals(1, output().lines().count(), output());
   }
 
   private int localCommand(String... arguments) {
-    said.reset();
-    PrintStream out = new PrintStream(said, true, StandardCharsets.UTF_8);
+    output.reset();
+    PrintStream out = new PrintStream(output, true, StandardCharsets.UTF_8);
     return LocalCommand.run(arguments, out, out);
   }
 }
--- a/src/test/java/io/saltflow/cli/RolloutBenchmark.java
+++ b/src/test/java/io/saltflow/cli/RolloutBenchmark.java
@@ -40,10 +40,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures many rollouts at once: controllers as processes of their own, each held to a part of a
- * core, before a key-value store that takes so many changes a second, a cloud, machines and
- * replicas that answer probes, all in this process and on loopback. Run by hand: {@code
- * docs/PERFORMANCE.md} says how. Bounded in time; it ends its own processes.
+ * Measures concurrent rollouts. The controllers run as separate processes that are throttled to a
+ * fraction of a core. The key-value store with a limited write rate, the cloud, the machines and
+ * the probed replicas are emulated in this process on the loopback interface. {@code
+ * docs/PERFORMANCE.md} describes how to run it.
  */
 public final class RolloutBenchmark {
   private static final int FIRST_PORT = 10_000;
@@ -62,43 +62,45 @@
   private final int services = Integer.getInteger("services", 50);
   private final int replicas = Integer.getInteger("replicas", 40);
   private final int nodeCount = Integer.getInteger("nodes", 1);
-  private final double share = Double.parseDouble(System.getProperty("share", "0.1"));
+  private final double cpuShare = Double.parseDouble(System.getProperty("share", "0.1"));
   private final int outageS = Integer.getInteger("outage", 0);
-  private final double changes = Double.parseDouble(System.getProperty("changes", "25"));
+  private final double writesPerSecond = Double.parseDouble(System.getProperty("changes", "25"));
   private final Path folder = Files.createTempDirectory("rollout-load");
   private final Root root = new Root();
   private final EventLoop loop = new EventLoop();
-  private final EmulatedKeyValueStore state =
+  private final EmulatedKeyValueStore store =
       new EmulatedKeyValueStore(
-          new KeyValueLimits(changes * 4, changes, 8, 8), steps -> {}, loop.now());
+          new KeyValueLimits(writesPerSecond * 4, writesPerSecond, 8, 8),
+          batches -> {},
+          loop.now());
   private final List<InetSocketAddress> nodes = new ArrayList<>();
-  private final List<InetSocketAddress> asked = new ArrayList<>();
+  private final List<InetSocketAddress> askOrder = new ArrayList<>();
   private final List<Process> processes = new ArrayList<>();
   private final Map<String, Long> checkingSince = new HashMap<>();
   private final Histogram delays = new Histogram(3);
-  private String outside;
+  private String emulatorAddress;
   private volatile boolean done;
 
   private RolloutBenchmark() throws IOException {}
 
   /** Runs the benchmark. */
   public static void main(String[] args) throws Exception {
-    RolloutBenchmark load = new RolloutBenchmark();
+    RolloutBenchmark benchmark = new RolloutBenchmark();
     try {
-      load.run();
+      benchmark.run();
     } finally {
-      load.end();
+      benchmark.end();
     }
     System.exit(0);
   }
 
-  // ---- What is around the controllers
+  // ---- Emulators
 
   private void startEmulators() throws IOException {
-    KeyValueServer stateFront =
-        new KeyValueServer(root, loop, state.core(), () -> state.flush(loop.now()));
+    KeyValueServer storeServer =
+        new KeyValueServer(root, loop, store.core(), () -> store.flush(loop.now()));
     JobDescriptions descriptions = new JobDescriptions(this::record);
-    ObjectStore depot =
+    ObjectStore objectStore =
         new ObjectStore(
             descriptions::spec, id -> serviceParameters(descriptions.serviceParameters(id)));
     MachineType type =
@@ -112,20 +114,20 @@
             List.of("za", "zb", "zc"));
     EmulatedCloud cloud =
         new EmulatedCloud(List.of(type), MACHINES, 20, TimeSpan.seconds(1), "vm-", loop.now());
-    CloudServer cloudFront =
+    CloudServer cloudServer =
         new CloudServer(
             root,
             loop,
             cloud,
-            (parent, rented) ->
+            (parent, instance) ->
                 new EmulatedWorker(
                     parent,
                     loop,
-                    rented,
+                    instance,
                     nodes,
                     new EmulatedWorker.Timing(HEARTBEAT_INTERVAL, LEASE),
-                    depot,
-                    new java.util.SplittableRandom(rented.id().hashCode())::nextLong));
+                    objectStore,
+                    new java.util.SplittableRandom(instance.id().hashCode())::nextLong));
     HttpServer server =
         new HttpServer(
             root,
@@ -134,26 +136,28 @@
             512,
             (method, target, body, answer) -> {
               if (KeyValueServer.serves(target)) {
-                stateFront.handle(method, target, body, answer);
+                storeServer.handle(method, target, body, answer);
               } else {
-                cloudFront.handle(method, target, body, answer);
+                cloudServer.handle(method, target, body, answer);
               }
             });
-    outside = "127.0.0.1:" + server.port();
+    emulatorAddress = "127.0.0.1:" + server.port();
     loop.scheduleRepeating(TimeSpan.millis(20), root, this::sampleRecords);
   }
 
   private MessageBody record(String key) {
-    KeyValueStore.Value value = state.value(key);
+    KeyValueStore.Value value = store.value(key);
     return value == null ? null : value.data();
   }
 
   private static ObjectStore.ServiceParameters serviceParameters(
-      ServiceController.TaskParameters told) {
-    return told == null ? null : new ObjectStore.ServiceParameters(told.port(), told.parameters());
+      ServiceController.TaskParameters parameters) {
+    return parameters == null
+        ? null
+        : new ObjectStore.ServiceParameters(parameters.port(), parameters.parameters());
   }
 
-  /** How long after its gate could pass at the earliest the step was recorded as passed. */
+  /** Records the delay between the earliest time at which a gate can pass and the recorded step. */
   private void sampleRecords() {
     long now = System.nanoTime() / 1_000_000;
     for (int i = 0; i < services; i++) {
@@ -171,7 +175,7 @@
   }
 
   private String phase(String name) {
-    KeyValueStore.Value value = state.value(ServiceRepository.recordKey(name));
+    KeyValueStore.Value value = store.value(ServiceRepository.recordKey(name));
     return value != null
             && value.data().get("current") instanceof Map<?, ?> current
             && current.get("phase") instanceof String phase
@@ -179,20 +183,20 @@
         : null;
   }
 
-  /** Asks the loop's thread. */
-  private <T> T inLoop(Supplier<T> question) throws InterruptedException {
+  /** Runs a call on the event loop's thread and returns its result. */
+  private <T> T callOnLoop(Supplier<T> call) throws InterruptedException {
     AtomicReference<T> out = new AtomicReference<>();
-    CountDownLatch told = new CountDownLatch(1);
+    CountDownLatch finished = new CountDownLatch(1);
     loop.post(
         () -> {
-          out.set(question.get());
-          told.countDown();
+          out.set(call.get());
+          finished.countDown();
         });
-    told.await();
+    finished.await();
     return out.get();
   }
 
-  // ---- The controllers
+  // ---- Controllers
 
   private static int freePort() throws IOException {
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -201,13 +205,13 @@
   }
 
   private void startNodes() throws IOException {
-    List<Integer> meshes = new ArrayList<>();
+    List<Integer> meshPorts = new ArrayList<>();
     for (int i = 0; i < nodeCount; i++) {
       nodes.add(Addresses.parse("127.0.0.1:" + freePort()));
-      meshes.add(freePort());
+      meshPorts.add(freePort());
     }
     for (int i = 0; i < nodeCount; i++) {
-      String config = settings(i, meshes);
+      String config = settings(i, meshPorts);
       Path file = Files.writeString(folder.resolve("node-" + i + ".toml"), config);
       List<String> command = new ArrayList<>(List.of("java", "-Xmx72m", "-XX:+UseSerialGC"));
       command.addAll(List.of("-XX:TieredStopAtLevel=1", "-Djava.net.preferIPv4Stack=true"));
@@ -221,13 +225,13 @@
     }
   }
 
-  private String settings(int i, List<Integer> meshes) {
-    StringBuilder siblings = new StringBuilder();
+  private String settings(int i, List<Integer> meshPorts) {
+    StringBuilder peers = new StringBuilder();
     for (int s = 0; s < nodeCount; s++) {
       if (s != i) {
-        siblings.append(
+        peers.append(
             "[[siblings]]\nhost_name = \"node-%d\"\nzone = \"za\"\naddr = \"127.0.0.1:%d\"\n"
-                .formatted(s, meshes.get(s)));
+                .formatted(s, meshPorts.get(s)));
       }
     }
     return """
@@ -261,14 +265,14 @@
         .formatted(
             i,
             Addresses.text(nodes.get(i)),
-            meshes.get(i),
-            siblings,
-            outside,
-            outside,
+            meshPorts.get(i),
+            peers,
+            emulatorAddress,
+            emulatorAddress,
             nodeCount,
-            changes * 4,
-            changes,
-            share);
+            writesPerSecond * 4,
+            writesPerSecond,
+            cpuShare);
   }
 
   /**
@@ -281,23 +285,25 @@
         sum += Long.parseLong(Files.readString(path.resolve("schedstat")).split(" ")[0]);
       }
     } catch (IOException exception) {
-      // A thread that ended meanwhile; the next look counts the others again.
+      // A thread ended during the scan; the next sample reads the remaining threads.
     }
     return sum;
   }
 
-  /** Stops a process whenever it has used up its part of a core, a tenth of a second at a time. */
+  /**
+   * Limits a process to its share of a core by suspending it, with bursts of 100 ms of that share.
+   */
   private void throttle(Process process) {
-    long began = System.nanoTime();
+    long startedAt = System.nanoTime();
     long used = cpuNanos(process);
     boolean stopped = false;
     double allowed = 0;
-    long last = began;
+    long last = startedAt;
     try {
       while (!done && process.isAlive()) {
         TimeUnit.MILLISECONDS.sleep(5);
         long now = System.nanoTime();
-        allowed = Math.min(share * 1e8, allowed + (now - last) * share);
+        allowed = Math.min(cpuShare * 1e8, allowed + (now - last) * cpuShare);
         last = now;
         long total = Math.max(used, cpuNanos(process));
         allowed -= total - used;
@@ -317,48 +323,51 @@
 
   // ---- The run
 
-  private int operate(String command, String... words) {
-    ByteArrayOutputStream said = new ByteArrayOutputStream();
-    PrintStream out = new PrintStream(said, true);
-    if (asked.isEmpty()) {
-      asked.addAll(nodes);
+  private int runCommand(String command, String... words) {
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
+    PrintStream out = new PrintStream(output, true);
+    if (askOrder.isEmpty()) {
+      askOrder.addAll(nodes);
     }
     for (int tries = 0; tries < 200; tries++) {
-      for (InetSocketAddress node : List.copyOf(asked)) {
+      for (InetSocketAddress node : List.copyOf(askOrder)) {
         List<String> all = new ArrayList<>(List.of(words));
         all.addAll(List.of("--server", Addresses.text(node)));
-        said.reset();
+        output.reset();
         int code = new ServiceCommands(out, out).run(command, all.toArray(new String[0]));
         if (code == 0) {
-          // Whoever leads is asked first from now on: the others are asked for half a minute.
-          asked.remove(node);
-          asked.add(0, node);
+          // Ask the leader first from now on, as other nodes are retried for half a minute.
+          askOrder.remove(node);
+          askOrder.add(0, node);
           return 0;
         }
         if (code != ExitCodes.NO_ANSWER) {
-          throw new IllegalStateException(said.toString(StandardCharsets.UTF_8));
+          throw new IllegalStateException(output.toString(StandardCharsets.UTF_8));
         }
       }
     }
-    throw new IllegalStateException("no answer: " + said);
+    throw new IllegalStateException("no answer: " + output);
   }
 
-  private record Sample(long nanos, long cpu, long epoch) {}
+  private record Sample(long nanos, long cpuNanos, long revision) {}
 
   private Sample sample() throws InterruptedException {
     long cpu = processes.stream().mapToLong(RolloutBenchmark::cpuNanos).max().orElse(0);
-    return new Sample(System.nanoTime(), cpu, inLoop(state::revision));
+    return new Sample(System.nanoTime(), cpu, callOnLoop(store::revision));
   }
 
-  private void print(String what, Sample from, Sample to) {
+  private void print(String period, Sample from, Sample to) {
     double seconds = (to.nanos - from.nanos) / 1e9;
     System.out.printf(
         "%s: %.0f s, busiest controller %.3f of a core, %.1f revisions a second%n",
-        what, seconds, (to.cpu - from.cpu) / 1e9 / seconds, (to.epoch - from.epoch) / seconds);
+        period,
+        seconds,
+        (to.cpuNanos - from.cpuNanos) / 1e9 / seconds,
+        (to.revision - from.revision) / seconds);
   }
 
-  private long counted(String phase) throws InterruptedException {
-    return inLoop(
+  private long countInPhase(String phase) throws InterruptedException {
+    return callOnLoop(
         () -> {
           long count = 0;
           for (int i = 0; i < services; i++) {
@@ -373,18 +382,18 @@
     LoopThread.start(loop, root);
     startNodes();
     TimeUnit.SECONDS.sleep(3);
-    if (share < 1) {
+    if (cpuShare < 1) {
       for (Process process : processes) {
         new Thread(() -> throttle(process)).start();
       }
     }
-    applyServices();
+    createServices();
     TimeUnit.SECONDS.sleep(Integer.getInteger("settle", 90));
-    Sample quiet = sample();
+    Sample idleStart = sample();
     TimeUnit.SECONDS.sleep(30);
-    Sample begun = sample();
-    print("before", quiet, begun);
-    Object term = inLoop(() -> state.value("lead").data().get("term"));
+    Sample rolloutStart = sample();
+    print("before", idleStart, rolloutStart);
+    Object term = callOnLoop(() -> store.value("lead").data().get("term"));
     Path plan =
         Files.writeString(
             folder.resolve("plan.json"),
@@ -392,31 +401,31 @@
                 + " \"settleS\": 5, \"limitS\": 900, \"gate\": \"ready >= 95% and age >= 10s and"
                 + " probe(\\\"/\\\").p90 < 1s\", \"stop\": \"failures(2m) >= 5\"}");
     for (int i = 0; i < services; i++) {
-      operate("rollout", "start", "s" + i, "v2", "--plan", plan.toString());
+      runCommand("rollout", "start", "s" + i, "v2", "--plan", plan.toString());
     }
-    Sample all = sample();
-    print("started", begun, all);
+    Sample rolloutsStarted = sample();
+    print("started", rolloutStart, rolloutsStarted);
     if (outageS > 0) {
       TimeUnit.SECONDS.sleep(40);
-      inLoop(() -> down(true));
+      callOnLoop(() -> setDown(true));
       TimeUnit.SECONDS.sleep(outageS);
-      inLoop(() -> down(false));
-      System.out.println("the state service was down for " + outageS + " s");
+      callOnLoop(() -> setDown(false));
+      System.out.println("the key-value store was down for " + outageS + " s");
     }
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_RUN_S);
-    while (counted("DONE") < services && System.nanoTime() < until) {
+    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_RUN_S);
+    while (countInPhase("DONE") < services && System.nanoTime() < deadline) {
       TimeUnit.SECONDS.sleep(1);
     }
     Sample end = sample();
-    print("rolling", all, end);
+    print("rolling", rolloutsStarted, end);
     System.out.printf(
         "%d of %d done, %d taken back; term %s before and %s after; steps passed %d, after their"
             + " gate could: p50 %d ms, p99 %d ms, most %d ms%n",
-        counted("DONE"),
+        countInPhase("DONE"),
         services,
-        counted("ROLLED_BACK"),
+        countInPhase("ROLLED_BACK"),
         term,
-        inLoop(() -> state.value("lead").data().get("term")),
+        callOnLoop(() -> store.value("lead").data().get("term")),
         delays.getTotalCount(),
         delays.getValueAtPercentile(50),
         delays.getValueAtPercentile(99),
@@ -424,20 +433,20 @@
     System.out.println("logs: " + folder);
   }
 
-  private void applyServices() throws Exception {
+  private void createServices() throws Exception {
     for (int i = 0; i < services; i++) {
       Path file =
           Files.writeString(
               folder.resolve("s.json"),
               "{\"name\": \"s%d\", \"replicas\": %d, \"cores\": 1, \"bundle\": \"v1\", \"port\": %d}"
                   .formatted(i, replicas, FIRST_PORT + i * replicas * 8));
-      operate("service", "apply", file.toString());
+      runCommand("service", "apply", file.toString());
     }
   }
 
-  private Boolean down(boolean is) {
-    state.setDown(is, loop.now());
-    return is;
+  private Boolean setDown(boolean down) {
+    store.setDown(down, loop.now());
+    return down;
   }
 
   private void end() {
--- a/src/test/java/io/saltflow/compat/CommandLineTexts.java
+++ b/src/test/java/io/saltflow/compat/CommandLineTexts.java
@@ -26,7 +26,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What the program says as a process: on the command line, and to its users over HTTP. */
+/** Collects the output of the program's commands and its HTTP answers. */
 final class CommandLineTexts {
   private static final Path SETTINGS = Path.of("src/test/resources/compat");
   private static final int MAX_RETRIES = 200;
@@ -51,7 +51,7 @@
 
   private CommandLineTexts() {}
 
-  /** What each command says when it is asked for help, and when it is not known. */
+  /** Returns the output and exit code of each command for help requests and unknown words. */
   static Map<String, List<String>> ofCommands(Path folder)
       throws IOException, InterruptedException {
     List<List<String>> all = new ArrayList<>();
@@ -111,7 +111,7 @@
 
   // ---- HTTP
 
-  /** Answers of {@code local} to users and operators, with what depends on the clock left out. */
+  /** Returns the answers of {@code local} to users and operators, without time-dependent values. */
   static List<String> ofHttp() throws IOException, InterruptedException, InvalidMessageException {
     Process process =
         process(List.of("local", "--http", "127.0.0.1:0", "--amqp", "127.0.0.1:0"))
@@ -123,7 +123,7 @@
               new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
       String ready = out.readLine();
       if (ready == null || !ready.startsWith("ready: http ")) {
-        throw new IOException("it does not begin: " + ready);
+        throw new IOException("local did not start: " + ready);
       }
       String server = ready.replaceFirst("ready: http (\\S+), .*", "$1");
       return new Conversation(server).lines(ready.replaceAll(":\\d+", ":PORT"));
@@ -132,7 +132,7 @@
     }
   }
 
-  /** Requests to one server, one after the other. */
+  /** Sends requests to a server one after the other and records the answers. */
   private static final class Conversation {
     private final HttpClient client =
         HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
@@ -146,32 +146,32 @@
     List<String> lines(String ready)
         throws IOException, InterruptedException, InvalidMessageException {
       lines.add(ready);
-      ask("GET", "/healthz", null);
-      ask("GET", "/queue", null);
-      ask("POST", "/submissions", JobCodec.encode(job("req-1", "local", 2)));
-      ask("POST", "/submissions", JobCodec.encode(job("req-2", "nobody", 2)));
-      ask("POST", "/submissions", MessageBody.of().with("id", "req-3"));
-      ask("POST", "/submissions", MessageBody.of().with("id", "x"));
-      ask("POST", "/submissions/req-1/withdraw", null);
-      ask("POST", "/submissions/req-9/withdraw", null);
-      ask("GET", "/submissions/req-1", null);
-      ask("GET", "/submissions/req-9", null);
-      ask("POST", "/submissions", JobCodec.encode(job("req-1", "local", 2)));
-      ask("POST", "/queue/req-1", MessageBody.of().with("lane", "front"));
-      ask("POST", "/queue/req-9", MessageBody.of().with("lane", "front"));
-      ask("POST", "/queue/req-1", MessageBody.of().with("lane", "none"));
-      ask("GET", "/moves", null);
-      ask("GET", "/ready", null);
-      ask("GET", "/ready/none", null);
-      ask("GET", "/services", null);
-      ask("GET", "/services/none", null);
-      ask("POST", "/services", service());
-      ask("POST", "/services/page-cache/rollout", MessageBody.of().with("bundle", "img-2"));
-      ask("POST", "/services/page-cache/rollout/pause", MessageBody.of());
-      ask("POST", "/services/page-cache/rollout/dance", MessageBody.of());
-      ask("POST", "/checkin", MessageBody.of());
-      ask("GET", "/nowhere", null);
-      ask("POST", "/submissions", JobCodec.encode(job("req-5", "local", 1000)));
+      exchange("GET", "/healthz", null);
+      exchange("GET", "/queue", null);
+      exchange("POST", "/submissions", JobCodec.encode(job("req-1", "local", 2)));
+      exchange("POST", "/submissions", JobCodec.encode(job("req-2", "nobody", 2)));
+      exchange("POST", "/submissions", MessageBody.of().with("id", "req-3"));
+      exchange("POST", "/submissions", MessageBody.of().with("id", "x"));
+      exchange("POST", "/submissions/req-1/withdraw", null);
+      exchange("POST", "/submissions/req-9/withdraw", null);
+      exchange("GET", "/submissions/req-1", null);
+      exchange("GET", "/submissions/req-9", null);
+      exchange("POST", "/submissions", JobCodec.encode(job("req-1", "local", 2)));
+      exchange("POST", "/queue/req-1", MessageBody.of().with("lane", "front"));
+      exchange("POST", "/queue/req-9", MessageBody.of().with("lane", "front"));
+      exchange("POST", "/queue/req-1", MessageBody.of().with("lane", "none"));
+      exchange("GET", "/moves", null);
+      exchange("GET", "/ready", null);
+      exchange("GET", "/ready/none", null);
+      exchange("GET", "/services", null);
+      exchange("GET", "/services/none", null);
+      exchange("POST", "/services", service());
+      exchange("POST", "/services/page-cache/rollout", MessageBody.of().with("bundle", "img-2"));
+      exchange("POST", "/services/page-cache/rollout/pause", MessageBody.of());
+      exchange("POST", "/services/page-cache/rollout/dance", MessageBody.of());
+      exchange("POST", "/checkin", MessageBody.of());
+      exchange("GET", "/nowhere", null);
+      exchange("POST", "/submissions", JobCodec.encode(job("req-5", "local", 1000)));
       lines.add("fields of a lane: " + fieldsOfLane());
       return lines;
     }
@@ -209,17 +209,17 @@
           .with("by", "ann");
     }
 
-    private void ask(String method, String path, MessageBody body)
+    private void exchange(String method, String path, MessageBody body)
         throws IOException, InterruptedException, InvalidMessageException {
       HttpResponse<byte[]> answer = send(method, path, body);
       String text =
           answer.body().length == 0
               ? ""
-              : " " + shown(MessagePackCodec.decode(answer.body()).fields());
+              : " " + describe(MessagePackCodec.decode(answer.body()).fields());
       lines.add(method + " " + path + ": " + answer.statusCode() + text);
     }
 
-    /** As users do, it asks again while the controller says "not now". */
+    /** Sends a request and, as users do, retries it while the controller answers 503. */
     private HttpResponse<byte[]> send(String method, String path, MessageBody body)
         throws IOException, InterruptedException {
       HttpRequest.BodyPublisher sent =
@@ -238,7 +238,10 @@
       return answer;
     }
 
-    /** Most tasks of the last job never find room, so the queue lists it from its next round on. */
+    /**
+     * Waits until the queue lists the last job, most of whose tasks never fit, and returns the
+     * field names of its lane.
+     */
     private Set<String> fieldsOfLane()
         throws IOException, InterruptedException, InvalidMessageException {
       for (int retry = 0; retry < MAX_RETRIES; retry++) {
@@ -252,8 +255,8 @@
       return Set.of();
     }
 
-    /** Times of day, and what has come up by now, are no part of the form. */
-    private static String shown(Map<String, Object> fields) {
+    /** Returns the fields as text, with time-dependent values and counts masked. */
+    private static String describe(Map<String, Object> fields) {
       return fields
           .toString()
           .replace("\n", "\\n")
--- a/src/test/java/io/saltflow/compat/JournalForms.java
+++ b/src/test/java/io/saltflow/compat/JournalForms.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The files of the write-ahead log: a segment, a snapshot and a backup. */
+/** Forms of the write-ahead log's files: a segment, a snapshot and a backup. */
 final class JournalForms {
   private static final long[] IDENTITY = {3, 4};
   private static final long MAX_SEGMENT_BYTES = 1 << 20;
@@ -34,7 +34,7 @@
     return text.getBytes(StandardCharsets.US_ASCII);
   }
 
-  /** What a journal holds, as it is told when it is opened. */
+  /** Collects the contents of a log that is opened. */
   private static final class Replay implements WriteAheadLog.ReplayHandler {
     final List<byte[]> parts = new ArrayList<>();
     final List<byte[]> entries = new ArrayList<>();
@@ -47,7 +47,7 @@
     @Override
     public void onSnapshotEnd(long next) throws IOException {
       if (next != SNAPSHOT_NEXT) {
-        throw new IOException("a snapshot of the entries before " + next);
+        throw new IOException("unexpected snapshot of the entries before " + next);
       }
     }
 
@@ -55,7 +55,7 @@
     public void onEntry(long number, byte[] entry) throws IOException {
       entries.add(entry);
       if (number != entries.size()) {
-        throw new IOException("entry " + number + " at the place of " + entries.size());
+        throw new IOException("entry " + number + " at position " + entries.size());
       }
     }
   }
--- a/src/test/java/io/saltflow/compat/MessageForms.java
+++ b/src/test/java/io/saltflow/compat/MessageForms.java
@@ -39,7 +39,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Messages between the programs, and entries of the replicated log and of the queues' record. */
+/** Forms of messages between processes, and of entries of the replicated log and the queues. */
 final class MessageForms {
   private static final long WALL_MS = 1_796_189_000_000L;
   private static final List<String> MEMBERS = List.of("a", "b");
@@ -151,7 +151,7 @@
             MessagePackCodec.encode(
                 WorkerCodec.encodeHeartbeat(
                     WorkerCodec.decodeHeartbeat(MessagePackCodec.decode(b))));
-    WorkerHeartbeat report =
+    WorkerHeartbeat heartbeat =
         new WorkerHeartbeat(
             new MachineId("vm-000231"),
             "10.1.0.232:9000",
@@ -162,11 +162,11 @@
             88,
             new Term(41),
             TimeSpan.seconds(61.5),
-            taskReports());
+            taskStatuses());
     forms.add(
         StoredForm.current(
             "worker heartbeat",
-            MessagePackCodec.encode(WorkerCodec.encodeHeartbeat(report)),
+            MessagePackCodec.encode(WorkerCodec.encodeHeartbeat(heartbeat)),
             codec));
     MessageBody exited =
         MessageBody.of().with("shard", "req-1/0").with("try", 1).with("phase", "exited");
@@ -200,19 +200,19 @@
             }));
   }
 
-  private static List<WorkerHeartbeat.TaskStatus> taskReports() {
-    List<WorkerHeartbeat.TaskStatus> out = new ArrayList<>();
+  private static List<WorkerHeartbeat.TaskStatus> taskStatuses() {
+    List<WorkerHeartbeat.TaskStatus> statuses = new ArrayList<>();
     for (WorkerHeartbeat.TaskState state : WorkerHeartbeat.TaskState.values()) {
-      out.add(taskReport(out.size(), state, WorkerHeartbeat.ExitCause.DONE, false));
+      statuses.add(taskStatus(statuses.size(), state, WorkerHeartbeat.ExitCause.DONE, false));
     }
     for (WorkerHeartbeat.ExitCause cause : WorkerHeartbeat.ExitCause.values()) {
       boolean saved = cause == WorkerHeartbeat.ExitCause.STOPPED;
-      out.add(taskReport(out.size(), WorkerHeartbeat.TaskState.EXITED, cause, saved));
+      statuses.add(taskStatus(statuses.size(), WorkerHeartbeat.TaskState.EXITED, cause, saved));
     }
-    return out;
+    return statuses;
   }
 
-  private static WorkerHeartbeat.TaskStatus taskReport(
+  private static WorkerHeartbeat.TaskStatus taskStatus(
       int index, WorkerHeartbeat.TaskState state, WorkerHeartbeat.ExitCause cause, boolean saved) {
     TaskId task = new TaskId(new JobId("req-000412"), index);
     return new WorkerHeartbeat.TaskStatus(task, new Attempt(index + 1L), state, cause, saved);
@@ -242,8 +242,8 @@
             .with("yards", List.of("a"));
     MessageBody bareTypes = MessageBody.of().with("rigs", List.of(bareType));
     forms.add(StoredForm.earlier("machine types, bare", MessagePackCodec.encode(bareTypes), types));
-    MessageBody hire = CloudCodec.encodeScaleOut("r-17", "g8", "a", true, 12);
-    forms.add(StoredForm.current("rental request", MessagePackCodec.encode(hire), UNTYPED));
+    MessageBody scaleOut = CloudCodec.encodeScaleOut("r-17", "g8", "a", true, 12);
+    forms.add(StoredForm.current("rental request", MessagePackCodec.encode(scaleOut), UNTYPED));
     List<MachineId> machines = List.of(new MachineId("vm-1"), new MachineId("vm-2"));
     forms.add(
         StoredForm.current(
@@ -310,7 +310,7 @@
       forms.add(StoredForm.earlier("peer heartbeat before " + missing[i], cut, codec));
     }
     StoredForm.Codec probes = b -> ProbeFrame.decode(b).encode();
-    List<ProbeFrame.ProbeTarget> places =
+    List<ProbeFrame.ProbeTarget> targets =
         List.of(
             new ProbeFrame.ProbeTarget("10.0.0.1", 9000, "/healthz"),
             new ProbeFrame.ProbeTarget("10.0.0.2", 9001, ""));
@@ -319,7 +319,7 @@
     forms.add(
         StoredForm.current(
             "probe request",
-            new ProbeFrame.ProbeRequest("b", "a", 7, 3000, places).encode(),
+            new ProbeFrame.ProbeRequest("b", "a", 7, 3000, targets).encode(),
             probes));
     forms.add(
         StoredForm.current(
--- a/src/test/java/io/saltflow/compat/RecordScenario.java
+++ b/src/test/java/io/saltflow/compat/RecordScenario.java
@@ -62,7 +62,9 @@
 import java.util.zip.DataFormatException;
 import java.util.zip.Inflater;
 
-/** What one controller asks the key-value store for, from its election to the end of jobs. */
+/**
+ * Records the key-value store requests of a controller from its election to the end of its jobs.
+ */
 final class RecordScenario {
   static final QueueId QUEUE = new QueueId("/", "work");
   private static final String HOST = "saltbox-0";
@@ -90,7 +92,7 @@
     client = store.client(RecordingStore.RATE);
   }
 
-  /** All requests in order. */
+  /** Returns the requests in the order in which they were sent, and records of earlier builds. */
   static List<StoredForm> all() throws IOException, InvalidMessageException {
     List<StoredForm> forms = new ArrayList<>();
     try (RecordingStore store = new RecordingStore()) {
@@ -98,18 +100,18 @@
       int number = 0;
       for (RecordingStore.Request request : store.requests) {
         String name = String.format("store %03d %s", number++, request.line());
-        forms.add(StoredForm.current(name, request.body(), RecordScenario::again));
+        forms.add(StoredForm.current(name, request.body(), RecordScenario::reencode));
       }
     }
     forms.add(
-        StoredForm.current(StoreReader.EARLIER_RECORDS, earlierRecords(), RecordScenario::again));
+        StoredForm.current(
+            StoreReader.EARLIER_RECORDS, earlierRecords(), RecordScenario::reencode));
     forms.add(
-        StoredForm.earlier(
-            StoreReader.QUEUE_RECORD, queueRecord(), RecordScenario::withInflatedData));
+        StoredForm.earlier(StoreReader.QUEUE_RECORD, queueRecord(), RecordScenario::inflateData));
     return forms;
   }
 
-  private static byte[] again(byte[] body) throws InvalidMessageException {
+  private static byte[] reencode(byte[] body) throws InvalidMessageException {
     return body.length == 0 ? body : MessagePackCodec.encode(MessagePackCodec.decode(body));
   }
 
@@ -128,7 +130,7 @@
       public void onLeadershipAcquired() {}
 
       @Override
-      public void onLeadershipLost(String why) {}
+      public void onLeadershipLost(String reason) {}
     };
   }
 
@@ -146,7 +148,7 @@
 
   private void elect() throws IOException {
     election(store, client, HOST, lease).start();
-    store.pass(TICK_MS);
+    store.advance(TICK_MS);
   }
 
   private void announceVersion() {
@@ -164,7 +166,7 @@
 
   // ---- Jobs
 
-  static JobSpec spec(JobId id, int tasks, List<JobId> awaits) {
+  static JobSpec spec(JobId id, int tasks, List<JobId> dependencies) {
     return new JobSpec(
         id,
         "page-render",
@@ -184,16 +186,17 @@
         TimeSpan.seconds(30),
         TimeSpan.seconds(4),
         TimeSpan.seconds(900),
-        awaits);
+        dependencies);
   }
 
-  private void admit(JobRepository jobs, String id, int tasks, JobId... awaits) throws IOException {
-    JobSpec spec = spec(new JobId(id), tasks, List.of(awaits));
+  private void admit(JobRepository jobs, String id, int tasks, JobId... dependencies)
+      throws IOException {
+    JobSpec spec = spec(new JobId(id), tasks, List.of(dependencies));
     jobs.admit(spec, RecordingStore.WALL_MS, outcome -> {});
-    store.pass(TICK_MS);
+    store.advance(TICK_MS);
   }
 
-  /** Jobs with and without a lane, dependent, cancelled, in a batch, and moved by an operator. */
+  /** Admits jobs with and without a lane, dependent, cancelled, batched and reordered jobs. */
   private JobRepository acceptJobs() throws IOException {
     JobRepository withLanes = new JobRepository(store.root, store.loop, client, "process-1", LANES);
     JobRepository plain =
@@ -202,17 +205,19 @@
     admit(plain, CANCELLED.text(), 1);
     admit(plain, "req-102", 2, ARRAY);
     plain.cancel(CANCELLED, outcome -> {});
-    store.pass(TICK_MS);
+    store.advance(TICK_MS);
     admit(plain, "req-103", 1, CANCELLED);
     withLanes.overrideOrder(ARRAY, new Lane(1, "rest"), outcome -> {});
-    store.pass(TICK_MS);
+    store.advance(TICK_MS);
     plain.overrideOrder(new JobId("req-102"), null, outcome -> {});
-    store.pass(TICK_MS);
+    store.advance(TICK_MS);
     acceptBatch();
     return plain;
   }
 
-  /** One change a second is allowed: the first job takes it, the others wait and go together. */
+  /**
+   * Admits jobs at one write per second, so that those after the first are written as one batch.
+   */
   private void acceptBatch() throws IOException {
     JobRepository slow =
         new JobRepository(store.root, store.loop, store.client(1), "process-3", LaneRules.NONE);
@@ -220,7 +225,7 @@
       slow.admit(
           spec(new JobId("req-" + number), 1, List.of()), RecordingStore.WALL_MS, outcome -> {});
     }
-    store.pass(2000);
+    store.advance(2000);
   }
 
   // ---- The leader's records
@@ -297,7 +302,7 @@
     runTasks(repository, leader);
   }
 
-  /** One machine runs everything: most tasks end at once, of the array only some. */
+  /** Runs all tasks on one machine. Most end immediately, but only some of the job array do. */
   private void runTasks(LeaderRepository repository, LeaderCore leader) throws IOException {
     Worker worker = new Worker();
     for (int tick = 0; tick < TICKS; tick++) {
@@ -309,34 +314,36 @@
       repository.recordProgress();
       repository.plans().recordDecisions();
       repository.plans().recordMigrations();
-      worker.report(leader, store);
-      store.pass(TICK_MS);
+      worker.sendHeartbeat(leader, store);
+      store.advance(TICK_MS);
     }
   }
 
-  /** A machine that runs what it is told to. */
+  /** Worker that executes the leader's commands. */
   private static final class Worker {
     private final Map<TaskId, Attempt> tasks = new LinkedHashMap<>();
     private long sequence;
 
-    private static boolean ends(TaskId task) {
+    private static boolean finishes(TaskId task) {
       return !task.job().equals(ARRAY) || DONE_OF_ARRAY.contains(task.index());
     }
 
-    void report(LeaderCore leader, RecordingStore store) {
-      List<WorkerHeartbeat.TaskStatus> reported = new ArrayList<>();
+    void sendHeartbeat(LeaderCore leader, RecordingStore store) {
+      List<WorkerHeartbeat.TaskStatus> statuses = new ArrayList<>();
       tasks.forEach(
           (task, attempt) ->
-              reported.add(
+              statuses.add(
                   new WorkerHeartbeat.TaskStatus(
                       task,
                       attempt,
-                      ends(task)
+                      finishes(task)
                           ? WorkerHeartbeat.TaskState.EXITED
                           : WorkerHeartbeat.TaskState.RUNNING,
-                      ends(task) ? WorkerHeartbeat.ExitCause.DONE : WorkerHeartbeat.ExitCause.OTHER,
+                      finishes(task)
+                          ? WorkerHeartbeat.ExitCause.DONE
+                          : WorkerHeartbeat.ExitCause.OTHER,
                       false)));
-      WorkerHeartbeat report =
+      WorkerHeartbeat heartbeat =
           new WorkerHeartbeat(
               new MachineId("vm-000231"),
               "10.1.0.1:9000",
@@ -347,13 +354,13 @@
               ++sequence,
               leader.term(),
               null,
-              reported);
-      List<WorkerCommand> orders = leader.onHeartbeat(report, true, store.loop.now());
-      for (WorkerCommand order : orders == null ? List.<WorkerCommand>of() : orders) {
-        if (order instanceof WorkerCommand.Launch) {
-          tasks.put(order.task(), order.attempt());
+              statuses);
+      List<WorkerCommand> commands = leader.onHeartbeat(heartbeat, true, store.loop.now());
+      for (WorkerCommand command : commands == null ? List.<WorkerCommand>of() : commands) {
+        if (command instanceof WorkerCommand.Launch) {
+          tasks.put(command.task(), command.attempt());
         } else {
-          tasks.remove(order.task());
+          tasks.remove(command.task());
         }
       }
     }
@@ -365,7 +372,7 @@
     return MessageBody.of().with("put", key).with("data", value);
   }
 
-  /** The record as builds without dependencies, lanes and places wrote it. */
+  /** Returns a job record as written by builds without dependencies, lanes and queue positions. */
   private static MessageBody earlierJob(String id) {
     MessageBody spec = JobCodec.encode(spec(new JobId(id), 5, List.of()));
     spec.fields().keySet().removeAll(List.of("rigs", "yard", "dueS"));
@@ -400,7 +407,7 @@
 
   // ---- The queues' record
 
-  /** Queues with one of them, empty. */
+  /** Returns a queue core with one empty queue. */
   static QueueCore queues(Term term) {
     QueuePolicy policy =
         new QueuePolicy(
@@ -452,13 +459,13 @@
         () -> {});
   }
 
-  /** The transaction by which two messages are recorded. */
+  /** Returns the transaction that records two messages. */
   private static byte[] queueRecord() throws IOException {
     try (RecordingStore store = new RecordingStore()) {
-      LeaderLease leading = new LeaderLease(TimeSpan.seconds(5), TimeSpan.seconds(10));
-      leading.onElected(new Term(7), Revision.ABSENT, store.loop.now());
+      LeaderLease lease = new LeaderLease(TimeSpan.seconds(5), TimeSpan.seconds(10));
+      lease.onElected(new Term(7), Revision.ABSENT, store.loop.now());
       QueueCore core = queues(new Term(7));
-      QueueRepository repository = queueRepository(store, leading, core);
+      QueueRepository repository = queueRepository(store, lease, core);
       repository.readInherited(read -> {});
       core.begin(store.loop.now(), RecordingStore.WALL_MS);
       for (int number = 1; number <= 2; number++) {
@@ -478,19 +485,19 @@
     }
   }
 
-  /** How data is compressed depends on the library: what counts is what comes out of it. */
-  private static byte[] withInflatedData(byte[] transaction)
+  /** Replaces compressed data with its content, as the compressed bytes depend on the library. */
+  private static byte[] inflateData(byte[] transaction)
       throws InvalidMessageException, DataFormatException {
     MessageBody body = MessagePackCodec.decode(transaction);
     for (MessageBody write : body.maps("writes")) {
       MessageBody value = write.map("data");
-      byte[] packed = Base64.getDecoder().decode(value.text("d"));
+      byte[] compressed = Base64.getDecoder().decode(value.text("d"));
       Inflater inflater = new Inflater(true);
-      inflater.setInput(packed);
-      byte[] out = new byte[MAX_INFLATED_BYTES];
-      int length = inflater.inflate(out);
+      inflater.setInput(compressed);
+      byte[] inflated = new byte[MAX_INFLATED_BYTES];
+      int length = inflater.inflate(inflated);
       inflater.end();
-      value.with("d", HexFormat.of().formatHex(out, 0, length));
+      value.with("d", HexFormat.of().formatHex(inflated, 0, length));
     }
     return MessagePackCodec.encode(body);
   }
--- a/src/test/java/io/saltflow/compat/RecordingStore.java
+++ b/src/test/java/io/saltflow/compat/RecordingStore.java
@@ -16,8 +16,8 @@
 import java.util.function.Consumer;
 
 /**
- * A key-value store in memory that answers at once, without sockets, and lists what it is asked.
- * Its clocks stand still unless {@link #pass} moves them.
+ * In-memory key-value store that answers immediately, without sockets, and records all requests.
+ * Its monotonic clock moves only with {@link #advance}.
  */
 final class RecordingStore implements HttpCaller, AutoCloseable {
   static final long WALL_MS = 1_796_189_000_000L;
@@ -27,7 +27,7 @@
   private static final long START_MS = 1_000_000;
   private static final long NANOS_PER_MS = 1_000_000;
 
-  /** A request as it was sent: method and target, and the body. */
+  /** Request as it was sent, with method and target in {@code line}. */
   record Request(String line, byte[] body) {}
 
   private static final class Root extends Routine {
@@ -40,7 +40,7 @@
   final Routine root = new Root();
   final EventLoop loop;
   final StoreLimits limits = new StoreLimits(TRANSACTION_OPERATIONS, VALUE_KB, RATE);
-  private final KeyValueServer front;
+  private final KeyValueServer server;
   private long clockMs = START_MS;
 
   RecordingStore() throws IOException {
@@ -48,17 +48,17 @@
     EmulatedKeyValueStore store =
         new EmulatedKeyValueStore(
             new KeyValueLimits(RATE, RATE, VALUE_KB, TRANSACTION_OPERATIONS),
-            steps -> {},
+            batches -> {},
             loop.now());
-    front = new KeyValueServer(root, loop, store.core(), () -> store.flush(loop.now()));
+    server = new KeyValueServer(root, loop, store.core(), () -> store.flush(loop.now()));
   }
 
-  /** A client of this store that may write so many changes a second. */
-  KeyValueClient client(double changesPerS) {
+  /** Returns a client of this store with the given write rate limit. */
+  KeyValueClient client(double writesPerSecond) {
     HttpCaller watches =
         (method, target, body, timeout, then) ->
             requests.add(new Request(method + " " + target, body));
-    return new KeyValueClient(root, loop, this, watches, RATE, changesPerS, limits);
+    return new KeyValueClient(root, loop, this, watches, RATE, writesPerSecond, limits);
   }
 
   @Override
@@ -69,7 +69,7 @@
       TimeSpan timeout,
       Consumer<HttpClient.Answer> then) {
     requests.add(new Request(method + " " + target, body));
-    front.handle(
+    server.handle(
         method,
         target,
         body,
@@ -79,18 +79,18 @@
                     reply.status(), reply.body(), loop.now(), reply.retryAfterS())));
   }
 
-  /** Carries out what another store was asked to change. */
-  void replay(List<Request> others) {
-    for (Request request : others) {
+  /** Executes the write requests recorded by another store. */
+  void replay(List<Request> recorded) {
+    for (Request request : recorded) {
       String[] line = request.line().split(" ", 2);
       if (!line[0].equals("GET")) {
-        front.handle(line[0], line[1], request.body(), reply -> {});
+        server.handle(line[0], line[1], request.body(), reply -> {});
       }
     }
   }
 
-  /** Lets time pass, and what is due by then happen. */
-  void pass(long ms) throws IOException {
+  /** Advances the clock and runs the tasks that are due. */
+  void advance(long ms) throws IOException {
     clockMs += ms;
     loop.schedule(TimeSpan.millis(0), root, loop::pause);
     loop.run();
--- a/src/test/java/io/saltflow/compat/Samples.java
+++ b/src/test/java/io/saltflow/compat/Samples.java
@@ -8,7 +8,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Samples in a text file, a line each: a name, a tab and a value. A name may have many lines. */
+/**
+ * Reads and writes samples as lines of a name, a tab and a value. A name may have several lines.
+ */
 final class Samples {
   private static final String SEPARATOR = "\t";
 
--- a/src/test/java/io/saltflow/compat/SettingsTexts.java
+++ b/src/test/java/io/saltflow/compat/SettingsTexts.java
@@ -23,7 +23,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Keys, bounds and defaults of the settings, and names that are stored or shown as they are. */
+/** Lists the keys, bounds and defaults of the settings, and names that are stored or displayed. */
 final class SettingsTexts {
   private static final Path SETTINGS = Path.of("src/test/resources/compat");
   private static final List<String> SCHEMAS =
@@ -44,16 +44,17 @@
         texts.put("schema " + schema, lines);
       }
     }
-    texts.put("operator settings, defaults", shown(OperatorSettings.defaults()));
+    texts.put("operator settings, defaults", describe(OperatorSettings.defaults()));
     texts.put(
         "operator settings, every key",
-        shown(OperatorSettings.read(SETTINGS.resolve("operator-settings.json"))));
-    texts.put("platform settings", shown(PlatformSettings.read(SETTINGS.resolve("settings.toml"))));
+        describe(OperatorSettings.read(SETTINGS.resolve("operator-settings.json"))));
+    texts.put(
+        "platform settings", describe(PlatformSettings.read(SETTINGS.resolve("settings.toml"))));
     texts.put("names", names());
     return texts;
   }
 
-  /** Every value of a schema with the way to it; descriptions are for people and may change. */
+  /** Adds every value of a schema with its path, except for descriptions, which may change. */
   private static void addLeaves(String path, JsonNode node, List<String> lines) {
     if (node.isValueNode()) {
       lines.add(path + " " + node);
@@ -66,14 +67,15 @@
       return;
     }
     for (Map.Entry<String, JsonNode> field : node.properties()) {
-      boolean forPeople = field.getKey().equals("description") || field.getKey().equals("title");
-      if (!forPeople || !field.getValue().isTextual()) {
+      boolean documentation =
+          field.getKey().equals("description") || field.getKey().equals("title");
+      if (!documentation || !field.getValue().isTextual()) {
         addLeaves(path + "/" + field.getKey(), field.getValue(), lines);
       }
     }
   }
 
-  private static List<String> shown(OperatorSettings settings) {
+  private static List<String> describe(OperatorSettings settings) {
     List<String> lines = new ArrayList<>();
     lines.add("leaderLeaseS " + settings.leaderLeaseS());
     lines.add("scaleDown " + settings.scaleDown());
@@ -115,7 +117,7 @@
     return lines;
   }
 
-  private static List<String> shown(PlatformSettings config) {
+  private static List<String> describe(PlatformSettings config) {
     List<String> lines = new ArrayList<>();
     lines.add("host_name " + config.host());
     lines.add("zone " + config.zone());
@@ -158,7 +160,7 @@
     return lines;
   }
 
-  /** Names that records hold, results tell or paths end in. */
+  /** Returns names used in records, results or paths. */
   private static List<String> names() {
     List<String> lines = new ArrayList<>();
     lines.add("rollout phases " + Arrays.toString(Rollout.Phase.values()));
--- a/src/test/java/io/saltflow/compat/StoreReader.java
+++ b/src/test/java/io/saltflow/compat/StoreReader.java
@@ -37,7 +37,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What a controller reads of records that were written before it began, in lines of text. */
+/** Describes in lines of text what a controller reads from existing records. */
 final class StoreReader {
   static final String EARLIER_RECORDS = "records of earlier builds";
   static final String QUEUE_RECORD = "record of the queues";
@@ -56,7 +56,7 @@
     client = store.client(RecordingStore.RATE);
   }
 
-  /** What is read of the sampled requests, once they have been carried out. */
+  /** Returns what is read after the sampled requests have been executed. */
   static List<String> ofRequests(Map<String, String> samples)
       throws IOException, InvalidMessageException {
     List<RecordingStore.Request> requests = new ArrayList<>();
@@ -70,7 +70,7 @@
     return read(requests);
   }
 
-  /** What is read of records that earlier builds wrote. */
+  /** Returns what is read from records written by earlier builds. */
   static List<String> ofEarlierRecords(Map<String, String> samples)
       throws IOException, InvalidMessageException {
     return read(List.of(transaction(samples.get(EARLIER_RECORDS))));
@@ -93,14 +93,14 @@
     }
   }
 
-  /** How many messages are read of the queues' record. */
+  /** Returns the message counts that are read from the queue records. */
   static List<String> ofQueues(Map<String, String> samples) throws IOException {
     try (RecordingStore store = new RecordingStore()) {
       store.replay(List.of(transaction(samples.get(QUEUE_RECORD))));
-      LeaderLease leading = new LeaderLease(TimeSpan.seconds(5), TimeSpan.seconds(10));
-      leading.onElected(new Term(8), Revision.ABSENT, store.loop.now());
+      LeaderLease lease = new LeaderLease(TimeSpan.seconds(5), TimeSpan.seconds(10));
+      lease.onElected(new Term(8), Revision.ABSENT, store.loop.now());
       QueueCore core = RecordScenario.queues(new Term(8));
-      QueueRepository repository = RecordScenario.queueRepository(store, leading, core);
+      QueueRepository repository = RecordScenario.queueRepository(store, lease, core);
       List<String> lines = new ArrayList<>();
       repository.readInherited(
           result -> lines.add("read " + (result == QueueRepository.ReplayResult.REPLAYED)));
@@ -116,8 +116,8 @@
   }
 
   private void readLeader() {
-    LeaderLease following = new LeaderLease(TimeSpan.seconds(5), TimeSpan.seconds(10));
-    LeaderElection follower = RecordScenario.election(store, client, "saltbox-1", following);
+    LeaderLease lease = new LeaderLease(TimeSpan.seconds(5), TimeSpan.seconds(10));
+    LeaderElection follower = RecordScenario.election(store, client, "saltbox-1", lease);
     follower.start();
     lines.add("leader " + follower.leaderHost() + ", term " + follower.leaderTerm());
   }
@@ -126,7 +126,7 @@
     JobRepository jobs =
         new JobRepository(store.root, store.loop, client, "reader", LaneRules.NONE);
     for (String id : JOBS) {
-      jobs.find(new JobId(id), outcome -> lines.add("job " + id + " " + shown(outcome)));
+      jobs.find(new JobId(id), outcome -> lines.add("job " + id + " " + describe(outcome)));
     }
     List<KeyValueClient.KeyValue> live = new ArrayList<>();
     jobs.listLive(listing -> live.addAll(listing.entries()));
@@ -148,7 +148,7 @@
     }
   }
 
-  private static String shown(JobOutcome outcome) {
+  private static String describe(JobOutcome outcome) {
     if (outcome instanceof JobOutcome.Found found) {
       return found.status().phase() + " " + found.status().doneCount();
     }
--- a/src/test/java/io/saltflow/compat/StoredForm.java
+++ b/src/test/java/io/saltflow/compat/StoredForm.java
@@ -1,27 +1,27 @@
 package io.saltflow.compat;
 
 /**
- * A form in which something is stored or sent.
+ * Encoding of stored or transmitted data whose compatibility is tested.
  *
- * @param name what it is; the name of its sample
- * @param bytes what this build writes, or for an earlier form what an earlier build wrote
- * @param earlier whether this build writes what it reads from the form in another way
- * @param codec decodes the form and encodes what was read
+ * @param name the name of its sample
+ * @param bytes the encoding written by this build or, for an earlier form, by an earlier build
+ * @param earlier whether this build reads the encoding but writes a different one
+ * @param codec decodes the encoding and encodes the result again
  */
 public record StoredForm(String name, byte[] bytes, boolean earlier, Codec codec) {
 
-  /** Decodes bytes and encodes what was read. */
+  /** Decodes data and encodes the result again. */
   public interface Codec {
-    /** Returns the encoding of what the bytes say. */
+    /** Returns the encoding of the data decoded from the given bytes. */
     byte[] roundTrip(byte[] bytes) throws Exception;
   }
 
-  /** A form that this build writes: what is read from it is written as the same bytes. */
+  /** Returns a form that this build writes and reproduces byte for byte. */
   public static StoredForm current(String name, byte[] bytes, Codec codec) {
     return new StoredForm(name, bytes, false, codec);
   }
 
-  /** A form of earlier builds, with fields missing or compressed by another library. */
+  /** Returns a form of earlier builds, with missing fields or different compression. */
   public static StoredForm earlier(String name, byte[] bytes, Codec codec) {
     return new StoredForm(name, bytes, true, codec);
   }
--- a/src/test/java/io/saltflow/compat/StoredFormsTest.java
+++ b/src/test/java/io/saltflow/compat/StoredFormsTest.java
@@ -22,9 +22,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * What is stored, sent or shown must not change: samples of each form are kept in the repository,
- * as are the texts of the command line and the keys of the settings. Run with {@code
- * -Dcompat.write=true} to write the samples anew, and read the difference before it is committed.
+ * Guards against incompatible changes to stored and transmitted data, command-line output and
+ * settings, by comparison with samples in the repository. Run with {@code -Dcompat.write=true} to
+ * regenerate the samples, and review the difference before committing it.
  */
 class StoredFormsTest {
   private static final Path FOLDER = Path.of("src/test/resources/compat");
@@ -67,7 +67,7 @@
     Map<String, StoredForm> byName = new LinkedHashMap<>();
     for (StoredForm form : all) {
       if (byName.put(form.name(), form) != null) {
-        throw new IllegalStateException("two forms are called " + form.name());
+        throw new IllegalStateException("duplicate form name: " + form.name());
       }
     }
     return byName;
@@ -103,23 +103,23 @@
 
   @ParameterizedTest
   @MethodSource("formNames")
-  void formIsWrittenAndReadAsBefore(String name) throws Exception {
+  void formMatchesSample(String name) throws Exception {
     StoredForm form = forms.get(name);
     String sample = formSamples.get(name);
-    assertNotNull(sample, "no sample of " + name);
-    String again = HEX.formatHex(form.codec().roundTrip(HEX.parseHex(sample)));
+    assertNotNull(sample, "there is no sample of " + name);
+    String reencoded = HEX.formatHex(form.codec().roundTrip(HEX.parseHex(sample)));
     if (form.earlier()) {
-      assertEquals(formSamples.get(name + REWRITTEN), again);
-      assertEquals(again, HEX.formatHex(form.codec().roundTrip(form.bytes())));
+      assertEquals(formSamples.get(name + REWRITTEN), reencoded);
+      assertEquals(reencoded, HEX.formatHex(form.codec().roundTrip(form.bytes())));
     } else {
-      assertEquals(sample, HEX.formatHex(form.bytes()), "what is written now");
-      assertEquals(sample, again, "what was read is written again");
+      assertEquals(sample, HEX.formatHex(form.bytes()), "current encoding");
+      assertEquals(sample, reencoded, "encoding of the decoded sample");
     }
   }
 
-  /** A sample whose form is gone would be read by nobody. */
+  /** Guards against samples that no form reads any more. */
   @Test
-  void everySampleHasItsForm() throws Exception {
+  void everySampleHasForm() throws Exception {
     assertEquals(new LinkedHashSet<>(newFormSamples().keySet()), formSamples.keySet());
     assertEquals(texts.keySet(), textSamples.keySet());
   }
@@ -130,7 +130,7 @@
 
   @ParameterizedTest
   @MethodSource("textNames")
-  void textIsAsBefore(String name) {
+  void textMatchesSample(String name) {
     assertEquals(String.join("\n", textSamples.get(name)), String.join("\n", texts.get(name)));
   }
 }
--- a/src/test/java/io/saltflow/fuzz/Corpus.java
+++ b/src/test/java/io/saltflow/fuzz/Corpus.java
@@ -11,40 +11,45 @@
 import java.util.stream.Stream;
 
 /**
- * The fuzzer's inputs: a text a target in the repository, one input a line in Base64, since
- * thousands of tiny files would be a burden to every checkout; files while the fuzzer runs.
+ * Stores the fuzzer's inputs. The repository has one text file per target, with one Base64 input
+ * per line, to avoid thousands of small files. While the fuzzer runs, each input is a separate
+ * file.
  */
 public final class Corpus {
-  private static final Path KEPT = Path.of("src/test/resources/corpus");
-  private static final Path RUNNING = Path.of("target/fuzz");
+  private static final Path STORED_INPUTS = Path.of("src/test/resources/corpus");
+  private static final Path WORKING_DIRECTORY = Path.of("target/fuzz");
 
   private Corpus() {}
 
   static List<byte[]> read(String target) throws IOException {
-    List<byte[]> out = new ArrayList<>();
-    for (String line : Files.readAllLines(KEPT.resolve(target + ".txt"))) {
-      out.add(Base64.getDecoder().decode(line));
+    List<byte[]> inputs = new ArrayList<>();
+    for (String line : Files.readAllLines(STORED_INPUTS.resolve(target + ".txt"))) {
+      inputs.add(Base64.getDecoder().decode(line));
     }
-    return out;
+    return inputs;
   }
 
-  /** {@code unpack} before the fuzzer runs, {@code keep} after: for the property {@code target}. */
+  /**
+   * Runs {@code unpack} before the fuzzer or {@code keep} after it, for the target named by the
+   * system property {@code target}.
+   */
   public static void main(String[] args) throws IOException {
     String target = System.getProperty("target");
-    Path folder = Files.createDirectories(RUNNING.resolve(target));
+    Path folder = Files.createDirectories(WORKING_DIRECTORY.resolve(target));
     if (args[0].equals("unpack")) {
-      int n = 0;
+      int number = 0;
       for (byte[] input : read(target)) {
-        Files.write(folder.resolve("kept-" + n++), input);
+        Files.write(folder.resolve("kept-" + number++), input);
       }
       return;
     }
-    Collection<String> lines = new TreeSet<>(Files.readAllLines(KEPT.resolve(target + ".txt")));
+    Collection<String> lines =
+        new TreeSet<>(Files.readAllLines(STORED_INPUTS.resolve(target + ".txt")));
     try (Stream<Path> files = Files.list(folder)) {
       for (Path file : files.toList()) {
         lines.add(Base64.getEncoder().encodeToString(Files.readAllBytes(file)));
       }
     }
-    Files.write(KEPT.resolve(target + ".txt"), lines);
+    Files.write(STORED_INPUTS.resolve(target + ".txt"), lines);
   }
 }
--- a/src/test/java/io/saltflow/fuzz/CorpusTest.java
+++ b/src/test/java/io/saltflow/fuzz/CorpusTest.java
@@ -8,10 +8,10 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** What coverage-guided fuzzing kept, replayed: each input takes some way that no other takes. */
+/** Replays the inputs found by coverage-guided fuzzing, each of which covers a distinct path. */
 class CorpusTest {
   @Test
-  void everyInputIsTakenOrRefusedInOrder() throws IOException {
+  void everyInputIsAcceptedOrRejected() throws IOException {
     for (Map.Entry<String, Consumer<byte[]>> target : FuzzTargets.all().entrySet()) {
       List<byte[]> inputs = Corpus.read(target.getKey());
       assertFalse(inputs.isEmpty(), target.getKey());
--- a/src/test/java/io/saltflow/fuzz/FuzzTargets.java
+++ b/src/test/java/io/saltflow/fuzz/FuzzTargets.java
@@ -19,27 +19,27 @@
 import java.util.function.Consumer;
 
 /**
- * What strangers' bytes reach, each as a function that may refuse its input and must do nothing
- * else: no other exception, no endless loop, no memory that a claim alone sets aside. {@code
- * docs/FUZZING.md} says how to run them; {@code CorpusTest} replays what was found.
+ * Fuzz targets for the parsers of untrusted input. A target may reject its input, but must not
+ * throw another exception, loop forever, or allocate memory based on a claimed length alone. {@code
+ * docs/FUZZING.md} describes how to run them, and {@code CorpusTest} replays the inputs found.
  */
 public final class FuzzTargets {
   private FuzzTargets() {}
 
-  /** The targets by the names of their corpora. */
+  /** Returns the targets by the names of their corpora. */
   static Map<String, Consumer<byte[]>> all() {
-    Map<String, Consumer<byte[]>> out = new TreeMap<>();
-    out.put("frames", FrameFuzzTarget::run);
-    out.put("session", AmqpSessionFuzzTarget::run);
-    out.put("http", FuzzTargets::http);
-    out.put("msgpack", FuzzTargets::msgpack);
-    out.put("entries", FuzzTargets::entries);
-    out.put("beats", FuzzTargets::beats);
-    out.put("group", RaftMessageFuzzTarget::run);
-    return out;
+    Map<String, Consumer<byte[]>> targets = new TreeMap<>();
+    targets.put("frames", FrameFuzzTarget::run);
+    targets.put("session", AmqpSessionFuzzTarget::run);
+    targets.put("http", FuzzTargets::http);
+    targets.put("msgpack", FuzzTargets::msgpack);
+    targets.put("entries", FuzzTargets::entries);
+    targets.put("beats", FuzzTargets::peerMessages);
+    targets.put("group", RaftMessageFuzzTarget::run);
+    return targets;
   }
 
-  /** Requests and answers, cut in two where the first byte says. */
+  /** Parses a request or an answer in two parts, split at a position given by the first byte. */
   static void http(byte[] data) {
     if (data.length == 0) {
       return;
@@ -48,19 +48,22 @@
     HttpParser parser = new HttpParser((data[0] & 1) == 0, 64 * 1024);
     try {
       ByteBuffer first = ByteBuffer.wrap(data, 1, cut - 1);
-      boolean whole = parser.feed(first);
-      if (!whole && parser.feed(ByteBuffer.wrap(data, cut, data.length - cut))) {
-        whole = true;
+      boolean complete = parser.feed(first);
+      if (!complete && parser.feed(ByteBuffer.wrap(data, cut, data.length - cut))) {
+        complete = true;
       }
-      if (whole && parser.body().length > data.length) {
-        throw new IllegalStateException("a body longer than what came");
+      if (complete && parser.body().length > data.length) {
+        throw new IllegalStateException("the body is longer than the input");
       }
     } catch (HttpParser.MalformedMessageException exception) {
-      // Refused, as it should be.
+      // Rejected as expected.
     }
   }
 
-  /** What is read is written and read again the same; jobs and reports are read from it. */
+  /**
+   * Checks that decoded values survive another round trip, and decodes them as worker and job
+   * messages.
+   */
   static void msgpack(byte[] data) {
     MessageBody body;
     try {
@@ -69,27 +72,27 @@
       return;
     }
     try {
-      byte[] again = MessagePackCodec.encode(body);
-      if (!Arrays.equals(again, MessagePackCodec.encode(MessagePackCodec.decode(again)))) {
-        throw new IllegalStateException("not read as it was written");
+      byte[] encoded = MessagePackCodec.encode(body);
+      if (!Arrays.equals(encoded, MessagePackCodec.encode(MessagePackCodec.decode(encoded)))) {
+        throw new IllegalStateException("the round trip changed the encoding");
       }
     } catch (InvalidMessageException exception) {
-      throw new IllegalStateException("what was written can't be read", exception);
+      throw new IllegalStateException("cannot decode an encoded message", exception);
     }
     try {
       JobCodec.decode(body);
     } catch (InvalidMessageException exception) {
-      // Refused.
+      // Rejected as expected.
     }
     try {
       WorkerCodec.decodeHeartbeat(body);
     } catch (InvalidMessageException exception) {
-      // Refused.
+      // Rejected as expected.
     }
     try {
       WorkerCodec.decodeCommands(body);
     } catch (InvalidMessageException exception) {
-      // Refused.
+      // Rejected as expected.
     }
   }
 
@@ -97,12 +100,12 @@
     try {
       EntryCodec.encode(EntryCodec.decode(data));
     } catch (InvalidMessageException exception) {
-      // Refused.
+      // Rejected as expected.
     }
   }
 
-  /** What comes to the mesh's port. */
-  static void beats(byte[] data) {
+  /** Decodes a frame received on the mesh port. */
+  static void peerMessages(byte[] data) {
     try {
       if (ProbeFrame.isProbeFrame(data)) {
         ProbeFrame.decode(data).encode();
@@ -110,11 +113,11 @@
         PeerHeartbeat.decode(data).encode();
       }
     } catch (InvalidMessageException exception) {
-      // Refused.
+      // Rejected as expected.
     }
   }
 
-  /** The fuzzer's entry: the system property {@code target} names one of {@link #all}. */
+  /** Entry point of the fuzzer. The system property {@code target} selects one of {@link #all}. */
   public static void fuzzerTestOneInput(byte[] data) {
     all().get(System.getProperty("target", "session")).accept(data);
   }
