--- a/src/test/java/io/saltflow/LayersTest.java
+++ b/src/test/java/io/saltflow/LayersTest.java
@@ -208,7 +208,7 @@
           boolean allowed =
               matcher.group(1).equals(layer.getKey())
                   || layer.getValue().contains(matcher.group(1));
-          assertEquals(true, allowed, file + " dependencies " + matcher.group(1));
+          assertEquals(true, allowed, file + " uses " + matcher.group(1));
         }
       }
     }
@@ -218,8 +218,8 @@
   @Test
   void onlyLocalClusterUsesEmulator() throws IOException {
     for (Path file : sources("cli")) {
-      boolean dependencies = Files.readString(file).contains("io.saltflow.emulator.");
-      assertEquals(file.endsWith("LocalCluster.java"), dependencies, file.toString());
+      boolean usesEmulator = Files.readString(file).contains("io.saltflow.emulator.");
+      assertEquals(file.endsWith("LocalCluster.java"), usesEmulator, file.toString());
     }
   }
 
--- a/src/test/java/io/saltflow/cli/RolloutBenchmark.java
+++ b/src/test/java/io/saltflow/cli/RolloutBenchmark.java
@@ -275,9 +275,7 @@
             cpuShare);
   }
 
-  /**
-   * Processor time of a process so far, in nanoseconds, by what the kernel counts for its threads.
-   */
+  /** Returns the processor time that the threads of a process have used, in nanoseconds. */
   private static long cpuNanos(Process process) {
     long sum = 0;
     try (Stream<Path> threads = Files.list(Path.of("/proc/" + process.pid() + "/task"))) {
