--- a/src/main/java/io/saltflow/emulator/EmulatedKeyValueStore.java
+++ b/src/main/java/io/saltflow/emulator/EmulatedKeyValueStore.java
@@ -85,7 +85,7 @@
    * Returns the rejection of a request with the given number of writes because of the rate limit or
    * an outage, or {@code null} if the request is accepted.
    */
-  public Reply refusal(int writeCount, MonotonicTime at) {
+  public Reply rejection(int writeCount, MonotonicTime at) {
     return core.rejection(writeCount, at);
   }
 
@@ -120,7 +120,7 @@
   }
 
   /** Grants a lease. */
-  public Reply grant(MessageBody request, MonotonicTime at) throws InvalidMessageException {
+  public Reply grantLease(MessageBody request, MonotonicTime at) throws InvalidMessageException {
     now = at;
     Reply[] reply = new Reply[1];
     core.grantLease(request, r -> reply[0] = r);
@@ -128,14 +128,14 @@
   }
 
   /** Renews a lease. */
-  public Reply extend(long id, MonotonicTime at) {
+  public Reply renewLease(long id, MonotonicTime at) {
     Reply[] reply = new Reply[1];
     core.renewLease(id, at, r -> reply[0] = r);
     return flushAndReply(reply);
   }
 
   /** Releases a lease and deletes its keys. */
-  public Reply release(long id) {
+  public Reply revokeLease(long id) {
     Reply[] reply = new Reply[1];
     Consumer<Reply> callback = r -> reply[0] = r;
     core.revokeLease(id, callback);
@@ -148,7 +148,7 @@
   }
 
   /** Expires leases that were not renewed and deletes the keys attached to them. */
-  public void expire(MonotonicTime at) {
+  public void expireLeases(MonotonicTime at) {
     core.expireLeases(at);
     flush(at);
   }
--- a/src/test/java/io/saltflow/emulator/EmulatedKeyValueStoreTest.java
+++ b/src/test/java/io/saltflow/emulator/EmulatedKeyValueStoreTest.java
@@ -39,7 +39,8 @@
   }
 
   private long lease(long ttlMs) throws InvalidMessageException {
-    return (Long) store.grant(MessageBody.of().with("ttlMs", ttlMs), now).body().get("tenancy");
+    return (Long)
+        store.grantLease(MessageBody.of().with("ttlMs", ttlMs), now).body().get("tenancy");
   }
 
   @Test
@@ -71,13 +72,13 @@
   @Test
   void rateLimitAllowsBurstOfOneSecond() {
     for (int i = 0; i < 10; i++) {
-      assertNull(store.refusal(1, now));
+      assertNull(store.rejection(1, now));
     }
-    assertEquals(429, store.refusal(1, now).status());
-    assertNull(store.refusal(0, now), "reads do not count as writes");
+    assertEquals(429, store.rejection(1, now).status());
+    assertNull(store.rejection(0, now), "reads do not count as writes");
     now = now.plus(TimeSpan.millis(100));
-    assertNull(store.refusal(1, now));
-    assertEquals(429, store.refusal(1, now).status());
+    assertNull(store.rejection(1, now));
+    assertEquals(429, store.rejection(1, now).status());
   }
 
   @Test
@@ -85,17 +86,17 @@
     long id = lease(1000);
     assertEquals(200, commit(List.of(), put("leased", id), put("free")).status());
     now = now.plus(TimeSpan.millis(900));
-    assertEquals(200, store.extend(id, now).status());
+    assertEquals(200, store.renewLease(id, now).status());
     now = now.plus(TimeSpan.millis(1000));
-    store.expire(now);
+    store.expireLeases(now);
     assertNotNull(store.value("leased"));
     now = now.plus(TimeSpan.millis(1));
-    store.expire(now);
+    store.expireLeases(now);
     assertNull(store.value("leased"));
     assertNotNull(store.value("free"));
-    assertEquals(404, store.extend(id, now).status());
+    assertEquals(404, store.renewLease(id, now).status());
     assertEquals("no such lease", commit(List.of(), put("leased", id)).body().get("error"));
-    assertEquals(400, store.grant(MessageBody.of().with("ttlMs", 99L), now).status());
+    assertEquals(400, store.grantLease(MessageBody.of().with("ttlMs", 99L), now).status());
   }
 
   /** A put without a lease detaches the key, and an outage restarts the duration of every lease. */
@@ -105,14 +106,14 @@
     commit(List.of(), put("a", id), put("b", id));
     commit(List.of(), put("b"));
     store.setDown(true, now);
-    assertEquals(503, store.refusal(0, now).status());
+    assertEquals(503, store.rejection(0, now).status());
     now = now.plus(TimeSpan.seconds(30));
-    store.expire(now);
+    store.expireLeases(now);
     store.setDown(false, now);
     now = now.plus(TimeSpan.millis(1000));
-    store.expire(now);
+    store.expireLeases(now);
     assertNotNull(store.value("a"));
-    assertEquals(200, store.release(id).status());
+    assertEquals(200, store.revokeLease(id).status());
     assertNull(store.value("a"));
     assertNotNull(store.value("b"));
   }
