--- a/src/main/java/io/saltflow/healthgates/SatisfiabilityCheck.java
+++ b/src/main/java/io/saltflow/healthgates/SatisfiabilityCheck.java
@@ -24,13 +24,13 @@
   }
 
   /** A range of values, both ends included. */
-  private record Range(double min, double max) {
+  private record Range(double lower, double upper) {
     Range and(Range other) {
-      return new Range(Math.max(min, other.min), Math.min(max, other.max));
+      return new Range(Math.max(lower, other.lower), Math.min(upper, other.upper));
     }
 
     boolean empty() {
-      return min > max;
+      return lower > upper;
     }
   }
 
--- a/src/test/java/io/saltflow/config/GroupSettingsTest.java
+++ b/src/test/java/io/saltflow/config/GroupSettingsTest.java
@@ -10,6 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Guards against group settings that are misread, and errors that do not name the faulty field. */
 class GroupSettingsTest {
   private static final Path SHIPPED = Path.of("deploy/group.json");
 
--- a/src/test/java/io/saltflow/config/QueueSettingsTest.java
+++ b/src/test/java/io/saltflow/config/QueueSettingsTest.java
@@ -24,6 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Guards against queue settings that are misread or accepted although they cannot work. */
 class QueueSettingsTest {
   private static final String GOOD =
       """
